--- a/crates/hollowford-node/src/access.rs
+++ b/crates/hollowford-node/src/access.rs
@@ -13,7 +13,7 @@
 /// An owner that has not read the configuration for so long doesn't vouch for keys any more: some
 /// may have been taken away since. Longer than the store is mostly away, since calls for what was
 /// accepted go on then, and nobody can take keys away in an outage of the whole store.
-pub const VOUCHES_FOR: Millis = Millis(8_000);
+pub const MAX_CONFIG_AGE: Millis = Millis(8_000);
 
 /// What an entry or an owner finds of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/hollowford-node/src/announce.rs
+++ b/crates/hollowford-node/src/announce.rs
@@ -69,7 +69,7 @@
     loop {
         sleep(pauses.next(fastrand::f64())).await;
         match shared.store.transact(TABLE, NODES, &tx, REGISTER_TIMEOUT).await {
-            Ok(_) => return shared.note_store(),
+            Ok(_) => return shared.record_store_answer(),
             Err(StoreError::Malformed(e)) => {
                 log::error!("process.register failed error=\"{e}\"");
                 return;
--- a/crates/hollowford-node/src/batches.rs
+++ b/crates/hollowford-node/src/batches.rs
@@ -1,11 +1,11 @@
 //! The owner's batches: when one is made and in which lane, and how those under way fare.
 
 use crate::inbox::{OwnerHandle, OwnerMsg};
-use crate::lane::LANES;
+use crate::lane::LANE_COUNT;
 use crate::retries::read_after;
 use crate::shared::Shared;
 use crate::wire::OwnerInfo;
-use crate::writer::{self, Writing, Written};
+use crate::writer::{self, BatchOutcome, BatchWrite};
 use hollowford_adapter::Version;
 use hollowford_core::{AnswerTimes, Millis};
 use hollowford_jobs::{Batch, Engine};
@@ -54,7 +54,7 @@
     shared: Arc<Shared>,
     info: OwnerInfo,
     part: String,
-    lanes: [Lane; LANES],
+    lanes: [Lane; LANE_COUNT],
     handle: OwnerHandle,
     /// When the last one was cut.
     cut_at: Millis,
@@ -76,7 +76,7 @@
         shared: Arc<Shared>,
         info: OwnerInfo,
         part: String,
-        lanes: [Version; LANES],
+        lanes: [Version; LANE_COUNT],
         handle: OwnerHandle,
     ) -> Batches {
         Batches {
@@ -125,17 +125,17 @@
         let number = batch.number;
         let (part, owner, rev) = (self.part.clone(), self.info.clone(), self.lanes[lane].rev);
         let read_after = read_after(&self.answers);
-        let writing = Writing { part, owner, lane, rev, batch, read_after };
+        let writing = BatchWrite { part, owner, lane, rev, batch, read_after };
         let written = writer::write(self.shared.clone(), writing);
         let handle = self.handle.clone();
         tokio::spawn(async move {
             let written = written.await;
-            handle.send(OwnerMsg::Written { batch: number, written }).await;
+            handle.send(OwnerMsg::BatchFinished { batch: number, written }).await;
         });
     }
 
     /// Takes note of what came of a batch.
-    pub fn note(&mut self, batch: u64, written: &Written, now: Millis) {
+    pub fn note(&mut self, batch: u64, written: &BatchOutcome, now: Millis) {
         let of = |l: &Lane| l.under_way.is_some_and(|u| u.number == batch);
         let Some(at) = self.lanes.iter().position(of) else { return };
         let lane = &mut self.lanes[at];
@@ -149,7 +149,7 @@
             );
         }
         match written {
-            Written::Made { rev, answered_in } => {
+            BatchOutcome::Made { rev, answered_in } => {
                 lane.rev = *rev;
                 // What was made by a later copy says how long that one took.
                 self.took = answered_in.unwrap_or(took);
@@ -160,8 +160,8 @@
                 self.unmade_since = self.oldest();
                 self.refused_at = None;
             }
-            Written::Refused => self.refused_at = Some(now),
-            Written::Deposed(_) | Written::Inconsistent => {}
+            BatchOutcome::Refused => self.refused_at = Some(now),
+            BatchOutcome::Deposed(_) | BatchOutcome::Inconsistent => {}
         }
     }
 
@@ -190,12 +190,12 @@
         let free = self.lanes.iter().any(|l| l.under_way.is_none());
         let began = self.oldest().filter(|_| !free);
         let until_free = began.map_or(Millis(0), |b| self.took.since(now.since(b)));
-        let rounds = engine.batches_ahead().div_ceil(LANES as u64);
+        let rounds = engine.batches_ahead().div_ceil(LANE_COUNT as u64);
         until_free + Millis(self.took.max(BATCH_GAP).0 * rounds)
     }
 
     /// Tells whether for so long none was made though there was one to make.
-    pub fn is_unmade_for(&self, limit: Millis, now: Millis) -> bool {
+    pub fn is_uncommitted_for(&self, limit: Millis, now: Millis) -> bool {
         self.unmade_since.is_some_and(|s| now.since(s) >= limit)
     }
 
@@ -205,7 +205,7 @@
     }
 
     /// Returns the version of the owner row, unless a batch under way may change it.
-    pub fn settled_rev(&self) -> Option<Version> {
+    pub fn stable_owner_rev(&self) -> Option<Version> {
         self.is_idle().then_some(self.lanes[0].rev)
     }
 }
--- a/crates/hollowford-node/src/callers.rs
+++ b/crates/hollowford-node/src/callers.rs
@@ -17,7 +17,7 @@
 
 /// A caller that waits until its request is in the store.
 #[derive(Debug)]
-struct Waiter {
+struct WaitingCall {
     id: u64,
     verb: Verb,
     reply: Reply,
@@ -25,7 +25,7 @@
     until: Millis,
 }
 
-impl Waiter {
+impl WaitingCall {
     /// Answers a question for a state with what is in the store now, anything else with
     /// `said`.
     fn answer(self, engine: &Engine, job: JobId, said: Said) {
@@ -38,11 +38,11 @@
 
 /// Callers that wait, by job.
 #[derive(Debug, Default)]
-pub struct Waiters {
-    by_job: HashMap<JobId, Vec<Waiter>>,
+pub struct WaitingCalls {
+    by_job: HashMap<JobId, Vec<WaitingCall>>,
 }
 
-impl Waiters {
+impl WaitingCalls {
     /// Tells whether nobody waits.
     pub fn is_empty(&self) -> bool {
         self.by_job.is_empty()
@@ -87,8 +87,8 @@
         match said {
             Some(said) => reply.send(call.id, said, 0),
             None => {
-                let until = now + patience(&call);
-                let waiter = Waiter { id: call.id, verb, reply, until };
+                let until = now + call_timeout(&call);
+                let waiter = WaitingCall { id: call.id, verb, reply, until };
                 self.by_job.entry(job).or_default().push(waiter);
             }
         }
@@ -100,7 +100,7 @@
             let state = engine.state(job);
             let ended = state.is_some_and(JobState::is_final);
             let kept = engine.is_kept(job) == Some(true);
-            let ready = |w: &mut Waiter| if w.verb == Verb::Submit { kept } else { ended };
+            let ready = |w: &mut WaitingCall| if w.verb == Verb::Submit { kept } else { ended };
             for w in waiters.extract_if(.., ready) {
                 w.answer(engine, job, Said::Done);
             }
@@ -116,7 +116,7 @@
         }
         let mut unsent = Vec::new();
         self.by_job.retain(|&job, waiters| {
-            let late = |w: &Waiter| w.until <= now;
+            let late = |w: &WaitingCall| w.until <= now;
             if waiters.iter().any(|w| w.verb == Verb::Submit && late(w)) && engine.withdraw(job) {
                 unsent.push(job);
                 return true;
@@ -145,7 +145,7 @@
 }
 
 /// Returns how long a call may wait for the store.
-pub fn patience(call: &Call) -> Millis {
+pub fn call_timeout(call: &Call) -> Millis {
     match (call.verb(), call.limit_ms) {
         (Verb::State, _) => STATE_WITHIN,
         (_, 0) => UNTOLD,
--- a/crates/hollowford-node/src/calls.rs
+++ b/crates/hollowford-node/src/calls.rs
@@ -19,7 +19,7 @@
 
 /// When an answer has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerAt {
+pub enum AnswerTiming {
     /// Within the call's time limit; that there was none by then counts as well.
     InTime,
     /// After it, when it was already told that there was none.
@@ -33,7 +33,7 @@
     workers: &WorkerClient,
     call: &WorkerCall,
     limit: Millis,
-    tell: impl Fn(Called, AnswerAt) -> F,
+    tell: impl Fn(Called, AnswerTiming) -> F,
 ) {
     let began = shared.clock.now();
     let waits = match call {
@@ -43,18 +43,18 @@
     let mut answer = std::pin::pin!(workers.call(call, limit + LATE));
     let in_time = timeout((waits + limit).duration(), &mut answer).await;
     let (called, error, at) = match in_time {
-        Ok((called, error)) => (called, error, AnswerAt::InTime),
+        Ok((called, error)) => (called, error, AnswerTiming::InTime),
         Err(_) => {
             let called = unanswered(call);
             note(shared, &called, limit);
-            tell(called, AnswerAt::InTime).await;
+            tell(called, AnswerTiming::InTime).await;
             let (called, error) = answer.await;
-            (called, error, AnswerAt::Late)
+            (called, error, AnswerTiming::Late)
         }
     };
     if let Some(e) = error {
         log::debug!("worker.unanswered call={} error=\"{e}\"", describe(call));
-        if at == AnswerAt::Late {
+        if at == AnswerTiming::Late {
             return;
         }
     }
@@ -73,7 +73,7 @@
 }
 
 /// Calls a worker from this process and tells its owner what came of it.
-pub async fn call_from_here(
+pub async fn call_worker_locally(
     shared: Arc<Shared>,
     workers: WorkerClient,
     call: WorkerCall,
@@ -82,7 +82,7 @@
     owner: OwnerHandle,
 ) {
     let tell = |called, at| {
-        let msg = OwnerMsg::Worker { call: call.clone(), called, sent, at };
+        let msg = OwnerMsg::WorkerAnswer { call: call.clone(), called, sent, at };
         owner.send(msg)
     };
     call_worker(&shared, &workers, &call, limit, tell).await;
@@ -123,7 +123,11 @@
 }
 
 /// Makes a call for advice from this instance.
-pub async fn advise(shared: &Shared, step: &str, workers: &[String]) -> Option<(Advised, Millis)> {
+pub async fn request_advice(
+    shared: &Shared,
+    step: &str,
+    workers: &[String],
+) -> Option<(Advised, Millis)> {
     let client = shared.advice.as_ref()?;
     let answer = client.ask(step, workers, ADVICE_TIMEOUT).await;
     let outcome = if answer.is_ok() { "answered" } else { "failed" };
@@ -132,19 +136,19 @@
 }
 
 /// Makes a call for advice from this process and tells its owner what came of it.
-pub async fn advise_here(
+pub async fn request_advice_locally(
     shared: Arc<Shared>,
     seat: Seat,
     step: StepKey,
     workers: Vec<String>,
     handle: OwnerHandle,
 ) {
-    let answer = advise(&shared, &step.to_string(), &workers).await;
+    let answer = request_advice(&shared, &step.to_string(), &workers).await;
     handle.send(OwnerMsg::Advised { seat, step, answer }).await;
 }
 
 /// Reads a member's answer to a call for advice.
-pub fn read_advice(msg: Advice) -> Option<(Advised, Millis)> {
+pub fn decode_advice(msg: Advice) -> Option<(Advised, Millis)> {
     let rows = msg.workers.iter().zip(&msg.tickets);
     let rows = rows.map(|(id, t)| (id.as_str().into(), t.as_str().into())).collect();
     msg.answered.then_some((rows, Millis(msg.validity_ms)))
--- a/crates/hollowford-node/src/packed.rs
+++ b/crates/hollowford-node/src/compression.rs
@@ -9,18 +9,18 @@
 ///
 /// # Errors
 /// None that a buffer in memory gives; passed on all the same.
-pub fn pack(bytes: &[u8]) -> Result<Vec<u8>, Error> {
+pub fn compress(bytes: &[u8]) -> Result<Vec<u8>, Error> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     encoder.write_all(bytes)?;
     encoder.finish()
 }
 
-/// Returns the bytes that [`pack`] was given.
+/// Returns the bytes that [`compress`] was given.
 ///
 /// # Errors
 /// When they are not packed so, or come to more than `most`: a broken peer must not fill this
 /// process's memory.
-pub fn unpack(packed: &[u8], most: usize) -> Result<Vec<u8>, Error> {
+pub fn decompress(packed: &[u8], most: usize) -> Result<Vec<u8>, Error> {
     let mut bytes = Vec::new();
     DeflateDecoder::new(packed).take(most as u64 + 1).read_to_end(&mut bytes)?;
     if bytes.len() > most {
--- a/crates/hollowford-node/src/packed_tests.rs
+++ b/crates/hollowford-node/src/compression_tests.rs
@@ -1,7 +1,7 @@
 //! Packed bytes: loads of narrow links.
 #![allow(clippy::expect_used)]
 
-use crate::packed::{pack, unpack};
+use crate::compression::{compress, decompress};
 
 /// More than any of these tests unpacks.
 const MOST: usize = 1 << 20;
@@ -22,29 +22,29 @@
 fn bytes_come_out_as_they_went_in() {
     for count in [0, 1, 933] {
         let bytes = routes(count);
-        let packed = pack(&bytes).expect("packed");
-        assert_eq!(unpack(&packed, MOST).expect("unpacked"), bytes);
+        let packed = compress(&bytes).expect("packed");
+        assert_eq!(decompress(&packed, MOST).expect("unpacked"), bytes);
     }
-    let empty = pack(&[]).expect("packed");
-    assert!(unpack(&empty, 0).expect("unpacked").is_empty());
+    let empty = compress(&[]).expect("packed");
+    assert!(decompress(&empty, 0).expect("unpacked").is_empty());
 }
 
 /// Pattern: a thousand routes to some forty members at once, on one link of 200 Mbit/s.
 #[test]
 fn a_thousand_routes_take_a_fifth_of_their_bytes_at_most() {
     let bytes = routes(933);
-    let packed = pack(&bytes).expect("packed");
+    let packed = compress(&bytes).expect("packed");
     assert!(packed.len() * 5 < bytes.len(), "{} of {}", packed.len(), bytes.len());
 }
 
 #[test]
 fn bytes_that_are_not_packed_are_an_error() {
-    assert!(unpack(br#"{"version":7}"#, MOST).is_err());
+    assert!(decompress(br#"{"version":7}"#, MOST).is_err());
 }
 
 #[test]
 fn bytes_that_unpack_to_too_much_are_an_error() {
-    let packed = pack(&vec![0; MOST + 1]).expect("packed");
+    let packed = compress(&vec![0; MOST + 1]).expect("packed");
     assert!(packed.len() < MOST / 100);
-    assert!(unpack(&packed, MOST).is_err());
+    assert!(decompress(&packed, MOST).is_err());
 }
--- a/crates/hollowford-node/src/delegate.rs
+++ b/crates/hollowford-node/src/delegate.rs
@@ -3,7 +3,7 @@
 //! The owner's fence is on each call, so a member decides nothing: what it carries out late or
 //! after its owner was deposed, a worker treats like any call that was long on its way.
 
-use crate::calls::{AnswerAt, call_worker};
+use crate::calls::{AnswerTiming, call_worker};
 use crate::delegate_wire::{Delegated, Outcome, Outcomes};
 use crate::link::Outbox;
 use crate::shared::Shared;
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 
 /// Makes the calls of a frame, and tells the owner what comes of each.
-pub fn carry_out(shared: &Arc<Shared>, frame: Delegated, outbox: &Outbox) {
+pub fn execute_calls(shared: &Arc<Shared>, frame: Delegated, outbox: &Outbox) {
     let workers = shared.workers.with_fence(frame.epoch);
     let templates: Vec<Arc<str>> = frame.templates.iter().map(|t| t.as_str().into()).collect();
     for delegated in frame.calls {
@@ -27,7 +27,7 @@
         let (shared, workers, outbox) = (shared.clone(), workers.clone(), outbox.clone());
         let limit = Millis(delegated.limit_ms);
         tokio::spawn(async move {
-            let tell = |called, _: AnswerAt| {
+            let tell = |called, _: AnswerTiming| {
                 let list = vec![Outcome::new(id, &called)];
                 // A link that has ended: the owner takes the call as unanswered.
                 outbox.send(Body::Outcomes(Outcomes { list }));
--- a/crates/hollowford-node/src/delegation.rs
+++ b/crates/hollowford-node/src/delegation.rs
@@ -10,7 +10,7 @@
 
 mod route;
 
-use crate::calls::{AnswerAt, unanswered};
+use crate::calls::{AnswerTiming, unanswered};
 use crate::delegate_wire::{Delegated, Outcomes};
 use crate::link::Outbox;
 use crate::members::LinkId;
@@ -81,7 +81,7 @@
 
 /// What came of a call that a member has made.
 #[derive(Debug)]
-pub struct Delivered {
+pub struct CallOutcome {
     /// The call.
     pub call: WorkerCall,
     /// What came of it.
@@ -89,7 +89,7 @@
     /// When it was handed to the member, by the engine's clock.
     pub sent: Millis,
     /// Whether it came in time.
-    pub at: AnswerAt,
+    pub at: AnswerTiming,
 }
 
 /// The calls that members make. All times are the engine's.
@@ -231,14 +231,14 @@
     }
 
     /// Takes in what a member says of its calls.
-    pub fn take(&mut self, link: LinkId, outcomes: Outcomes, now: Millis) -> Vec<Delivered> {
+    pub fn take(&mut self, link: LinkId, outcomes: Outcomes, now: Millis) -> Vec<CallOutcome> {
         self.reports.insert(link, Reports::default());
         outcomes.list.into_iter().filter_map(|o| self.take_one(o.id, o.read().ok()?, now)).collect()
     }
 
-    fn take_one(&mut self, id: u64, called: Called, now: Millis) -> Option<Delivered> {
+    fn take_one(&mut self, id: u64, called: Called, now: Millis) -> Option<CallOutcome> {
         let p = self.pending.get_mut(&id)?;
-        let at = if p.told { AnswerAt::Late } else { AnswerAt::InTime };
+        let at = if p.told { AnswerTiming::Late } else { AnswerTiming::InTime };
         let answered = is_answer(&called);
         if !answered && p.told {
             return None;
@@ -252,16 +252,16 @@
             // The answer may still come.
             p.told = true;
             let (call, sent) = (p.call.clone(), p.sent);
-            return Some(Delivered { call, called, sent, at });
+            return Some(CallOutcome { call, called, sent, at });
         }
         let p = self.pending.remove(&id)?;
         self.due.remove(&(p.due, id));
-        Some(Delivered { call: p.call, called, sent: p.sent, at })
+        Some(CallOutcome { call: p.call, called, sent: p.sent, at })
     }
 
     /// Returns the calls on which no report has come in time, as unanswered. While reports wait to
     /// be taken in, the owner itself is late, and none is overdue.
-    pub fn overdue(&mut self, heard_all: bool, now: Millis) -> Vec<Delivered> {
+    pub fn overdue(&mut self, heard_all: bool, now: Millis) -> Vec<CallOutcome> {
         let mut out = Vec::new();
         if !heard_all {
             return out;
@@ -278,7 +278,7 @@
             self.due.insert((p.due, id));
             let (call, sent, link) = (p.call.clone(), p.sent, p.link);
             let called = unanswered(&call);
-            out.push(Delivered { call, called, sent, at: AnswerAt::InTime });
+            out.push(CallOutcome { call, called, sent, at: AnswerTiming::InTime });
             self.note_missed(link, now);
         }
         out
--- a/crates/hollowford-node/src/delegation_tests.rs
+++ b/crates/hollowford-node/src/delegation_tests.rs
@@ -4,7 +4,7 @@
 //! deployment), of which some are killed, cut off or frozen with calls under way.
 #![allow(clippy::expect_used)]
 
-use crate::calls::AnswerAt;
+use crate::calls::AnswerTiming;
 use crate::delegate_wire::{Outcome, Outcomes};
 use crate::delegation::{Delegate, Delegation};
 use crate::link::Outbox;
@@ -161,7 +161,7 @@
     let runs = Outcome::new(0, &Called::Start(StartAnswer::Runs(5)));
     let told = d.take(link, Outcomes { list: vec![runs] }, late);
     assert_eq!(told.len(), 1);
-    assert_eq!(told[0].at, AnswerAt::Late);
+    assert_eq!(told[0].at, AnswerTiming::Late);
     assert_eq!(told[0].sent, NOW);
 }
 
@@ -172,7 +172,7 @@
     for id in 0..2 {
         let none = Outcome::new(id, &Called::Look(LookAnswer::Unanswered));
         let told = d.take(first, Outcomes { list: vec![none] }, NOW);
-        assert_eq!(told[0].at, AnswerAt::InTime);
+        assert_eq!(told[0].at, AnswerTiming::InTime);
         d.delegate(look(0), LIMIT, NOW);
     }
     assert_ne!(d.last_link().expect("a call"), first);
--- a/crates/hollowford-node/src/giving_up.rs
+++ b/crates/hollowford-node/src/giving_up.rs
@@ -1,7 +1,7 @@
 //! Why an owner gives its partition up, and when it hands it over.
 
 use crate::batches::Batches;
-use crate::callers::Waiters;
+use crate::callers::WaitingCalls;
 use crate::members::Members;
 use crate::owner::OwnerEnd;
 use crate::shared::Shared;
@@ -62,7 +62,7 @@
     pub fn hand_over_if_due(
         &self,
         batches: &Batches,
-        waiters: &Waiters,
+        waiters: &WaitingCalls,
         members: &Members,
     ) -> Option<OwnerEnd> {
         let waited = self.shared.clock.now().since(self.since()?);
@@ -70,7 +70,7 @@
         if !flushed && waited < FLUSH {
             return None;
         }
-        let rev = batches.settled_rev().unwrap_or(0);
+        let rev = batches.stable_owner_rev().unwrap_or(0);
         let to = members.hand_over(rev, self.moving.is_some());
         log::info!("owner.handed_over epoch={} to={to:?} flushed={flushed}", self.epoch);
         Some(OwnerEnd::HandedOver)
--- a/crates/hollowford-node/src/front.rs
+++ b/crates/hollowford-node/src/http_endpoints.rs
@@ -27,14 +27,14 @@
 
 /// Answers callers.
 #[derive(Debug)]
-pub struct Front {
+pub struct CallerEndpoint {
     shared: Arc<Shared>,
 }
 
-impl Front {
+impl CallerEndpoint {
     /// Makes the endpoint.
-    pub fn new(shared: Arc<Shared>) -> Front {
-        Front { shared }
+    pub fn new(shared: Arc<Shared>) -> CallerEndpoint {
+        CallerEndpoint { shared }
     }
 
     async fn answer(&self, mut req: Request) -> Response {
@@ -198,7 +198,7 @@
     }
 }
 
-impl Endpoint for Front {
+impl Endpoint for CallerEndpoint {
     type Output = Response;
 
     async fn call(&self, req: Request) -> poem::Result<Response> {
@@ -241,23 +241,23 @@
 
 /// Answers the balancer.
 #[derive(Debug)]
-pub struct Readiness {
+pub struct ReadinessEndpoint {
     shared: Arc<Shared>,
 }
 
-impl Readiness {
+impl ReadinessEndpoint {
     /// Makes the endpoint.
-    pub fn new(shared: Arc<Shared>) -> Readiness {
-        Readiness { shared }
+    pub fn new(shared: Arc<Shared>) -> ReadinessEndpoint {
+        ReadinessEndpoint { shared }
     }
 }
 
-impl Endpoint for Readiness {
+impl Endpoint for ReadinessEndpoint {
     type Output = Response;
 
     async fn call(&self, req: Request) -> poem::Result<Response> {
         let s = &self.shared;
-        let reached = s.owners_age() < OWNER_OUT_OF_REACH;
+        let reached = s.max_owner_age() < OWNER_OUT_OF_REACH;
         let ready = s.config_version() > 0 && !s.is_stopping() && reached;
         let status = match req.uri().path() {
             READY_PATH if ready => StatusCode::OK,
@@ -270,22 +270,22 @@
 
 /// Answers questions for the metrics.
 #[derive(Debug)]
-pub struct MetricsPage {
+pub struct MetricsEndpoint {
     shared: Arc<Shared>,
 }
 
-impl MetricsPage {
+impl MetricsEndpoint {
     /// Makes the endpoint.
-    pub fn new(shared: Arc<Shared>) -> MetricsPage {
-        MetricsPage { shared }
+    pub fn new(shared: Arc<Shared>) -> MetricsEndpoint {
+        MetricsEndpoint { shared }
     }
 }
 
-impl Endpoint for MetricsPage {
+impl Endpoint for MetricsEndpoint {
     type Output = Response;
 
     async fn call(&self, _req: Request) -> poem::Result<Response> {
-        self.shared.metrics.set_log_dropped(crate::logs::dropped());
+        self.shared.metrics.set_log_dropped(crate::logs::dropped_lines());
         Ok(match self.shared.metrics.text() {
             Ok(text) => Response::builder().content_type("text/plain; version=0.0.4").body(text),
             Err(e) => {
--- a/crates/hollowford-node/src/inbox.rs
+++ b/crates/hollowford-node/src/inbox.rs
@@ -1,19 +1,19 @@
 //! What the owner is told, and how it is reached.
 
-use crate::calls::AnswerAt;
+use crate::calls::AnswerTiming;
 use crate::delegate_wire::Outcomes;
 use crate::link::Outbox;
 use crate::members::LinkId;
 use crate::wire::{Body, Call, CallAnswer, Hello, MemberBeat, Said};
 use crate::worker_changes::WorkerChanges;
-use crate::writer::Written;
+use crate::writer::BatchOutcome;
 use hollowford_adapter::Called;
 use hollowford_core::Millis;
 use hollowford_jobs::{Advised, Seat, StepKey, WorkerCall, WorkerListing};
 use tokio::sync::{mpsc, oneshot};
 
 /// Messages that wait for the owner; calls beyond are refused.
-const INBOX: usize = 8_192;
+const INBOX_CAPACITY: usize = 8_192;
 
 /// What the owner is told.
 #[derive(Debug)]
@@ -21,7 +21,7 @@
     /// A caller's request.
     Call(Call, Reply),
     /// A worker's answer, or that there is none.
-    Worker {
+    WorkerAnswer {
         /// What was asked.
         call: WorkerCall,
         /// What came of it.
@@ -29,7 +29,7 @@
         /// When it was sent.
         sent: Millis,
         /// Whether it came in time.
-        at: AnswerAt,
+        at: AnswerTiming,
     },
     /// What came of calls to workers that a member has made.
     Outcomes(LinkId, Outcomes),
@@ -43,14 +43,14 @@
         answer: Option<(Advised, Millis)>,
     },
     /// What came of a batch.
-    Written {
+    BatchFinished {
         /// Its number.
         batch: u64,
         /// What came of it.
-        written: Written,
+        written: BatchOutcome,
     },
     /// The platform's list of workers.
-    Listings(Vec<WorkerListing>),
+    WorkerList(Vec<WorkerListing>),
     /// What a reading of that list has changed, for the owners of other partitions.
     WorkerChanges(WorkerChanges),
     /// A process has opened a link.
@@ -58,7 +58,7 @@
     /// A link has ended.
     Left(LinkId),
     /// A member's heartbeat.
-    Beat(LinkId, MemberBeat),
+    Heartbeat(LinkId, MemberBeat),
     /// Hand the partition over; told when that is done.
     Stop(oneshot::Sender<()>),
 }
@@ -92,7 +92,7 @@
 impl OwnerHandle {
     /// Makes a handle and the end that the owner reads.
     pub fn new() -> (OwnerHandle, mpsc::Receiver<OwnerMsg>) {
-        let (tx, rx) = mpsc::channel(INBOX);
+        let (tx, rx) = mpsc::channel(INBOX_CAPACITY);
         (OwnerHandle { tx }, rx)
     }
 
@@ -104,7 +104,7 @@
     }
 
     /// Sends a call that came over a link, and refuses it when the owner is too far behind.
-    pub fn call_from(&self, call: Call, outbox: &Outbox) {
+    pub fn call_from_link(&self, call: Call, outbox: &Outbox) {
         let id = call.id;
         let msg = OwnerMsg::Call(call, Reply::Link(outbox.clone()));
         match self.tx.try_send(msg) {
--- a/crates/hollowford-node/src/lane.rs
+++ b/crates/hollowford-node/src/lane.rs
@@ -12,7 +12,7 @@
 /// How many batches may be under way at a time. The store makes the transactions of a part one
 /// after the other: a slow one that takes half a second for each, and as long again for the way,
 /// makes two a second by that and not one. More would only wait there.
-pub const LANES: usize = 2;
+pub const LANE_COUNT: usize = 2;
 
 /// Returns the key of a lane's row.
 pub fn lane_key(lane: usize) -> String {
@@ -20,12 +20,12 @@
 }
 
 /// Returns the rows of all lanes, as a takeover writes them.
-pub fn taken_rows(owner: &OwnerInfo) -> Vec<(String, Vec<u8>)> {
-    (0..LANES).map(|lane| (lane_key(lane), encode_owner(owner, 0))).collect()
+pub fn takeover_rows(owner: &OwnerInfo) -> Vec<(String, Vec<u8>)> {
+    (0..LANE_COUNT).map(|lane| (lane_key(lane), encode_owner(owner, 0))).collect()
 }
 
 /// Returns the version of each lane's row among those read; 0: it is not there.
-pub fn lane_versions(rows: &[Row]) -> [Version; LANES] {
+pub fn lane_versions(rows: &[Row]) -> [Version; LANE_COUNT] {
     let version = |lane| rows.iter().find(|r| r.key == lane_key(lane)).map_or(0, |row| row.version);
     std::array::from_fn(version)
 }
--- a/crates/hollowford-node/src/lib.rs
+++ b/crates/hollowford-node/src/lib.rs
@@ -11,6 +11,9 @@
 mod batches;
 mod callers;
 mod calls;
+mod compression;
+#[cfg(test)]
+mod compression_tests;
 mod config_told;
 #[cfg(test)]
 mod config_told_tests;
@@ -21,11 +24,11 @@
 mod delegation;
 #[cfg(test)]
 mod delegation_tests;
-mod front;
 mod giving_up;
 mod homes;
 #[cfg(test)]
 mod homes_tests;
+mod http_endpoints;
 mod inbox;
 mod lane;
 mod link;
@@ -33,6 +36,8 @@
 mod link_tests;
 mod load;
 pub mod logs;
+#[cfg(test)]
+mod mass_join_tests;
 mod member;
 #[cfg(test)]
 mod member_tests;
@@ -44,9 +49,6 @@
 mod owner;
 mod owner_row;
 mod ownership;
-mod packed;
-#[cfg(test)]
-mod packed_tests;
 mod partition;
 mod peers;
 mod plan;
@@ -63,8 +65,6 @@
 mod retries;
 #[cfg(test)]
 mod retries_tests;
-#[cfg(test)]
-mod settling_tests;
 mod shared;
 #[cfg(test)]
 mod shared_tests;
--- a/crates/hollowford-node/src/link.rs
+++ b/crates/hollowford-node/src/link.rs
@@ -1,6 +1,6 @@
 //! Links between processes: frames over TCP.
 
-use crate::packed::{pack, unpack};
+use crate::compression::{compress, decompress};
 use crate::wire::{Body, Frame};
 use bytes::{Bytes, BytesMut};
 use futures::stream::FuturesUnordered;
@@ -119,7 +119,7 @@
     let plain = frame.encode_to_vec();
     let worth_it = plain.len() >= PACK_FROM && matches!(frame.body, Some(Body::Delegated(_)));
     // A buffer in memory takes all that is written to it; if not, the frame goes as it is.
-    let packed = worth_it.then(|| pack(&plain)).and_then(Result::ok);
+    let packed = worth_it.then(|| compress(&plain)).and_then(Result::ok);
     let packed = packed.map(|bytes| Frame::from(Body::Packed(bytes)).encode_to_vec());
     match packed.filter(|p| p.len() < plain.len()) {
         Some(packed) => packed.into(),
@@ -134,7 +134,7 @@
 pub(crate) fn decode(bytes: BytesMut) -> io::Result<Option<Body>> {
     match Frame::decode(bytes)?.body {
         Some(Body::Packed(packed)) => {
-            let plain = unpack(&packed, FRAME_LIMIT)?;
+            let plain = decompress(&packed, FRAME_LIMIT)?;
             match Frame::decode(&plain[..])?.body {
                 Some(Body::Packed(_)) => {
                     Err(io::Error::new(ErrorKind::InvalidData, "packed twice"))
--- a/crates/hollowford-node/src/link_tests.rs
+++ b/crates/hollowford-node/src/link_tests.rs
@@ -1,9 +1,9 @@
 //! What goes over a link between processes, as bytes.
 #![allow(clippy::expect_used)]
 
+use crate::compression::compress;
 use crate::delegate_wire::Delegated;
 use crate::link::{decode, encode, open};
-use crate::packed::pack;
 use crate::wire::{Body, ConfigRow, Frame, MemberBeat};
 use bytes::{Bytes, BytesMut};
 use prost::Message;
@@ -47,8 +47,8 @@
 fn bytes_that_do_not_unpack_and_frames_packed_twice_are_errors() {
     let broken = Frame::from(Body::Packed(vec![0xff; 40])).encode_to_vec();
     assert!(decode(BytesMut::from(&broken[..])).is_err());
-    let once = Frame::from(Body::Packed(pack(&starts().encode_to_vec()).expect("packed")));
-    let twice = Frame::from(Body::Packed(pack(&once.encode_to_vec()).expect("packed")));
+    let once = Frame::from(Body::Packed(compress(&starts().encode_to_vec()).expect("packed")));
+    let twice = Frame::from(Body::Packed(compress(&once.encode_to_vec()).expect("packed")));
     assert!(decode(BytesMut::from(&twice.encode_to_vec()[..])).is_err());
 }
 
--- a/crates/hollowford-node/src/load.rs
+++ b/crates/hollowford-node/src/load.rs
@@ -24,7 +24,7 @@
     loop {
         match cx.shared.store.read_all(TABLE, &cx.partition.part, LOAD_TIMEOUT).await {
             Ok(feed) => {
-                cx.shared.note_store();
+                cx.shared.record_store_answer();
                 return start_from(cx, info, feed);
             }
             Err(e) => log::warn!("owner.load failed epoch={} error=\"{e}\"", info.epoch),
--- a/crates/hollowford-node/src/logs.rs
+++ b/crates/hollowford-node/src/logs.rs
@@ -25,7 +25,7 @@
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
 /// Returns how many lines were dropped since the start.
-pub fn dropped() -> u64 {
+pub fn dropped_lines() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
--- a/crates/hollowford-node/src/member.rs
+++ b/crates/hollowford-node/src/member.rs
@@ -1,6 +1,6 @@
 //! A process that doesn't own the partition: its link to the owner.
 
-use crate::calls::advise;
+use crate::calls::request_advice;
 use crate::config_told::{ConfigTold, Told};
 use crate::delegate;
 use crate::link::{self, Outbox, Reader};
@@ -136,7 +136,7 @@
                 if !std::mem::replace(&mut self.delegated, true) {
                     log::info!("delegate.first epoch={} calls={}", frame.epoch, frame.calls.len());
                 }
-                delegate::carry_out(&self.cx.shared, frame, &self.outbox);
+                delegate::execute_calls(&self.cx.shared, frame, &self.outbox);
             }
             Body::Config(row) => watch::take_packed(&self.cx.shared, row),
             Body::Workers(changes) => {
@@ -241,7 +241,7 @@
 }
 
 async fn answer_ask(shared: Arc<Shared>, ask: Ask, outbox: Outbox) {
-    let answer = advise(&shared, &ask.step, &ask.workers).await;
+    let answer = request_advice(&shared, &ask.step, &ask.workers).await;
     let answered = answer.is_some();
     let (rows, validity) = answer.unwrap_or((Vec::new(), Millis(0)));
     let workers = rows.iter().map(|(id, _)| id.as_str().to_owned()).collect();
--- a/crates/hollowford-node/src/node.rs
+++ b/crates/hollowford-node/src/node.rs
@@ -1,6 +1,6 @@
 //! Starts and stops the duties of a process.
 
-use crate::front::{Front, MetricsPage, Readiness};
+use crate::http_endpoints::{CallerEndpoint, MetricsEndpoint, ReadinessEndpoint};
 use crate::inbox::OwnerMsg;
 use crate::metrics::Metrics;
 use crate::partition::{Cx, Route};
@@ -88,11 +88,15 @@
     );
     let (stop, stopped) = channel::channel(false);
     let mut servers = tokio::task::JoinSet::new();
-    servers.spawn(serve(addresses.callers, Front::new(shared.clone()), stopped.clone()));
-    servers.spawn(serve(addresses.readiness, Readiness::new(shared.clone()), stopped.clone()));
+    servers.spawn(serve(addresses.callers, CallerEndpoint::new(shared.clone()), stopped.clone()));
+    servers.spawn(serve(
+        addresses.readiness,
+        ReadinessEndpoint::new(shared.clone()),
+        stopped.clone(),
+    ));
     if let Some(port) = options.metrics_port {
         let addr = SocketAddr::new(addresses.peers.ip(), port);
-        servers.spawn(serve(addr, MetricsPage::new(shared.clone()), stopped));
+        servers.spawn(serve(addr, MetricsEndpoint::new(shared.clone()), stopped));
     }
     start_duties(&shared, options.workers_each, listener, hup);
     tokio::select! {
--- a/crates/hollowford-node/src/owner.rs
+++ b/crates/hollowford-node/src/owner.rs
@@ -7,11 +7,11 @@
 mod worker_calls;
 
 use crate::batches::Batches;
-use crate::callers::Waiters;
-use crate::delegation::{Delegation, Delivered};
+use crate::callers::WaitingCalls;
+use crate::delegation::{CallOutcome, Delegation};
 use crate::giving_up::GivingUp;
 use crate::inbox::{OwnerHandle, OwnerMsg};
-use crate::lane::LANES;
+use crate::lane::LANE_COUNT;
 use crate::logs::DecisionLog;
 use crate::members::{LinkId, Members};
 use crate::partition::Cx;
@@ -19,7 +19,7 @@
 use crate::registry;
 use crate::shared::Shared;
 use crate::wire::{MemberBeat, OwnerInfo, Said};
-use crate::writer::Written;
+use crate::writer::BatchOutcome;
 use hollowford_adapter::{Config, NodeSettings, Version, WorkerClient};
 use hollowford_core::Millis;
 use hollowford_jobs::{Engine, Order, Stats};
@@ -53,7 +53,7 @@
     /// Who it is.
     pub info: OwnerInfo,
     /// Version of each lane's row.
-    pub lanes: [Version; LANES],
+    pub lanes: [Version; LANE_COUNT],
     /// The engine, with what the store held.
     pub engine: Engine,
     /// The engine's time less the process's.
@@ -75,7 +75,7 @@
     members_changed: bool,
     /// When they were told last.
     members_told: Millis,
-    waiters: Waiters,
+    waiters: WaitingCalls,
     /// Empty between two polls; kept for its room.
     orders: Vec<Order>,
     decisions: DecisionLog,
@@ -114,7 +114,7 @@
             handle,
             members_changed: false,
             members_told: Millis(0),
-            waiters: Waiters::default(),
+            waiters: WaitingCalls::default(),
             orders: Vec::new(),
             decisions: DecisionLog::default(),
             batches,
@@ -165,8 +165,8 @@
         let now = self.now();
         match msg {
             OwnerMsg::Call(call, reply) => self.take_call(call, reply, now),
-            OwnerMsg::Worker { call, called, sent, at } => {
-                self.take_worker(Delivered { call, called, sent, at }, now);
+            OwnerMsg::WorkerAnswer { call, called, sent, at } => {
+                self.take_worker(CallOutcome { call, called, sent, at }, now);
             }
             OwnerMsg::Outcomes(link, outcomes) => {
                 for delivered in self.delegation.take(link, outcomes, now) {
@@ -176,8 +176,8 @@
             OwnerMsg::Advised { seat, step, answer } => {
                 self.engine.advised(&seat, step, answer, now);
             }
-            OwnerMsg::Written { batch, written } => self.take_written(batch, written, now),
-            OwnerMsg::Listings(list) => {
+            OwnerMsg::BatchFinished { batch, written } => self.take_written(batch, written, now),
+            OwnerMsg::WorkerList(list) => {
                 self.delegation.set_workers(&list);
                 self.engine.list_workers(&list, now);
             }
@@ -195,7 +195,7 @@
                 self.delegation.left(link, now);
                 self.members_changed = true;
             }
-            OwnerMsg::Beat(link, beat) => self.take_beat(link, &beat),
+            OwnerMsg::Heartbeat(link, beat) => self.take_beat(link, &beat),
             OwnerMsg::Stop(done) => self.giving_up.stop(done),
         }
     }
@@ -203,7 +203,7 @@
     /// Sends the heartbeats that are due, and tells those who use the members which of them can be
     /// used, if that may have changed.
     fn tend_members(&mut self, now: Millis) {
-        let lost = self.batches.is_unmade_for(PROBE_AFTER, now);
+        let lost = self.batches.is_uncommitted_for(PROBE_AFTER, now);
         let shared = &self.cx.shared;
         let all_told = self.members.tick(shared.clock.now(), shared.config_known(), lost);
         let gathered = now.since(self.members_told) >= MEMBERS_GATHER;
@@ -231,14 +231,14 @@
         }
     }
 
-    fn take_written(&mut self, batch: u64, written: Written, now: Millis) {
+    fn take_written(&mut self, batch: u64, written: BatchOutcome, now: Millis) {
         self.batches.note(batch, &written, now);
         match written {
-            Written::Made { .. } => {
+            BatchOutcome::Made { .. } => {
                 self.engine.committed(batch, now);
                 self.waiters.committed(&self.engine);
             }
-            Written::Deposed(by) => {
+            BatchOutcome::Deposed(by) => {
                 log::warn!(
                     "owner.deposed epoch={} by={} at={}",
                     self.info.epoch,
@@ -248,8 +248,8 @@
                 self.cx.partition.note_owner_info(&by);
                 self.end = Some(OwnerEnd::Deposed);
             }
-            Written::Refused => self.engine.batch_refused(batch),
-            Written::Inconsistent => self.end = Some(OwnerEnd::GaveUp),
+            BatchOutcome::Refused => self.engine.batch_refused(batch),
+            BatchOutcome::Inconsistent => self.end = Some(OwnerEnd::GaveUp),
         }
     }
 
@@ -257,7 +257,7 @@
     /// that no message waits.
     fn act(&mut self, heard_all: bool) {
         let now = self.now();
-        self.take_config(now);
+        self.apply_config(now);
         self.cx.note_owner();
         self.tend_members(now);
         for delivered in self.delegation.overdue(heard_all, now) {
@@ -268,7 +268,7 @@
             self.engine.poll(now, &mut orders);
         }
         for order in orders.drain(..) {
-            self.carry_out(order, now);
+            self.execute_order(order, now);
         }
         self.orders = orders;
         self.delegation.send(now);
@@ -290,7 +290,7 @@
         self.renew_view(now);
     }
 
-    fn take_config(&mut self, now: Millis) {
+    fn apply_config(&mut self, now: Millis) {
         if self.settings.has_changed().unwrap_or(false) {
             let bounds = self.settings.borrow_and_update().bounds;
             self.engine.set_bounds(bounds);
--- a/crates/hollowford-node/src/owner/caller_calls.rs
+++ b/crates/hollowford-node/src/owner/caller_calls.rs
@@ -1,8 +1,8 @@
 //! Callers' requests: for whom they are made, and whether they are taken now.
 
 use super::Owner;
-use crate::access::{self, Access, VOUCHES_FOR};
-use crate::callers::patience;
+use crate::access::{self, Access, MAX_CONFIG_AGE};
+use crate::callers::call_timeout;
 use crate::inbox::Reply;
 use crate::wire::{Call, Said, Verb};
 use hollowford_core::Millis;
@@ -23,7 +23,7 @@
             Ok(call) => call,
             Err((id, said)) => return reply.send(id, said, 0),
         };
-        let limit = patience(&call);
+        let limit = call_timeout(&call);
         let admitted = self.batches.admits(&self.engine, limit, now);
         self.waiters.take(&mut self.engine, call, reply, admitted, now);
     }
@@ -33,7 +33,7 @@
         let config = self.cx.shared.config.load();
         let config = config.as_deref();
         let has_accounts = config.is_some_and(|c| c.accounts.is_some());
-        if has_accounts && self.cx.shared.config_age() >= VOUCHES_FOR {
+        if has_accounts && self.cx.shared.config_age() >= MAX_CONFIG_AGE {
             return Err((call.id, Said::NotTaken));
         }
         match access::recheck(config, &call) {
--- a/crates/hollowford-node/src/owner/joining_tests.rs
+++ b/crates/hollowford-node/src/owner/joining_tests.rs
@@ -6,7 +6,7 @@
 
 use super::{Owner, Start};
 use crate::inbox::{OwnerHandle, OwnerMsg};
-use crate::lane::LANES;
+use crate::lane::LANE_COUNT;
 use crate::link::Outbox;
 use crate::partition::Cx;
 use crate::shared_tests::shared;
@@ -25,7 +25,7 @@
     let cx = Cx { shared, partition };
     let info = cx.as_owner(EPOCH);
     let engine = Engine::new(EPOCH, cx.shared.settings.bounds, Millis(0));
-    let start = Start { info, lanes: [0; LANES], engine, offset: 0 };
+    let start = Start { info, lanes: [0; LANE_COUNT], engine, offset: 0 };
     Owner::new(cx, start, OwnerHandle::new().0)
 }
 
--- a/crates/hollowford-node/src/owner/worker_calls.rs
+++ b/crates/hollowford-node/src/owner/worker_calls.rs
@@ -1,17 +1,17 @@
 //! The owner's calls to workers and for advice, and what comes of them.
 
 use super::{Owner, OwnerEnd};
-use crate::calls::{AnswerAt, advise_here, call_from_here};
-use crate::delegation::Delivered;
+use crate::calls::{AnswerTiming, call_worker_locally, request_advice_locally};
+use crate::delegation::CallOutcome;
 use hollowford_adapter::Called;
 use hollowford_core::Millis;
 use hollowford_jobs::{Order, WorkerCall};
 
 impl Owner {
     /// Takes in what came of a call to a worker, made here or by a member.
-    pub(super) fn take_worker(&mut self, delivered: Delivered, now: Millis) {
-        let Delivered { call, called, sent, at } = delivered;
-        let late = at == AnswerAt::Late;
+    pub(super) fn take_worker(&mut self, delivered: CallOutcome, now: Millis) {
+        let CallOutcome { call, called, sent, at } = delivered;
+        let late = at == AnswerTiming::Late;
         let fenced = match (&call, called) {
             (WorkerCall::Start { worker, task, run, .. }, Called::Start(answer)) => {
                 let (engine, started) = (&mut self.engine, (*task, *run));
@@ -48,20 +48,20 @@
 
     /// Has a call made: to a worker by a member or from here, for advice by the member whose
     /// seat it is.
-    pub(super) fn carry_out(&mut self, order: Order, now: Millis) {
+    pub(super) fn execute_order(&mut self, order: Order, now: Millis) {
         match order {
             Order::Worker { call, limit } => {
                 let Some(call) = self.delegation.delegate(call, limit, now) else { return };
                 let (shared, workers) = (self.cx.shared.clone(), self.workers.clone());
                 let handle = self.handle.clone();
-                tokio::spawn(call_from_here(shared, workers, call, limit, now, handle));
+                tokio::spawn(call_worker_locally(shared, workers, call, limit, now, handle));
             }
             Order::Advice { seat, step, workers } => {
                 let Some(seat) = self.engine.seat(seat).cloned() else { return };
                 let ids: Vec<String> = workers.iter().map(|w| w.as_str().to_owned()).collect();
                 if seat.address.is_empty() {
                     let (shared, handle) = (self.cx.shared.clone(), self.handle.clone());
-                    tokio::spawn(advise_here(shared, seat, step, ids, handle));
+                    tokio::spawn(request_advice_locally(shared, seat, step, ids, handle));
                 } else if !self.members.ask(&seat.address, step, ids) {
                     log::debug!("advice.not_sent seat={} step={step}", seat.address);
                 }
--- a/crates/hollowford-node/src/owner_row.rs
+++ b/crates/hollowford-node/src/owner_row.rs
@@ -1,6 +1,6 @@
 //! The row that names the owner: reading it, and writing this process into it.
 
-use crate::lane::taken_rows;
+use crate::lane::takeover_rows;
 use crate::link;
 use crate::partition::Cx;
 use crate::wire::{Body, OwnerInfo, OwnerRow, WhoOwns};
@@ -43,14 +43,14 @@
 pub async fn find_owner(cx: &Cx, known: u64) {
     match read_row(cx).await {
         Ok(Some(row)) => {
-            cx.shared.note_store();
+            cx.shared.record_store_answer();
             let owner = read_owner(&row).and_then(|r| r.owner);
             if owner.is_none_or(|o| !cx.partition.note_owner_info(&o) && o.epoch <= known) {
                 sleep(RETRY).await;
             }
         }
         Ok(None) => {
-            cx.shared.note_store();
+            cx.shared.record_store_answer();
             take_first(cx).await;
         }
         Err(e) => {
@@ -99,7 +99,7 @@
 pub async fn unchanged_owner(cx: &Cx, info: &OwnerInfo) -> Option<Version> {
     match read_row(cx).await {
         Ok(row) => {
-            cx.shared.note_store();
+            cx.shared.record_store_answer();
             let row = row?;
             let owner = read_owner(&row)?.owner?;
             if owner.epoch > info.epoch {
@@ -123,18 +123,18 @@
     let info = cx.as_owner(epoch);
     let tx = Transaction {
         expect: vec![Expect { key: OWNER_KEY.to_owned(), version: rev }],
-        put: taken_rows(&info),
+        put: takeover_rows(&info),
         remove: Vec::new(),
     };
     match cx.shared.store.transact(TABLE, &cx.partition.part, &tx, TAKE_TIMEOUT).await {
         Ok(TxOutcome::Made(_)) => {
-            cx.shared.note_store();
+            cx.shared.record_store_answer();
             log::info!("owner.taken partition={} epoch={epoch} cause={cause}", cx.partition.number);
             cx.shared.metrics.takeovers.with_label_values(&[cause]).inc();
             cx.partition.note_owner_info(&info);
         }
         Ok(TxOutcome::Conflict(rows)) => {
-            cx.shared.note_store();
+            cx.shared.record_store_answer();
             let owner = rows.iter().filter_map(read_owner).find_map(|r| r.owner);
             if let Some(owner) = owner {
                 cx.partition.note_owner_info(&owner);
@@ -152,7 +152,7 @@
 async fn find_owner_again(cx: &Cx, known: u64) {
     match read_row(cx).await {
         Ok(row) => {
-            cx.shared.note_store();
+            cx.shared.record_store_answer();
             let owner = row.as_ref().and_then(read_owner).and_then(|r| r.owner);
             if let Some(owner) = owner.filter(|o| o.epoch > known) {
                 cx.partition.note_owner_info(&owner);
--- a/crates/hollowford-node/src/peers.rs
+++ b/crates/hollowford-node/src/peers.rs
@@ -1,6 +1,6 @@
 //! Links that other processes open to this one.
 
-use crate::calls::read_advice;
+use crate::calls::decode_advice;
 use crate::inbox::{OwnerHandle, OwnerMsg};
 use crate::link::{self, Outbox, Reader};
 use crate::members::LinkId;
@@ -119,8 +119,8 @@
     /// Hands on what the member says.
     async fn take_frame(&self, body: Body) {
         match body {
-            Body::Call(call) => self.owner.call_from(call, &self.outbox),
-            Body::MemberBeat(beat) => self.owner.send(OwnerMsg::Beat(self.link, beat)).await,
+            Body::Call(call) => self.owner.call_from_link(call, &self.outbox),
+            Body::MemberBeat(beat) => self.owner.send(OwnerMsg::Heartbeat(self.link, beat)).await,
             Body::Advice(advice) => self.take_advice(advice).await,
             Body::Outcomes(o) => self.owner.send(OwnerMsg::Outcomes(self.link, o)).await,
             other => log::warn!("link.unexpected frame={other:?}"),
@@ -134,7 +134,7 @@
             return;
         };
         let seat = Seat { address: self.address.clone() };
-        let answer = read_advice(advice);
+        let answer = decode_advice(advice);
         self.owner.send(OwnerMsg::Advised { seat, step, answer }).await;
     }
 }
--- a/crates/hollowford-node/src/plan.rs
+++ b/crates/hollowford-node/src/plan.rs
@@ -103,7 +103,7 @@
         workers_each: NonZeroUsize,
     ) -> Result<Option<u32>, StoreError> {
         let rows = shared.store.read_all(TABLE, PART, CALL_TIMEOUT).await?.rows;
-        shared.note_store();
+        shared.record_store_answer();
         if let Some(row) = rows.iter().find(|r| r.key == PLAN_KEY) {
             return Ok(decode(row));
         }
--- a/crates/hollowford-node/src/reach.rs
+++ b/crates/hollowford-node/src/reach.rs
@@ -49,7 +49,7 @@
 
     /// Hands over to a member that the store serves while it doesn't serve this process.
     fn hand_over_if_divided(&mut self, batches: &Batches, members: &Members, now: Millis) -> bool {
-        let hangs = batches.is_unmade_for(STORE_LOST, now);
+        let hangs = batches.is_uncommitted_for(STORE_LOST, now);
         let lost = hangs && self.shared.store_age() >= STORE_LOST;
         if !lost || !members.any_served() {
             self.divided_since = None;
--- a/crates/hollowford-node/src/registry.rs
+++ b/crates/hollowford-node/src/registry.rs
@@ -93,7 +93,7 @@
             let count = shared.partition_count();
             let own = |l: &&WorkerListing| home_of_worker(l, count) == cx.partition.number;
             let listings = list.workers(shared).filter(own).cloned().collect();
-            owner.send(OwnerMsg::Listings(listings)).await;
+            owner.send(OwnerMsg::WorkerList(listings)).await;
         }
     }
 }
@@ -200,7 +200,7 @@
         let from = self.version;
         if self.version == 0 || self.is_read_due(now) {
             let feed = shared.store.read_all(REGISTRY_TABLE, "", READ_TIMEOUT).await?;
-            shared.note_store();
+            shared.record_store_answer();
             self.note_answer(shared.clock.now());
             self.version = feed.version;
             self.read_at = shared.clock.now();
@@ -209,7 +209,7 @@
         }
         match shared.store.feed(REGISTRY_TABLE, self.version, FEED_WAIT).await {
             Ok(feed) => {
-                shared.note_store();
+                shared.record_store_answer();
                 self.note_answer(shared.clock.now());
                 self.version = feed.version;
                 let changed = feed.rows.iter().filter(|r| self.apply(r));
--- a/crates/hollowford-node/src/registry_tests.rs
+++ b/crates/hollowford-node/src/registry_tests.rs
@@ -29,7 +29,7 @@
         accounts: None,
         credentials: Credentials::default(),
     };
-    shared.take_config(config, ConfigRow::default());
+    shared.apply_config(config, ConfigRow::default());
     shared
 }
 
--- a/crates/hollowford-node/src/shared.rs
+++ b/crates/hollowford-node/src/shared.rs
@@ -123,7 +123,7 @@
     }
 
     /// Takes note that the store has answered.
-    pub fn note_store(&self) {
+    pub fn record_store_answer(&self) {
         let now = self.clock.now();
         if self.is_store_failing() {
             let failing = Millis(self.store_failing.load(Ordering::Relaxed));
@@ -140,7 +140,7 @@
     }
 
     /// Takes note that a call to the store has failed.
-    pub fn note_store_failure(&self) {
+    pub fn record_store_failure(&self) {
         let now = self.clock.now().0;
         if !self.is_store_failing() {
             self.store_failing.store(now, Ordering::Relaxed);
@@ -149,7 +149,7 @@
     }
 
     /// Tells whether the store has failed this process for `at_least`, up to its last call.
-    pub fn store_away(&self, at_least: Millis) -> bool {
+    pub fn is_store_away(&self, at_least: Millis) -> bool {
         self.is_store_failing() && self.store_age() >= at_least
     }
 
@@ -191,7 +191,7 @@
     }
 
     /// Returns the longest time that the owner of a partition was not within reach.
-    pub fn owners_age(&self) -> Millis {
+    pub fn max_owner_age(&self) -> Millis {
         let now = self.clock.now();
         let ages = self.partitions().iter().map(|p| p.owner_age(now));
         ages.max().unwrap_or(Millis::MAX)
@@ -203,7 +203,7 @@
     }
 
     /// Takes note that this process has read the configuration.
-    pub fn note_config_read(&self) {
+    pub fn record_config_read(&self) {
         self.config_read.store(self.clock.now().0, Ordering::Relaxed);
     }
 
@@ -220,7 +220,7 @@
 
     /// Tells whether an owner vouches for the configuration that this process knows. Owners read
     /// it themselves.
-    pub fn config_is_told(&self) -> bool {
+    pub fn is_config_confirmed(&self) -> bool {
         let now = self.clock.now();
         self.config_version() > 0
             && self.owned_count() == 0
@@ -248,7 +248,7 @@
     }
 
     /// Puts a configuration in force, unless a newer one is.
-    pub fn take_config(&self, config: Config, row: ConfigRow) -> bool {
+    pub fn apply_config(&self, config: Config, row: ConfigRow) -> bool {
         self.config_row.store(Some(Arc::new(row)));
         if config.version <= self.config_version() {
             return false;
--- a/crates/hollowford-node/src/shared_tests.rs
+++ b/crates/hollowford-node/src/shared_tests.rs
@@ -25,13 +25,13 @@
 #[test]
 fn a_process_that_has_just_started_has_reached_no_owner() {
     let shared = shared();
-    assert_eq!(shared.owners_age(), Millis::MAX, "the plan is not known");
+    assert_eq!(shared.max_owner_age(), Millis::MAX, "the plan is not known");
     shared.set_partitions(2);
-    assert_eq!(shared.owners_age(), Millis::MAX);
+    assert_eq!(shared.max_owner_age(), Millis::MAX);
     shared.partitions()[0].note_owner(shared.clock.now());
-    assert_eq!(shared.owners_age(), Millis::MAX, "one of two owners was never reached");
+    assert_eq!(shared.max_owner_age(), Millis::MAX, "one of two owners was never reached");
     shared.partitions()[1].note_owner(shared.clock.now());
-    assert!(shared.owners_age() < Millis::MAX);
+    assert!(shared.max_owner_age() < Millis::MAX);
 }
 
 // What an owner had to write meanwhile is lost with it only if the store was away for a while.
@@ -42,19 +42,19 @@
     shared.clock = Clock::new().shifted(shift);
     let pass = |ms| shift.fetch_add(ms, Ordering::Relaxed);
     let within = Millis(2_000);
-    shared.note_store();
+    shared.record_store_answer();
     pass(3_000);
-    shared.note_store_failure();
+    shared.record_store_failure();
     pass(100);
-    shared.note_store();
+    shared.record_store_answer();
     assert!(!shared.had_outage_within(within), "one call");
 
     pass(100);
     for _ in 0..5 {
-        shared.note_store_failure();
+        shared.record_store_failure();
         pass(200);
     }
-    shared.note_store();
+    shared.record_store_answer();
     assert!(shared.had_outage_within(within));
     pass(2_500);
     assert!(!shared.had_outage_within(within), "long ago");
--- a/crates/hollowford-node/src/suspension_tests.rs
+++ b/crates/hollowford-node/src/suspension_tests.rs
@@ -3,7 +3,7 @@
 //! The clock of these processes is set ahead between two readings, as it is by a suspension. That the system's
 //! own clock counts one can't be shown here.
 
-use crate::access::VOUCHES_FOR;
+use crate::access::MAX_CONFIG_AGE;
 use crate::config_told::{ConfigTold, Told};
 use crate::shared::Shared;
 use crate::shared_tests::shared;
@@ -47,34 +47,34 @@
 fn a_member_is_told_of_the_configuration_anew() {
     let (shared, shift) = suspendable();
     shared.set_partitions(1);
-    assert!(shared.take_config(config(), ConfigRow::default()));
+    assert!(shared.apply_config(config(), ConfigRow::default()));
     let mut told = ConfigTold::default();
     let beat = Told { version: 1, age: Millis(0), every: BEAT };
     told.note(beat, 1, shared.clock.now());
     shared.partitions()[0].set_config_told(told);
-    assert!(shared.config_is_told());
+    assert!(shared.is_config_confirmed());
     suspend(shift);
-    assert!(!shared.config_is_told());
+    assert!(!shared.is_config_confirmed());
 }
 
 #[test]
 fn an_owner_vouches_for_no_key_before_it_has_read_the_configuration_again() {
     let (shared, shift) = suspendable();
-    shared.note_config_read();
-    assert!(shared.config_age() < VOUCHES_FOR);
+    shared.record_config_read();
+    assert!(shared.config_age() < MAX_CONFIG_AGE);
     suspend(shift);
-    assert!(shared.config_age() >= VOUCHES_FOR);
+    assert!(shared.config_age() >= MAX_CONFIG_AGE);
 }
 
 #[test]
 fn a_process_has_not_just_reached_the_store_and_its_owners() {
     let (shared, shift) = suspendable();
     shared.set_partitions(1);
-    shared.note_store();
+    shared.record_store_answer();
     shared.partitions()[0].note_owner(shared.clock.now());
     suspend(shift);
     assert!(shared.store_age() >= SUSPENDED);
-    assert!(shared.owners_age() >= SUSPENDED);
+    assert!(shared.max_owner_age() >= SUSPENDED);
 }
 
 // It was paused itself, so it hears anew in place of deposing an owner that lives.
--- a/crates/hollowford-node/src/watch.rs
+++ b/crates/hollowford-node/src/watch.rs
@@ -1,8 +1,8 @@
 //! Keeps the configuration up to date: by the store's feed, and by reading it besides, since
 //! the feed may go silent. A member whose owner vouches for what it knows does neither.
 
+use crate::compression::{compress, decompress};
 use crate::owner_row::{OWNER_KEY, TABLE};
-use crate::packed::{pack, unpack};
 use crate::shared::Shared;
 use crate::wire::ConfigRow;
 use hollowford_adapter::{CONFIG_KEY, Config, OPERATOR_TABLE, Row, StoreError};
@@ -51,7 +51,7 @@
 pub async fn read_config(shared: Arc<Shared>) {
     let mut last = LastCall { answered: true, at: Millis(0), read: true };
     loop {
-        let told = shared.config_is_told();
+        let told = shared.is_config_confirmed();
         let now = shared.clock.now();
         if !told || is_probed(&shared) || now.since(last.at) >= PROBE_EVERY {
             // Without any configuration nothing can be served, so no call is spent on a probe.
@@ -73,7 +73,7 @@
 /// vouches for it soon.
 pub async fn read_unless_told(shared: &Shared) {
     sleep(OWNER_VOUCHES_WITHIN).await;
-    if !shared.config_is_told() {
+    if !shared.is_config_confirmed() {
         shared.config_wanted.notify_one();
     }
 }
@@ -89,7 +89,7 @@
 
 async fn read_once(shared: &Shared) -> Result<(), StoreError> {
     let (row, _) = shared.store.read(OPERATOR_TABLE, "", CONFIG_KEY, READ_TIMEOUT).await?;
-    shared.note_config_read();
+    shared.record_config_read();
     if let Some(row) = row {
         take(shared, &row);
     }
@@ -100,13 +100,13 @@
 fn note(shared: &Shared, before: bool, answer: &Result<(), StoreError>) {
     match answer {
         Ok(()) => {
-            shared.note_store();
+            shared.record_store_answer();
             if !before {
                 log::info!("store.regained by=config");
             }
         }
         Err(e) => {
-            shared.note_store_failure();
+            shared.record_store_failure();
             if before {
                 log::warn!("store.lost by=config error=\"{e}\"");
             }
@@ -121,7 +121,7 @@
 
 /// Returns how long to wait before the next look at what is due.
 pub(crate) fn pause(shared: &Shared, last: &LastCall) -> Duration {
-    if !last.answered || (!last.read && !shared.config_is_told()) {
+    if !last.answered || (!last.read && !shared.is_config_confirmed()) {
         RETRY
     } else if shared.partitions().is_empty() {
         BEFORE_PLAN_EVERY
@@ -136,13 +136,13 @@
 pub async fn follow_config(shared: Arc<Shared>) {
     let mut after = 0;
     loop {
-        if shared.config_is_told() {
+        if shared.is_config_confirmed() {
             sleep(RETRY).await;
             continue;
         }
         match shared.store.feed(OPERATOR_TABLE, after, FEED_WAIT).await {
             Ok(feed) => {
-                shared.note_store();
+                shared.record_store_answer();
                 after = feed.version;
                 if let Some(row) = feed.rows.iter().rfind(|r| r.key == CONFIG_KEY && !r.removed) {
                     take(&shared, row);
@@ -171,7 +171,7 @@
     if !shared.is_new_config_row(row.version) {
         return;
     }
-    match pack(&row.value) {
+    match compress(&row.value) {
         Ok(packed) => {
             put_in_force(shared, &row.value, ConfigRow { row_version: row.version, packed });
         }
@@ -184,7 +184,7 @@
     if !shared.is_new_config_row(row.row_version) {
         return;
     }
-    match unpack(&row.packed, LARGEST_CONFIG) {
+    match decompress(&row.packed, LARGEST_CONFIG) {
         Ok(value) => put_in_force(shared, &value, row),
         Err(e) => log::error!("config.malformed row_version={} error=\"{e}\"", row.row_version),
     }
@@ -196,7 +196,7 @@
             let (version, routes) = (config.version, config.routes.len());
             let (bytes, packed) = (value.len(), row.packed.len());
             let before = shared.config_version();
-            if shared.take_config(config, row) {
+            if shared.apply_config(config, row) {
                 shared.metrics.config_version.set(version as i64);
                 log::info!(
                     "config.taken version={version} before={before} routes={routes} \
--- a/crates/hollowford-node/src/writer.rs
+++ b/crates/hollowford-node/src/writer.rs
@@ -24,7 +24,7 @@
 
 /// What came of a batch.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Written {
+pub enum BatchOutcome {
     /// It is in the store.
     Made {
         /// Version of its lane's row.
@@ -42,7 +42,7 @@
 
 /// A batch on its way.
 #[derive(Debug)]
-pub struct Writing {
+pub struct BatchWrite {
     /// Part of the table that it belongs to.
     pub part: String,
     /// Whose batch it is.
@@ -63,7 +63,7 @@
 /// requires and replaces the row of its lane. The store makes the transactions of a part one
 /// after the other, so a copy that isn't needed keeps the next batch waiting. So the row is read
 /// first, which costs no turn: it shows a batch whose answer was lost, and how slow the store is.
-pub async fn write(shared: Arc<Shared>, writing: Writing) -> Written {
+pub async fn write(shared: Arc<Shared>, writing: BatchWrite) -> BatchOutcome {
     let tx = transaction(&writing);
     let mut calls = FuturesUnordered::new();
     calls.push(copy(&shared, &writing, &tx).boxed());
@@ -88,15 +88,15 @@
         match heard {
             Heard::Copy(Ok(TxOutcome::Made(rev)), took) => return made(&shared, rev, Some(took)),
             Heard::Copy(Ok(TxOutcome::Conflict(rows)), _) => {
-                shared.note_store();
+                shared.record_store_answer();
                 return settle(&shared, &writing, &rows);
             }
             Heard::Copy(Err(e), _) => {
-                note_failure(&shared, &e);
+                record_failure(&shared, &e);
                 retries.copy_failed(e.surely_not_done());
                 if retries.all_failed() {
                     if retries.is_refused() {
-                        return Written::Refused;
+                        return BatchOutcome::Refused;
                     }
                     sleep(REFUSED_PAUSE).await;
                     calls.push(copy(&shared, &writing, &tx).boxed());
@@ -104,7 +104,7 @@
                 }
             }
             Heard::Reading(Ok(Some(row)), took) => {
-                shared.note_store();
+                shared.record_store_answer();
                 if row.version != writing.rev {
                     return settle(&shared, &writing, &[row]);
                 }
@@ -124,54 +124,54 @@
 }
 
 /// Sends one copy.
-async fn copy(shared: &Shared, writing: &Writing, tx: &Transaction) -> Heard {
+async fn copy(shared: &Shared, writing: &BatchWrite, tx: &Transaction) -> Heard {
     let began = shared.clock.now();
     let answer = shared.store.transact(TABLE, &writing.part, tx, COPY_TIMEOUT).await;
     Heard::Copy(answer, shared.clock.now().since(began))
 }
 
 /// Reads the row of the batch's lane.
-async fn reading(shared: &Shared, writing: &Writing) -> Heard {
+async fn reading(shared: &Shared, writing: &BatchWrite) -> Heard {
     let began = shared.clock.now();
     let key = lane_key(writing.lane);
     let answer = shared.store.read(TABLE, &writing.part, &key, READ_TIMEOUT).await;
     Heard::Reading(answer.map(|(row, _)| row), shared.clock.now().since(began))
 }
 
-fn made(shared: &Shared, rev: Version, answered_in: Option<Millis>) -> Written {
-    shared.note_store();
+fn made(shared: &Shared, rev: Version, answered_in: Option<Millis>) -> BatchOutcome {
+    shared.record_store_answer();
     shared.metrics.batches.with_label_values(&["made"]).inc();
-    Written::Made { rev, answered_in }
+    BatchOutcome::Made { rev, answered_in }
 }
 
-fn note_failure(shared: &Shared, e: &StoreError) {
-    shared.note_store_failure();
+fn record_failure(shared: &Shared, e: &StoreError) {
+    shared.record_store_failure();
     let outcome = if e.surely_not_done() { "refused" } else { "unanswered" };
     shared.metrics.batches.with_label_values(&[outcome]).inc();
     log::debug!("batch.failed error=\"{e}\"");
 }
 
 /// Tells from the lane's row whether an earlier copy was made.
-fn settle(shared: &Shared, writing: &Writing, rows: &[Row]) -> Written {
+fn settle(shared: &Shared, writing: &BatchWrite, rows: &[Row]) -> BatchOutcome {
     let (number, key) = (writing.batch.number, lane_key(writing.lane));
     let row = rows.iter().find(|r| r.key == key);
     let Some((found, version)) = row.and_then(|r| Some((read_owner(r)?, r.version))) else {
         log::error!("batch.conflict batch={number} row={key} missing");
-        return Written::Inconsistent;
+        return BatchOutcome::Inconsistent;
     };
-    let Some(holder) = found.owner else { return Written::Inconsistent };
+    let Some(holder) = found.owner else { return BatchOutcome::Inconsistent };
     if holder != writing.owner {
-        return Written::Deposed(holder);
+        return BatchOutcome::Deposed(holder);
     }
     if found.batch == number {
         return made(shared, version, None);
     }
     log::error!("batch.conflict batch={number} row={key} found={}", found.batch);
-    Written::Inconsistent
+    BatchOutcome::Inconsistent
 }
 
-pub(crate) fn transaction(writing: &Writing) -> Transaction {
-    let Writing { owner, lane, rev, batch, .. } = writing;
+pub(crate) fn transaction(writing: &BatchWrite) -> Transaction {
+    let BatchWrite { owner, lane, rev, batch, .. } = writing;
     let key = lane_key(*lane);
     let expect = vec![Expect { key: key.clone(), version: *rev }];
     let mut put = vec![(key, encode_owner(owner, batch.number))];
--- a/crates/hollowford-node/src/writer_tests.rs
+++ b/crates/hollowford-node/src/writer_tests.rs
@@ -1,12 +1,12 @@
 //! Batches in several lanes, on a store that loses answers, is slow, and carries out calls late.
 #![allow(clippy::expect_used)]
 
-use crate::lane::{LANES, lane_versions, taken_rows};
+use crate::lane::{LANE_COUNT, lane_versions, takeover_rows};
 use crate::owner_row::TABLE;
 use crate::shared::Shared;
 use crate::shared_tests::shared_with;
 use crate::wire::OwnerInfo;
-use crate::writer::{Writing, Written, transaction, write};
+use crate::writer::{BatchOutcome, BatchWrite, transaction, write};
 use futures::future::join_all;
 use hollowford_adapter::{Expect, Transaction, TxOutcome, Version};
 use hollowford_adapter_standin::{Faults, Platform};
@@ -42,22 +42,22 @@
     }
 
     /// Reads all rows, and the version of each lane's row.
-    async fn read(&self) -> (BTreeMap<String, Vec<u8>>, [Version; LANES]) {
+    async fn read(&self) -> (BTreeMap<String, Vec<u8>>, [Version; LANE_COUNT]) {
         let feed = self.shared.store.read_all(TABLE, PART, TIMEOUT).await.expect("rows");
         let lanes = lane_versions(&feed.rows);
         (feed.rows.into_iter().map(|r| (r.key, r.value)).collect(), lanes)
     }
 
     /// Takes the partition, and returns the versions of the lanes' rows.
-    async fn take(&self, owner: &OwnerInfo) -> [Version; LANES] {
+    async fn take(&self, owner: &OwnerInfo) -> [Version; LANE_COUNT] {
         let (_, before) = self.read().await;
         let expect = vec![Expect { key: crate::lane::lane_key(0), version: before[0] }];
-        let tx = Transaction { expect, put: taken_rows(owner), remove: Vec::new() };
+        let tx = Transaction { expect, put: takeover_rows(owner), remove: Vec::new() };
         assert!(matches!(self.transact(&tx).await, TxOutcome::Made(_)));
         self.read().await.1
     }
 
-    async fn write(&self, writing: Writing) -> Written {
+    async fn write(&self, writing: BatchWrite) -> BatchOutcome {
         write(self.shared.clone(), writing).await
     }
 }
@@ -67,17 +67,17 @@
 }
 
 /// A batch that writes its number into a row of its lane and into one of its own.
-fn writing(owner: &OwnerInfo, lane: usize, rev: Version, number: u64) -> Writing {
+fn writing(owner: &OwnerInfo, lane: usize, rev: Version, number: u64) -> BatchWrite {
     let row = |key: String| RowWrite { key, value: Some(number.to_le_bytes().to_vec()) };
     let rows = vec![row(format!("last/{lane}")), row(format!("batch/{}/{number}", owner.epoch))];
     let batch = Batch { number, rows };
     let read_after = Millis(150);
-    Writing { part: PART.to_owned(), owner: owner.clone(), lane, rev, batch, read_after }
+    BatchWrite { part: PART.to_owned(), owner: owner.clone(), lane, rev, batch, read_after }
 }
 
-fn rev_of(written: &Written) -> Version {
+fn rev_of(written: &BatchOutcome) -> Version {
     match written {
-        Written::Made { rev, .. } => *rev,
+        BatchOutcome::Made { rev, .. } => *rev,
         other => panic!("not made: {other:?}"),
     }
 }
@@ -87,11 +87,12 @@
     let store = Store::start().await;
     let me = owner(1);
     let revs = store.take(&me).await;
-    let both = (0..LANES).map(|lane| store.write(writing(&me, lane, revs[lane], lane as u64 + 1)));
-    let made = |w: &Written| matches!(w, Written::Made { .. });
+    let both =
+        (0..LANE_COUNT).map(|lane| store.write(writing(&me, lane, revs[lane], lane as u64 + 1)));
+    let made = |w: &BatchOutcome| matches!(w, BatchOutcome::Made { .. });
     assert!(join_all(both).await.iter().all(made));
     let (rows, _) = store.read().await;
-    assert_eq!(rows.keys().filter(|k| k.starts_with("batch/")).count(), LANES);
+    assert_eq!(rows.keys().filter(|k| k.starts_with("batch/")).count(), LANE_COUNT);
 }
 
 #[tokio::test]
@@ -102,7 +103,7 @@
     store.take(&next).await;
     for (lane, rev) in revs.into_iter().enumerate() {
         let written = store.write(writing(&me, lane, rev, 1)).await;
-        assert_eq!(written, Written::Deposed(next.clone()), "lane {lane}");
+        assert_eq!(written, BatchOutcome::Deposed(next.clone()), "lane {lane}");
     }
     let (rows, _) = store.read().await;
     assert!(!rows.keys().any(|k| k.starts_with("batch/")), "{:?}", rows.keys());
@@ -115,7 +116,7 @@
     let revs = store.take(&me).await;
     let before = store.platform.served().made;
     store.platform.set_faults(Faults { lose_answers: 1, ..Faults::default() });
-    let lane = LANES - 1;
+    let lane = LANE_COUNT - 1;
     rev_of(&store.write(writing(&me, lane, revs[lane], 1)).await);
     assert_eq!(store.platform.served().made - before, 1, "made once");
 }
@@ -140,12 +141,12 @@
     store.platform.set_faults(Faults { slow_ms: 200, turn_ms: 300, ..Faults::default() });
     let before = store.platform.served().writes;
     for number in 1..=4 {
-        let both = (0..LANES).map(|l| store.write(writing(&me, l, revs[l], number)));
+        let both = (0..LANE_COUNT).map(|l| store.write(writing(&me, l, revs[l], number)));
         let written = join_all(both).await;
         revs = std::array::from_fn(|lane| rev_of(&written[lane]));
     }
     let sent = store.platform.served().writes - before;
-    assert!(sent < 2 * 4 * LANES as u64, "{sent} transactions for {} batches", 4 * LANES);
+    assert!(sent < 2 * 4 * LANE_COUNT as u64, "{sent} transactions for {} batches", 4 * LANE_COUNT);
 }
 
 /// Answers are lost, copies of earlier batches are carried out late, and the partition is taken
@@ -177,7 +178,7 @@
                     assert!(matches!(outcome, TxOutcome::Conflict(_)), "seed {seed}: made late");
                 }
                 _ => {
-                    let used: Vec<_> = (0..LANES).filter(|_| random.bool()).collect();
+                    let used: Vec<_> = (0..LANE_COUNT).filter(|_| random.bool()).collect();
                     let first = number;
                     number += used.len() as u64;
                     let numbered = used.iter().zip(first + 1..);
