--- a/crates/hollowford-node/src/batches.rs
+++ b/crates/hollowford-node/src/batches.rs
@@ -2,7 +2,7 @@
 
 use crate::inbox::{OwnerHandle, OwnerMsg};
 use crate::lane::LANE_COUNT;
-use crate::retries::read_after;
+use crate::retries::read_delay;
 use crate::shared::Shared;
 use crate::wire::OwnerInfo;
 use crate::writer::{self, BatchOutcome, BatchWrite};
@@ -13,31 +13,31 @@
 
 /// Shortest time between two batches when somebody waits for one, so that what comes
 /// together is written together.
-const BATCH_GAP: Millis = Millis(14);
+const MIN_BATCH_INTERVAL: Millis = Millis(14);
 /// Shortest time between two batches when nobody waits.
-const IDLE_BATCH_GAP: Millis = Millis(30);
+const MIN_IDLE_BATCH_INTERVAL: Millis = Millis(30);
 /// A further lane is used once the batches under way have been so for this long: a store of
 /// usual speed has made them by then, and needs one lane only.
-const LANE_AFTER: Millis = Millis(40);
+const EXTRA_LANE_DELAY: Millis = Millis(40);
 /// Further lanes are used only while the store has made a batch within this time. Beyond it is
 /// away, and more batches would only wait.
-const LANES_WITHIN: Millis = Millis(1_000);
+const MAX_COMMIT_AGE_FOR_EXTRA_LANE: Millis = Millis(1_000);
 /// A batch that takes so long is logged. The store's usual answer takes some 10 ms.
-const BATCH_SLOW: Millis = Millis(150);
+const SLOW_BATCH_THRESHOLD: Millis = Millis(150);
 /// A batch under way for so long hangs, if the store has answered nothing else for as long.
-const LEAST_HANG: Millis = Millis(600);
+const SILENT_STORE_STALL_TIMEOUT: Millis = Millis(600);
 /// A batch under way for so long hangs in any case.
-const MOST_HANG: Millis = Millis(2_000);
+const STALL_TIMEOUT: Millis = Millis(2_000);
 /// After the store has refused a batch, new jobs are refused for so long; then one is tried.
-const REFUSING: Millis = Millis(300);
+const REFUSAL_BACKOFF: Millis = Millis(300);
 
 /// A batch that is under way.
 #[derive(Clone, Copy, Debug)]
-struct UnderWay {
+struct InFlightBatch {
     number: u64,
     /// Rows that it writes, but for its lane's.
     rows: usize,
-    since: Millis,
+    started_at: Millis,
 }
 
 /// A row in which batches are counted, and the batch that is to change it.
@@ -45,7 +45,7 @@
 struct Lane {
     /// Version of its row, as the last batch left it.
     rev: Version,
-    under_way: Option<UnderWay>,
+    in_flight: Option<InFlightBatch>,
 }
 
 /// The batches of one owner, of which one at most is under way in each lane.
@@ -57,17 +57,17 @@
     lanes: [Lane; LANE_COUNT],
     handle: OwnerHandle,
     /// When the last one was cut.
-    cut_at: Millis,
+    last_cut_at: Millis,
     /// When the last one was made.
-    made_at: Millis,
+    last_committed_at: Millis,
     /// Since when none was made though there was one to make.
-    unmade_since: Option<Millis>,
+    uncommitted_since: Option<Millis>,
     /// When the store refused one last, with none made since.
-    refused_at: Option<Millis>,
+    last_refused_at: Option<Millis>,
     /// How long the last one took.
-    took: Millis,
+    last_duration: Millis,
     /// How long the store's answers to copies took.
-    answers: AnswerTimes,
+    answer_times: AnswerTimes,
 }
 
 impl Batches {
@@ -83,125 +83,128 @@
             shared,
             info,
             part,
-            lanes: lanes.map(|rev| Lane { rev, under_way: None }),
+            lanes: lanes.map(|rev| Lane { rev, in_flight: None }),
             handle,
-            cut_at: Millis(0),
-            made_at: Millis(0),
-            unmade_since: None,
-            refused_at: None,
-            took: Millis(0),
-            answers: AnswerTimes::default(),
+            last_cut_at: Millis(0),
+            last_committed_at: Millis(0),
+            uncommitted_since: None,
+            last_refused_at: None,
+            last_duration: Millis(0),
+            answer_times: AnswerTimes::default(),
         }
     }
 
     /// Cuts the next batch if it is due, and starts writing it.
     pub fn write_next(&mut self, engine: &mut Engine, now: Millis) {
-        let gap = if engine.batch_is_urgent() { BATCH_GAP } else { IDLE_BATCH_GAP };
-        if now.since(self.cut_at) < gap {
+        let min_interval =
+            if engine.batch_is_urgent() { MIN_BATCH_INTERVAL } else { MIN_IDLE_BATCH_INTERVAL };
+        if now.since(self.last_cut_at) < min_interval {
             return;
         }
         let Some(lane) = self.free_lane(now) else { return };
         let Some(batch) = engine.cut_batch(now) else { return };
-        self.cut_at = now;
-        self.unmade_since.get_or_insert(now);
-        self.lanes[lane].under_way =
-            Some(UnderWay { number: batch.number, rows: batch.rows.len(), since: now });
+        self.last_cut_at = now;
+        self.uncommitted_since.get_or_insert(now);
+        self.lanes[lane].in_flight =
+            Some(InFlightBatch { number: batch.number, rows: batch.rows.len(), started_at: now });
         self.start_writing(lane, batch);
     }
 
     /// Returns the lane for the next batch: the first one, and another one only while the
     /// store is slow.
     fn free_lane(&self, now: Millis) -> Option<usize> {
-        let free = self.lanes.iter().position(|l| l.under_way.is_none())?;
+        let free = self.lanes.iter().position(|l| l.in_flight.is_none())?;
         if self.is_idle() {
             return Some(free);
         }
-        let answers = now.since(self.made_at) < LANES_WITHIN;
-        let slow = now.since(self.cut_at) >= LANE_AFTER;
-        (answers && slow).then_some(free)
+        let store_answers = now.since(self.last_committed_at) < MAX_COMMIT_AGE_FOR_EXTRA_LANE;
+        let slow = now.since(self.last_cut_at) >= EXTRA_LANE_DELAY;
+        (store_answers && slow).then_some(free)
     }
 
     fn start_writing(&self, lane: usize, batch: Batch) {
         let number = batch.number;
         let (part, owner, rev) = (self.part.clone(), self.info.clone(), self.lanes[lane].rev);
-        let read_after = read_after(&self.answers);
-        let writing = BatchWrite { part, owner, lane, rev, batch, read_after };
-        let written = writer::write(self.shared.clone(), writing);
+        let read_delay = read_delay(&self.answer_times);
+        let batch_write = BatchWrite { part, owner, lane, rev, batch, read_delay };
+        let outcome = writer::write(self.shared.clone(), batch_write);
         let handle = self.handle.clone();
         tokio::spawn(async move {
-            let written = written.await;
-            handle.send(OwnerMsg::BatchFinished { batch: number, written }).await;
+            let outcome = outcome.await;
+            handle.send(OwnerMsg::BatchFinished { batch: number, outcome }).await;
         });
     }
 
     /// Takes note of what came of a batch.
-    pub fn note(&mut self, batch: u64, written: &BatchOutcome, now: Millis) {
-        let of = |l: &Lane| l.under_way.is_some_and(|u| u.number == batch);
+    pub fn record_outcome(&mut self, batch: u64, outcome: &BatchOutcome, now: Millis) {
+        let of = |l: &Lane| l.in_flight.is_some_and(|u| u.number == batch);
         let Some(at) = self.lanes.iter().position(of) else { return };
         let lane = &mut self.lanes[at];
-        let Some(UnderWay { rows, since, .. }) = lane.under_way.take() else { return };
-        let took = now.since(since);
+        let Some(InFlightBatch { rows, started_at, .. }) = lane.in_flight.take() else { return };
+        let took = now.since(started_at);
         self.shared.metrics.batch_seconds.observe(took.duration().as_secs_f64());
-        if took >= BATCH_SLOW {
+        if took >= SLOW_BATCH_THRESHOLD {
             log::info!(
-                "batch.slow batch={batch} lane={at} rows={rows} took_ms={} outcome={written:?}",
+                "batch.slow batch={batch} lane={at} rows={rows} took_ms={} outcome={outcome:?}",
                 took.0
             );
         }
-        match written {
+        match outcome {
             BatchOutcome::Made { rev, answered_in } => {
                 lane.rev = *rev;
                 // What was made by a later copy says how long that one took.
-                self.took = answered_in.unwrap_or(took);
+                self.last_duration = answered_in.unwrap_or(took);
                 if let Some(took) = answered_in {
-                    self.answers.note(*took);
+                    self.answer_times.note(*took);
                 }
-                self.made_at = now;
-                self.unmade_since = self.oldest();
-                self.refused_at = None;
+                self.last_committed_at = now;
+                self.uncommitted_since = self.oldest_start();
+                self.last_refused_at = None;
             }
-            BatchOutcome::Refused => self.refused_at = Some(now),
+            BatchOutcome::Refused => self.last_refused_at = Some(now),
             BatchOutcome::Deposed(_) | BatchOutcome::Inconsistent => {}
         }
     }
 
     /// Returns since when the oldest batch is under way.
-    fn oldest(&self) -> Option<Millis> {
-        self.lanes.iter().filter_map(|l| l.under_way).map(|u| u.since).min()
+    fn oldest_start(&self) -> Option<Millis> {
+        self.lanes.iter().filter_map(|l| l.in_flight).map(|u| u.started_at).min()
     }
 
     /// Tells whether the store takes no batches now, as far as is known.
     pub fn is_stalled(&self, now: Millis) -> bool {
         // A slow store answers something meanwhile: the writer reads, beside the batch.
-        let answers = self.shared.store_age() < LEAST_HANG;
-        let hang = if answers { MOST_HANG } else { LEAST_HANG };
-        let hangs = self.oldest().is_some_and(|s| now.since(s) >= hang);
-        hangs || (self.is_idle() && self.refused_at.is_some_and(|at| now.since(at) < REFUSING))
+        let store_answers = self.shared.store_age() < SILENT_STORE_STALL_TIMEOUT;
+        let timeout = if store_answers { STALL_TIMEOUT } else { SILENT_STORE_STALL_TIMEOUT };
+        let stalled = self.oldest_start().is_some_and(|s| now.since(s) >= timeout);
+        stalled
+            || (self.is_idle()
+                && self.last_refused_at.is_some_and(|at| now.since(at) < REFUSAL_BACKOFF))
     }
 
     /// Tells whether a new job is taken whose caller waits for `limit` longer. It is refused at
     /// once when its acceptance can't be in the store by then, or the store takes no batches.
-    pub fn admits(&self, engine: &Engine, limit: Millis, now: Millis) -> bool {
-        !self.is_stalled(now) && self.kept_in(engine, now) <= limit
+    pub fn admits_job(&self, engine: &Engine, limit: Millis, now: Millis) -> bool {
+        !self.is_stalled(now) && self.estimated_commit_time(engine, now) <= limit
     }
 
     /// Returns how long it takes until a job that comes now is in the store.
-    fn kept_in(&self, engine: &Engine, now: Millis) -> Millis {
-        let free = self.lanes.iter().any(|l| l.under_way.is_none());
-        let began = self.oldest().filter(|_| !free);
-        let until_free = began.map_or(Millis(0), |b| self.took.since(now.since(b)));
+    fn estimated_commit_time(&self, engine: &Engine, now: Millis) -> Millis {
+        let free = self.lanes.iter().any(|l| l.in_flight.is_none());
+        let began = self.oldest_start().filter(|_| !free);
+        let until_free = began.map_or(Millis(0), |b| self.last_duration.since(now.since(b)));
         let rounds = engine.batches_ahead().div_ceil(LANE_COUNT as u64);
-        until_free + Millis(self.took.max(BATCH_GAP).0 * rounds)
+        until_free + Millis(self.last_duration.max(MIN_BATCH_INTERVAL).0 * rounds)
     }
 
     /// Tells whether for so long none was made though there was one to make.
     pub fn is_uncommitted_for(&self, limit: Millis, now: Millis) -> bool {
-        self.unmade_since.is_some_and(|s| now.since(s) >= limit)
+        self.uncommitted_since.is_some_and(|s| now.since(s) >= limit)
     }
 
     /// Tells whether none is under way.
     pub fn is_idle(&self) -> bool {
-        self.lanes.iter().all(|l| l.under_way.is_none())
+        self.lanes.iter().all(|l| l.in_flight.is_none())
     }
 
     /// Returns the version of the owner row, unless a batch under way may change it.
--- a/crates/hollowford-node/src/callers.rs
+++ b/crates/hollowford-node/src/callers.rs
@@ -8,12 +8,12 @@
 use std::sync::Arc;
 
 /// A caller is answered so long before its time is up, so that the answer reaches it in time.
-const WAY_BACK: Millis = Millis(20);
+const ANSWER_MARGIN: Millis = Millis(20);
 /// How long a caller waits that doesn't tell.
-const UNTOLD: Millis = Millis(1_200);
+const DEFAULT_CALL_TIMEOUT: Millis = Millis(1_200);
 /// A question for a state waits so long for an end that is decided to be in the store, since
 /// a caller that is told an older state asks again much later.
-const STATE_WITHIN: Millis = Millis(150);
+const MAX_STATE_WAIT: Millis = Millis(150);
 
 /// A caller that waits until its request is in the store.
 #[derive(Debug)]
@@ -22,7 +22,7 @@
     verb: Verb,
     reply: Reply,
     /// When it is answered as things stand then.
-    until: Millis,
+    deadline: Millis,
 }
 
 impl WaitingCall {
@@ -50,7 +50,7 @@
 
     /// Takes a call and answers it, at once or once its batch is made. A new job is refused
     /// unless `admitted`.
-    pub fn take(
+    pub fn handle(
         &mut self,
         engine: &mut Engine,
         call: Call,
@@ -87,15 +87,15 @@
         match said {
             Some(said) => reply.send(call.id, said, 0),
             None => {
-                let until = now + call_timeout(&call);
-                let waiter = WaitingCall { id: call.id, verb, reply, until };
+                let deadline = now + call_timeout(&call);
+                let waiter = WaitingCall { id: call.id, verb, reply, deadline };
                 self.by_job.entry(job).or_default().push(waiter);
             }
         }
     }
 
     /// Answers those whose requests are in the store now.
-    pub fn committed(&mut self, engine: &Engine) {
+    pub fn answer_committed(&mut self, engine: &Engine) {
         self.by_job.retain(|&job, waiters| {
             let state = engine.state(job);
             let ended = state.is_some_and(JobState::is_final);
@@ -110,18 +110,19 @@
 
     /// Tells those that have waited for too long that nothing was done, if that is so, or that
     /// the effect is not known, or the state as it is in the store.
-    pub fn give_up(&mut self, engine: &mut Engine, now: Millis) {
+    pub fn answer_expired(&mut self, engine: &mut Engine, now: Millis) {
         if self.by_job.is_empty() {
             return;
         }
         let mut unsent = Vec::new();
         self.by_job.retain(|&job, waiters| {
-            let late = |w: &WaitingCall| w.until <= now;
-            if waiters.iter().any(|w| w.verb == Verb::Submit && late(w)) && engine.withdraw(job) {
+            let expired = |w: &WaitingCall| w.deadline <= now;
+            if waiters.iter().any(|w| w.verb == Verb::Submit && expired(w)) && engine.withdraw(job)
+            {
                 unsent.push(job);
                 return true;
             }
-            for w in waiters.extract_if(.., |w| late(w)) {
+            for w in waiters.extract_if(.., |w| expired(w)) {
                 w.answer(engine, job, Said::Unsure);
             }
             !waiters.is_empty()
@@ -147,9 +148,9 @@
 /// Returns how long a call may wait for the store.
 pub fn call_timeout(call: &Call) -> Millis {
     match (call.verb(), call.limit_ms) {
-        (Verb::State, _) => STATE_WITHIN,
-        (_, 0) => UNTOLD,
-        (_, ms) => Millis(ms).since(WAY_BACK),
+        (Verb::State, _) => MAX_STATE_WAIT,
+        (_, 0) => DEFAULT_CALL_TIMEOUT,
+        (_, ms) => Millis(ms).since(ANSWER_MARGIN),
     }
 }
 
--- a/crates/hollowford-node/src/calls.rs
+++ b/crates/hollowford-node/src/calls.rs
@@ -15,7 +15,7 @@
 
 /// A call is waited for so much longer than its time limit. It is made again meanwhile, but an
 /// answer that comes late still tells what runs and what has ended.
-const LATE: Millis = Millis(3_000);
+const LATE_ANSWER_TIMEOUT: Millis = Millis(3_000);
 
 /// When an answer has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,33 +33,33 @@
     workers: &WorkerClient,
     call: &WorkerCall,
     limit: Millis,
-    tell: impl Fn(Called, AnswerTiming) -> F,
+    report: impl Fn(Called, AnswerTiming) -> F,
 ) {
-    let began = shared.clock.now();
-    let waits = match call {
+    let started_at = shared.clock.now();
+    let worker_wait = match call {
         WorkerCall::Look { wait, .. } => *wait,
         _ => Millis(0),
     };
-    let mut answer = std::pin::pin!(workers.call(call, limit + LATE));
-    let in_time = timeout((waits + limit).duration(), &mut answer).await;
-    let (called, error, at) = match in_time {
+    let mut answer = std::pin::pin!(workers.call(call, limit + LATE_ANSWER_TIMEOUT));
+    let in_time = timeout((worker_wait + limit).duration(), &mut answer).await;
+    let (called, error, timing) = match in_time {
         Ok((called, error)) => (called, error, AnswerTiming::InTime),
         Err(_) => {
             let called = unanswered(call);
-            note(shared, &called, limit);
-            tell(called, AnswerTiming::InTime).await;
+            record_metrics(shared, &called, limit);
+            report(called, AnswerTiming::InTime).await;
             let (called, error) = answer.await;
             (called, error, AnswerTiming::Late)
         }
     };
     if let Some(e) = error {
         log::debug!("worker.unanswered call={} error=\"{e}\"", describe(call));
-        if at == AnswerTiming::Late {
+        if timing == AnswerTiming::Late {
             return;
         }
     }
-    note(shared, &called, shared.clock.now().since(began));
-    tell(called, at).await;
+    record_metrics(shared, &called, shared.clock.now().since(started_at));
+    report(called, timing).await;
 }
 
 /// Returns what is told of a call without an answer.
@@ -81,14 +81,14 @@
     sent: Millis,
     owner: OwnerHandle,
 ) {
-    let tell = |called, at| {
-        let msg = OwnerMsg::WorkerAnswer { call: call.clone(), called, sent, at };
+    let report = |called, timing| {
+        let msg = OwnerMsg::WorkerAnswer { call: call.clone(), called, sent, timing };
         owner.send(msg)
     };
-    call_worker(&shared, &workers, &call, limit, tell).await;
+    call_worker(&shared, &workers, &call, limit, report).await;
 }
 
-fn note(shared: &Shared, called: &Called, took: Millis) {
+fn record_metrics(shared: &Shared, called: &Called, took: Millis) {
     let (name, outcome) = match called {
         Called::Start(StartAnswer::Runs(_)) => {
             shared.metrics.start_seconds.observe(took.duration().as_secs_f64());
--- a/crates/hollowford-node/src/compression.rs
+++ b/crates/hollowford-node/src/compression.rs
@@ -18,12 +18,12 @@
 /// Returns the bytes that [`compress`] was given.
 ///
 /// # Errors
-/// When they are not packed so, or come to more than `most`: a broken peer must not fill this
+/// When they are not packed so, or come to more than `max_bytes`: a broken peer must not fill this
 /// process's memory.
-pub fn decompress(packed: &[u8], most: usize) -> Result<Vec<u8>, Error> {
+pub fn decompress(packed: &[u8], max_bytes: usize) -> Result<Vec<u8>, Error> {
     let mut bytes = Vec::new();
-    DeflateDecoder::new(packed).take(most as u64 + 1).read_to_end(&mut bytes)?;
-    if bytes.len() > most {
+    DeflateDecoder::new(packed).take(max_bytes as u64 + 1).read_to_end(&mut bytes)?;
+    if bytes.len() > max_bytes {
         return Err(Error::new(ErrorKind::InvalidData, "unpacks to too much"));
     }
     Ok(bytes)
--- a/crates/hollowford-node/src/compression_tests.rs
+++ b/crates/hollowford-node/src/compression_tests.rs
@@ -4,7 +4,7 @@
 use crate::compression::{compress, decompress};
 
 /// More than any of these tests unpacks.
-const MOST: usize = 1 << 20;
+const MAX_BYTES: usize = 1 << 20;
 
 /// A text of so many routes, as much alike as those of a configuration are.
 fn routes(count: u32) -> Vec<u8> {
@@ -23,7 +23,7 @@
     for count in [0, 1, 933] {
         let bytes = routes(count);
         let packed = compress(&bytes).expect("packed");
-        assert_eq!(decompress(&packed, MOST).expect("unpacked"), bytes);
+        assert_eq!(decompress(&packed, MAX_BYTES).expect("unpacked"), bytes);
     }
     let empty = compress(&[]).expect("packed");
     assert!(decompress(&empty, 0).expect("unpacked").is_empty());
@@ -39,12 +39,12 @@
 
 #[test]
 fn bytes_that_are_not_packed_are_an_error() {
-    assert!(decompress(br#"{"version":7}"#, MOST).is_err());
+    assert!(decompress(br#"{"version":7}"#, MAX_BYTES).is_err());
 }
 
 #[test]
 fn bytes_that_unpack_to_too_much_are_an_error() {
-    let packed = compress(&vec![0; MOST + 1]).expect("packed");
-    assert!(packed.len() < MOST / 100);
-    assert!(decompress(&packed, MOST).is_err());
+    let packed = compress(&vec![0; MAX_BYTES + 1]).expect("packed");
+    assert!(packed.len() < MAX_BYTES / 100);
+    assert!(decompress(&packed, MAX_BYTES).is_err());
 }
--- a/crates/hollowford-node/src/delegate.rs
+++ b/crates/hollowford-node/src/delegate.rs
@@ -17,7 +17,7 @@
     let templates: Vec<Arc<str>> = frame.templates.iter().map(|t| t.as_str().into()).collect();
     for delegated in frame.calls {
         let id = delegated.id;
-        let call = match delegated.read(&templates) {
+        let call = match delegated.parse(&templates) {
             Ok(call) => call,
             Err(e) => {
                 log::error!("delegate.malformed call={id} error=\"{e}\"");
@@ -27,13 +27,13 @@
         let (shared, workers, outbox) = (shared.clone(), workers.clone(), outbox.clone());
         let limit = Millis(delegated.limit_ms);
         tokio::spawn(async move {
-            let tell = |called, _: AnswerTiming| {
+            let report = |called, _: AnswerTiming| {
                 let list = vec![Outcome::new(id, &called)];
                 // A link that has ended: the owner takes the call as unanswered.
                 outbox.send(Body::Outcomes(Outcomes { list }));
                 std::future::ready(())
             };
-            call_worker(&shared, &workers, &call, limit, tell).await;
+            call_worker(&shared, &workers, &call, limit, report).await;
         });
     }
 }
--- a/crates/hollowford-node/src/delegate_wire/convert.rs
+++ b/crates/hollowford-node/src/delegate_wire/convert.rs
@@ -34,7 +34,7 @@
                 What::Start(StartCall {
                     run: TaskRun::new(*task, *run),
                     lease_until: *lease_until,
-                    template: self.template(template),
+                    template: self.template_index(template),
                     saved: saved.to_string(),
                     ticket: ticket.to_string(),
                 })
@@ -60,7 +60,7 @@
     }
 
     /// Returns the position of a template, which is added unless it was the last one.
-    fn template(&mut self, template: &Arc<str>) -> u32 {
+    fn template_index(&mut self, template: &Arc<str>) -> u32 {
         if self.templates.last().is_none_or(|t| **t != **template) {
             self.templates.push(template.to_string());
         }
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     /// When a part is missing.
-    pub fn read(&self, templates: &[Arc<str>]) -> Result<WorkerCall, DelegateError> {
+    pub fn parse(&self, templates: &[Arc<str>]) -> Result<WorkerCall, DelegateError> {
         let incarnation = self.incarnation.map(Incarnation);
         let worker = WorkerLife::new(self.worker.as_str().into(), incarnation);
         let address = self.address.as_str().into();
@@ -126,7 +126,7 @@
     ///
     /// # Errors
     /// When it has no content.
-    pub fn read(self) -> Result<Called, DelegateError> {
+    pub fn parse(self) -> Result<Called, DelegateError> {
         Ok(match self.of.ok_or(DelegateError::Empty)? {
             OutcomeOf::Start(s) => Called::Start(start_answer(s)),
             OutcomeOf::Stop(answered) => Called::Stop(answered),
--- a/crates/hollowford-node/src/delegate_wire_tests.rs
+++ b/crates/hollowford-node/src/delegate_wire_tests.rs
@@ -60,7 +60,7 @@
     assert_eq!(read.epoch, 4);
     assert_eq!(read.templates, ["one", "two"], "each template once");
     let templates: Vec<Arc<str>> = read.templates.iter().map(|t| t.as_str().into()).collect();
-    let back: Vec<_> = read.calls.iter().map(|c| c.read(&templates).expect("a call")).collect();
+    let back: Vec<_> = read.calls.iter().map(|c| c.parse(&templates).expect("a call")).collect();
     assert_eq!(back, calls);
 }
 
@@ -68,9 +68,9 @@
 fn a_start_without_its_template_is_an_error() {
     let mut frame = Delegated::new(4);
     frame.add(0, &start(0, "one"), Millis(60));
-    assert!(frame.calls[0].read(&[]).is_err());
+    assert!(frame.calls[0].parse(&[]).is_err());
     frame.calls[0].what = None;
-    assert!(frame.calls[0].read(&[]).is_err());
+    assert!(frame.calls[0].parse(&[]).is_err());
 }
 
 #[test]
@@ -116,6 +116,6 @@
         let bytes = Outcome::new(8, &called).encode_to_vec();
         let read = Outcome::decode(&bytes[..]).expect("an outcome");
         assert_eq!(read.id, 8);
-        assert_eq!(read.read().expect("content"), called);
+        assert_eq!(read.parse().expect("content"), called);
     }
 }
--- a/crates/hollowford-node/src/delegation_tests.rs
+++ b/crates/hollowford-node/src/delegation_tests.rs
@@ -55,10 +55,10 @@
     }
 }
 
-fn delegation(members_: u64, workers: usize) -> Delegation {
+fn delegation(member_count: u64, workers: usize) -> Delegation {
     let mut d = Delegation::new(3, NOW);
     d.set_workers(&(0..workers).map(listing).collect::<Vec<_>>());
-    d.set_members(members(members_), NOW);
+    d.set_members(members(member_count), NOW);
     d
 }
 
@@ -113,11 +113,11 @@
     let links = assign(&mut d, 200, NOW);
     let lost = links.iter().filter(|&&l| l == 5).count();
     assert!(lost > 0);
-    d.left(5, NOW);
-    let told = d.overdue(true, NOW);
+    d.member_left(5, NOW);
+    let told = d.take_overdue(true, NOW);
     assert_eq!(told.len(), lost);
     assert!(told.iter().all(|t| t.called == Called::Look(LookAnswer::Unanswered)));
-    assert!(d.overdue(true, NOW).is_empty(), "once only");
+    assert!(d.take_overdue(true, NOW).is_empty(), "once only");
 }
 
 #[test]
@@ -128,7 +128,7 @@
         answer(&mut d, i, *link);
     }
     let late = NOW + Millis(2_000);
-    assert!(!d.overdue(true, late).is_empty());
+    assert!(!d.take_overdue(true, late).is_empty());
     let after = assign(&mut d, 200, late);
     assert!(after.iter().all(|&l| l != 5));
     let again = assign(&mut d, 200, late + Millis(5_000));
@@ -138,7 +138,7 @@
 /// Has a member say that the `call`-th call found nothing new.
 fn answer(d: &mut Delegation, call: usize, link: u64) -> usize {
     let outcome = Outcome::new(call as u64, &Called::Look(LookAnswer::OtherLife));
-    d.take(link, Outcomes { list: vec![outcome] }, NOW).len()
+    d.receive_outcomes(link, Outcomes { list: vec![outcome] }, NOW).len()
 }
 
 #[test]
@@ -157,11 +157,11 @@
     d.delegate(start, LIMIT, NOW);
     let link = d.last_link().expect("a call");
     let late = NOW + Millis(1_000);
-    assert_eq!(d.overdue(true, late).len(), 1);
+    assert_eq!(d.take_overdue(true, late).len(), 1);
     let runs = Outcome::new(0, &Called::Start(StartAnswer::Runs(5)));
-    let told = d.take(link, Outcomes { list: vec![runs] }, late);
+    let told = d.receive_outcomes(link, Outcomes { list: vec![runs] }, late);
     assert_eq!(told.len(), 1);
-    assert_eq!(told[0].at, AnswerTiming::Late);
+    assert_eq!(told[0].timing, AnswerTiming::Late);
     assert_eq!(told[0].sent, NOW);
 }
 
@@ -171,8 +171,8 @@
     let first = assign(&mut d, 1, NOW)[0];
     for id in 0..2 {
         let none = Outcome::new(id, &Called::Look(LookAnswer::Unanswered));
-        let told = d.take(first, Outcomes { list: vec![none] }, NOW);
-        assert_eq!(told[0].at, AnswerTiming::InTime);
+        let told = d.receive_outcomes(first, Outcomes { list: vec![none] }, NOW);
+        assert_eq!(told[0].timing, AnswerTiming::InTime);
         d.delegate(look(0), LIMIT, NOW);
     }
     assert_ne!(d.last_link().expect("a call"), first);
@@ -200,6 +200,6 @@
     let mut d = delegation(12, 200);
     let before = assign(&mut d, 200, NOW);
     let late = NOW + Millis(2_000);
-    assert!(d.overdue(false, late).is_empty());
+    assert!(d.take_overdue(false, late).is_empty());
     assert_eq!(assign(&mut d, 200, late), before, "no member is taken for silent");
 }
--- a/crates/hollowford-node/src/http_endpoints.rs
+++ b/crates/hollowford-node/src/http_endpoints.rs
@@ -17,13 +17,13 @@
 use std::sync::atomic::Ordering;
 
 /// How long a call is tried for whose caller doesn't tell how long it waits. Takeovers take less.
-const PATIENCE: Millis = Millis(2_500);
+const DEFAULT_CALL_TIMEOUT: Millis = Millis(2_500);
 /// Left of a caller's own time limit for the answer's way back.
-const WAY_BACK: Millis = Millis(60);
+const ANSWER_MARGIN: Millis = Millis(60);
 /// When to come back after a refusal, in seconds.
-const RETRY_AFTER: &str = "1";
+const RETRY_AFTER_SECONDS: &str = "1";
 /// A process that has not reached an owner for so long gets no new channels.
-const OWNER_OUT_OF_REACH: Millis = Millis(2_500);
+const OWNER_UNREACHABLE_TIMEOUT: Millis = Millis(2_500);
 
 /// Answers callers.
 #[derive(Debug)]
@@ -38,29 +38,29 @@
     }
 
     async fn answer(&self, mut req: Request) -> Response {
-        let began = self.shared.clock.now();
-        let limit = deadline(&req, began);
-        let call = match self.understand(&mut req).await {
+        let started_at = self.shared.clock.now();
+        let limit = deadline(&req, started_at);
+        let call = match self.parse_call(&mut req).await {
             Ok(call) => call,
             Err(status) => {
                 log::info!("call.refused path={} status={}", req.uri().path(), status.as_u16());
-                return self.plain(status, "refused", began);
+                return self.respond_empty(status, "refused", started_at);
             }
         };
         let (verb, job, config) = (call.verb(), JobId(call.job), call.config);
         let relayed = self.relay(call, limit).await;
-        let resp = self.respond(verb, relayed, began);
+        let resp = self.respond(verb, relayed, started_at);
         let status = resp.status();
         let changes = matches!(verb, Verb::Submit | Verb::Cancel);
         if changes || status.is_server_error() {
-            let took = self.shared.clock.now().since(began);
+            let took = self.shared.clock.now().since(started_at);
             log::info!(
                 "call.answered verb={} job={job} status={} config={config} owner={relayed:?} \
                  took_ms={} limit_ms={}",
                 verb.name(),
                 status.as_u16(),
                 took.0,
-                limit.since(began).0
+                limit.since(started_at).0
             );
         }
         resp
@@ -69,7 +69,7 @@
     /// Sends a call to the owner of its job's partition, or a count to all owners.
     async fn relay(&self, call: Call, limit: Millis) -> Relayed {
         if call.verb() == Verb::Waiting {
-            return self.count(call, limit).await;
+            return self.count_waiting(call, limit).await;
         }
         match self.shared.partition_of(&call.account, JobId(call.job)) {
             Some(partition) => relay(&self.shared, partition, call, limit).await,
@@ -78,7 +78,7 @@
     }
 
     /// Adds up the counts of all partitions; if one of them isn't told, none is.
-    async fn count(&self, call: Call, limit: Millis) -> Relayed {
+    async fn count_waiting(&self, call: Call, limit: Millis) -> Relayed {
         let partitions = self.shared.partitions();
         let counts = partitions.iter().map(|p| relay(&self.shared, p, call.clone(), limit));
         let mut sum = None;
@@ -92,12 +92,12 @@
     }
 
     /// Reads what the caller wants of the owner, or the status that refuses it.
-    async fn understand(&self, req: &mut Request) -> Result<Call, StatusCode> {
+    async fn parse_call(&self, req: &mut Request) -> Result<Call, StatusCode> {
         let config = self.shared.config.load_full().ok_or(StatusCode::SERVICE_UNAVAILABLE)?;
         let (route, rest) = find_route(&config, req).ok_or(StatusCode::NOT_FOUND)?;
-        let what = parse_request_path(&rest).ok_or(StatusCode::BAD_REQUEST)?;
-        let mut call = self.identify(&config, route, req)?;
-        let CallerRequest::Job(JobId(job)) = what else {
+        let request = parse_request_path(&rest).ok_or(StatusCode::BAD_REQUEST)?;
+        let mut call = self.authorize(&config, route, req)?;
+        let CallerRequest::Job(JobId(job)) = request else {
             call.set_verb(Verb::Waiting);
             let get = *req.method() == Method::GET;
             return if get { Ok(call) } else { Err(StatusCode::METHOD_NOT_ALLOWED) };
@@ -117,7 +117,7 @@
 
     /// Begins a call with the client account that it is made for. An unknown key is refused at once,
     /// unless this process knows that it is behind: then the owner decides.
-    fn identify(&self, config: &Config, route: &Route, req: &Request) -> Result<Call, StatusCode> {
+    fn authorize(&self, config: &Config, route: &Route, req: &Request) -> Result<Call, StatusCode> {
         let credential = client_credential(|name| req.header(name));
         let mut call =
             Call { queue: route.queue.to_string(), config: config.version, ..Call::default() };
@@ -130,49 +130,63 @@
         Ok(call)
     }
 
-    fn respond(&self, verb: Verb, relayed: Relayed, began: Millis) -> Response {
+    fn respond(&self, verb: Verb, relayed: Relayed, started_at: Millis) -> Response {
         let verb_name = verb.name();
         match relayed {
-            Relayed::Said(Said::Done, _) => self.plain(StatusCode::OK, verb_name, began),
+            Relayed::Said(Said::Done, _) => {
+                self.respond_empty(StatusCode::OK, verb_name, started_at)
+            }
             Relayed::Said(Said::Value, value) => {
                 let body = if verb == Verb::State {
-                    state_of(value).map(encode_state)
+                    decode_state(value).map(encode_state)
                 } else {
                     Some(encode_waiting(value))
                 };
                 match body {
-                    Some(body) => self.finish(StatusCode::OK, verb_name, began, body),
-                    None => self.plain(StatusCode::INTERNAL_SERVER_ERROR, verb_name, began),
+                    Some(body) => self.respond_with(StatusCode::OK, verb_name, started_at, body),
+                    None => {
+                        self.respond_empty(StatusCode::INTERNAL_SERVER_ERROR, verb_name, started_at)
+                    }
                 }
             }
             Relayed::Said(Said::UnknownKey, _) => {
-                self.plain(StatusCode::UNAUTHORIZED, verb_name, began)
+                self.respond_empty(StatusCode::UNAUTHORIZED, verb_name, started_at)
+            }
+            Relayed::Said(Said::NotYours, _) => {
+                self.respond_empty(StatusCode::CONFLICT, verb_name, started_at)
+            }
+            Relayed::Said(Said::NoJob, _) => {
+                self.respond_empty(StatusCode::GONE, verb_name, started_at)
             }
-            Relayed::Said(Said::NotYours, _) => self.plain(StatusCode::CONFLICT, verb_name, began),
-            Relayed::Said(Said::NoJob, _) => self.plain(StatusCode::GONE, verb_name, began),
             Relayed::Said(Said::Unavailable, _) | Relayed::NotSent => {
-                self.plain(StatusCode::SERVICE_UNAVAILABLE, verb_name, began)
+                self.respond_empty(StatusCode::SERVICE_UNAVAILABLE, verb_name, started_at)
             }
             Relayed::Said(..) | Relayed::Unsure => {
-                self.plain(StatusCode::GATEWAY_TIMEOUT, verb_name, began)
+                self.respond_empty(StatusCode::GATEWAY_TIMEOUT, verb_name, started_at)
             }
         }
     }
 
-    fn plain(&self, status: StatusCode, verb: &str, began: Millis) -> Response {
-        self.finish(status, verb, began, "{}".to_owned())
+    fn respond_empty(&self, status: StatusCode, verb: &str, started_at: Millis) -> Response {
+        self.respond_with(status, verb, started_at, "{}".to_owned())
     }
 
-    fn finish(&self, status: StatusCode, verb: &str, began: Millis, body: String) -> Response {
+    fn respond_with(
+        &self,
+        status: StatusCode,
+        verb: &str,
+        started_at: Millis,
+        body: String,
+    ) -> Response {
         let m = &self.shared.metrics;
         m.calls.with_label_values(&[verb, status.as_str()]).inc();
-        let took = self.shared.clock.now().since(began);
+        let took = self.shared.clock.now().since(started_at);
         m.call_seconds.observe(took.duration().as_secs_f64());
         let mut resp =
             Response::builder().status(status).content_type("application/json").body(body);
         if status == StatusCode::SERVICE_UNAVAILABLE {
             resp.headers_mut()
-                .insert(header::RETRY_AFTER, header::HeaderValue::from_static(RETRY_AFTER));
+                .insert(header::RETRY_AFTER, header::HeaderValue::from_static(RETRY_AFTER_SECONDS));
         }
         if self.shared.is_stopping() {
             resp.headers_mut()
@@ -183,16 +197,16 @@
 }
 
 /// Counts a request as open for as long as it lives, also when its caller goes away.
-struct OpenCall<'a>(&'a Shared);
+struct OpenCallGuard<'a>(&'a Shared);
 
-impl OpenCall<'_> {
-    fn new(shared: &Shared) -> OpenCall<'_> {
+impl OpenCallGuard<'_> {
+    fn new(shared: &Shared) -> OpenCallGuard<'_> {
         shared.open_calls.fetch_add(1, Ordering::Relaxed);
-        OpenCall(shared)
+        OpenCallGuard(shared)
     }
 }
 
-impl Drop for OpenCall<'_> {
+impl Drop for OpenCallGuard<'_> {
     fn drop(&mut self) {
         self.0.open_calls.fetch_sub(1, Ordering::Relaxed);
     }
@@ -202,7 +216,7 @@
     type Output = Response;
 
     async fn call(&self, req: Request) -> poem::Result<Response> {
-        let _open = OpenCall::new(&self.shared);
+        let _open = OpenCallGuard::new(&self.shared);
         Ok(self.answer(req).await)
     }
 }
@@ -210,12 +224,12 @@
 /// Returns until when a call is tried for.
 fn deadline(req: &Request, now: Millis) -> Millis {
     let limit = client_timeout(|name| req.header(name));
-    now + limit.map_or(PATIENCE, |l| l.since(WAY_BACK))
+    now + limit.map_or(DEFAULT_CALL_TIMEOUT, |l| l.since(ANSWER_MARGIN))
 }
 
 /// Reads a job that is handed in, or the status that refuses it.
-async fn read_job(req: &mut Request, job: JobId, most: usize) -> Result<Vec<u8>, StatusCode> {
-    let body = req.take_body().into_bytes_limit(most).await;
+async fn read_job(req: &mut Request, job: JobId, max_bytes: usize) -> Result<Vec<u8>, StatusCode> {
+    let body = req.take_body().into_bytes_limit(max_bytes).await;
     let body = body.map_err(|_| StatusCode::PAYLOAD_TOO_LARGE)?;
     let spec = decode_job(&body).map_err(|e| {
         log::info!("job.invalid job={job} error=\"{e}\"");
@@ -235,7 +249,7 @@
 }
 
 /// Reads a state that the owner told.
-fn state_of(value: u64) -> Option<JobState> {
+fn decode_state(value: u64) -> Option<JobState> {
     JobState::from_code(u32::try_from(value).ok()?).ok()
 }
 
@@ -257,7 +271,7 @@
 
     async fn call(&self, req: Request) -> poem::Result<Response> {
         let s = &self.shared;
-        let reached = s.max_owner_age() < OWNER_OUT_OF_REACH;
+        let reached = s.max_owner_age() < OWNER_UNREACHABLE_TIMEOUT;
         let ready = s.config_version() > 0 && !s.is_stopping() && reached;
         let status = match req.uri().path() {
             READY_PATH if ready => StatusCode::OK,
--- a/crates/hollowford-node/src/inbox.rs
+++ b/crates/hollowford-node/src/inbox.rs
@@ -29,7 +29,7 @@
         /// When it was sent.
         sent: Millis,
         /// Whether it came in time.
-        at: AnswerTiming,
+        timing: AnswerTiming,
     },
     /// What came of calls to workers that a member has made.
     Outcomes(LinkId, Outcomes),
@@ -47,7 +47,7 @@
         /// Its number.
         batch: u64,
         /// What came of it.
-        written: BatchOutcome,
+        outcome: BatchOutcome,
     },
     /// The platform's list of workers.
     WorkerList(Vec<WorkerListing>),
@@ -58,7 +58,7 @@
     /// A link has ended.
     Left(LinkId),
     /// A member's heartbeat.
-    Heartbeat(LinkId, MemberBeat),
+    HeartbeatReceived(LinkId, MemberBeat),
     /// Hand the partition over; told when that is done.
     Stop(oneshot::Sender<()>),
 }
--- a/crates/hollowford-node/src/logs.rs
+++ b/crates/hollowford-node/src/logs.rs
@@ -12,21 +12,21 @@
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 
 /// Lines that wait to be written.
-const QUEUE: usize = 4_096;
+const QUEUE_CAPACITY: usize = 4_096;
 /// Lines about decisions in one second. A busy owner decides some 600 times a second.
-const DECISIONS_PER_S: u32 = 1_500;
+const MAX_DECISIONS_PER_S: u32 = 1_500;
 /// Bytes kept for one line before it is handed over.
-const LINE: usize = 256;
+const LINE_CAPACITY: usize = 256;
 
 /// Stack of the writing thread in bytes; it only copies lines.
-const STACK: usize = 64 << 10;
+const WRITER_STACK_BYTES: usize = 64 << 10;
 
 /// Lines dropped since the start.
-static DROPPED: AtomicU64 = AtomicU64::new(0);
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
 /// Returns how many lines were dropped since the start.
 pub fn dropped_lines() -> u64 {
-    DROPPED.load(Ordering::Relaxed)
+    DROPPED_LINES.load(Ordering::Relaxed)
 }
 
 /// Starts logging. Called once, before anything is logged.
@@ -34,10 +34,10 @@
 /// # Errors
 /// When the writing thread can't be started.
 pub fn init() -> io::Result<()> {
-    let (tx, rx) = sync_channel(QUEUE);
+    let (tx, rx) = sync_channel(QUEUE_CAPACITY);
     std::thread::Builder::new()
         .name("log".to_owned())
-        .stack_size(STACK)
+        .stack_size(WRITER_STACK_BYTES)
         .spawn(move || write_all(&rx, &mut io::stdout()))?;
     Builder::from_env(Env::default().default_filter_or("info"))
         .target(Target::Pipe(Box::new(QueueWriter { tx, line: Vec::new() })))
@@ -74,9 +74,9 @@
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         self.line.extend_from_slice(buf);
         if self.line.ends_with(b"\n") {
-            let line = std::mem::replace(&mut self.line, Vec::with_capacity(LINE));
+            let line = std::mem::replace(&mut self.line, Vec::with_capacity(LINE_CAPACITY));
             if self.tx.try_send(line).is_err() {
-                DROPPED.fetch_add(1, Ordering::Relaxed);
+                DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
             }
         }
         Ok(buf.len())
@@ -91,28 +91,28 @@
 #[derive(Debug)]
 pub struct DecisionLog {
     limit: u32,
-    second: Millis,
-    written: u32,
-    left_out: u64,
+    second_start: Millis,
+    written_in_second: u32,
+    suppressed: u64,
 }
 
 impl Default for DecisionLog {
     fn default() -> DecisionLog {
-        DecisionLog::new(DECISIONS_PER_S)
+        DecisionLog::new(MAX_DECISIONS_PER_S)
     }
 }
 
 impl DecisionLog {
     /// Makes a log that takes `limit` lines in one second.
     pub fn new(limit: u32) -> DecisionLog {
-        DecisionLog { limit, second: Millis(0), written: 0, left_out: 0 }
+        DecisionLog { limit, second_start: Millis(0), written_in_second: 0, suppressed: 0 }
     }
 
     /// Writes what was decided, one line each, as far as the limit allows.
     pub fn write(&mut self, decisions: &[impl Display], now: Millis) {
-        let left_out = self.take_left_out(now);
-        if left_out > 0 {
-            log::warn!("log.left_out lines={left_out}");
+        let suppressed = self.take_suppressed(now);
+        if suppressed > 0 {
+            log::warn!("log.left_out lines={suppressed}");
         }
         for decision in decisions {
             if self.admit(now) {
@@ -123,22 +123,22 @@
 
     /// Tells whether a line may be written at `now`, and counts it.
     pub fn admit(&mut self, now: Millis) -> bool {
-        if now.since(self.second) >= Millis(1_000) {
-            self.second = now;
-            self.written = 0;
+        if now.since(self.second_start) >= Millis(1_000) {
+            self.second_start = now;
+            self.written_in_second = 0;
         }
-        let admitted = self.written < self.limit;
+        let admitted = self.written_in_second < self.limit;
         if admitted {
-            self.written += 1;
+            self.written_in_second += 1;
         } else {
-            self.left_out += 1;
+            self.suppressed += 1;
         }
         admitted
     }
 
     /// Returns how many lines were left out, once their second is over.
-    pub fn take_left_out(&mut self, now: Millis) -> u64 {
-        let over = now.since(self.second) >= Millis(1_000);
-        if over { std::mem::take(&mut self.left_out) } else { 0 }
+    pub fn take_suppressed(&mut self, now: Millis) -> u64 {
+        let is_over = now.since(self.second_start) >= Millis(1_000);
+        if is_over { std::mem::take(&mut self.suppressed) } else { 0 }
     }
 }
--- a/crates/hollowford-node/src/mass_join_tests.rs
+++ b/crates/hollowford-node/src/mass_join_tests.rs
@@ -16,26 +16,26 @@
 use yare::parameterized;
 
 /// One step of the clock, in milliseconds.
-const STEP: u64 = 1;
+const STEP_MS: u64 = 1;
 /// When the partition gets its owner.
-const BEGAN: u64 = 5_000;
+const OWNER_START_MS: u64 = 5_000;
 /// The owner's loop gets so much processor in a step, in microseconds: half of its core, since what it
 /// has others do for it wants the other half.
-const GETS_US: i64 = 500;
+const OWNER_CPU_US_PER_STEP: i64 = 500;
 /// What it takes of that to take a link, or to answer a question over a new one.
 const LINK_US: i64 = 200;
 /// What it takes to send or to take a frame.
 const FRAME_US: i64 = 25;
 /// Workers of the partition for each instance, and what it takes to claim one.
-const WORKERS_EACH: i64 = 2;
+const WORKERS_PER_INSTANCE: i64 = 2;
 const CLAIM_US: i64 = 100;
 /// By then all have joined for long, in milliseconds.
-const SETTLED: u64 = 8_000;
+const SETTLE_MS: u64 = 8_000;
 /// An owner that says nothing is missed within this time by those that take over first.
-const MISSED_WITHIN: u64 = 600;
+const MAX_DETECTION_MS: u64 = 600;
 
 /// What waits for the owner.
-enum Work {
+enum OwnerWork {
     /// A link of a member.
     Join(usize),
     /// A member's heartbeat.
@@ -53,24 +53,24 @@
     asked: Option<bool>,
     beat_sent: u64,
     /// When it has left the owner, and how.
-    parted: Option<(u64, Judged)>,
+    left: Option<(u64, Judged)>,
 }
 
-struct Scene {
+struct Simulation {
     now: u64,
     members: Members,
     followers: Vec<Follower>,
-    work: VecDeque<Work>,
+    work: VecDeque<OwnerWork>,
     /// Processor that the owner has used ahead, in microseconds.
-    owes_us: i64,
+    cpu_debt_us: i64,
     /// The owner does nothing any more.
     stopped: bool,
 }
 
 const KNOWN: ConfigKnown = ConfigKnown { version: 1, age: Millis(0) };
 
-impl Scene {
-    fn new(instances: usize) -> Scene {
+impl Simulation {
+    fn new(instances: usize) -> Simulation {
         let follower = |_| {
             let (outbox, rx) = Outbox::to_test();
             Follower {
@@ -79,24 +79,24 @@
                 hearing: None,
                 asked: None,
                 beat_sent: 0,
-                parted: None,
+                left: None,
             }
         };
-        Scene {
-            now: BEGAN,
+        Simulation {
+            now: OWNER_START_MS,
             members: Members::new(OwnerInfo::default(), 1),
             followers: (0..instances).map(follower).collect(),
             work: VecDeque::new(),
-            owes_us: 0,
+            cpu_debt_us: 0,
             stopped: false,
         }
     }
 
     /// Plays so many milliseconds.
-    fn play(&mut self, ms: u64) {
-        for _ in 0..ms / STEP {
-            self.now += STEP;
-            self.connect();
+    fn advance(&mut self, ms: u64) {
+        for _ in 0..ms / STEP_MS {
+            self.now += STEP_MS;
+            self.open_links();
             if !self.stopped {
                 self.work();
             }
@@ -105,9 +105,9 @@
     }
 
     /// Those that are told now open their links.
-    fn connect(&mut self) {
+    fn open_links(&mut self) {
         let told_every = TOLD_EVERY.as_millis() as u64;
-        let since = self.now - BEGAN - STEP;
+        let since = self.now - OWNER_START_MS - STEP_MS;
         if !since.is_multiple_of(told_every) {
             return;
         }
@@ -115,32 +115,33 @@
         let end = (first + TOLD_AT_A_TIME).min(self.followers.len());
         for i in first..end {
             self.followers[i].hearing = Some(Hearing::new(Millis(self.now)));
-            self.work.push_back(Work::Join(i));
+            self.work.push_back(OwnerWork::Join(i));
         }
     }
 
     /// The owner does what its processor allows.
     fn work(&mut self) {
         // Claims go on beside, for as long as they take.
-        let claims_us = self.followers.len() as i64 * WORKERS_EACH * CLAIM_US;
-        let claiming = ((self.now - BEGAN) as i64) * GETS_US < claims_us;
-        self.owes_us -= if claiming { GETS_US } else { 2 * GETS_US };
-        if self.owes_us < 0 {
+        let claims_us = self.followers.len() as i64 * WORKERS_PER_INSTANCE * CLAIM_US;
+        let claiming = ((self.now - OWNER_START_MS) as i64) * OWNER_CPU_US_PER_STEP < claims_us;
+        self.cpu_debt_us -=
+            if claiming { OWNER_CPU_US_PER_STEP } else { 2 * OWNER_CPU_US_PER_STEP };
+        if self.cpu_debt_us < 0 {
             let before = self.sent();
             self.members.tick(Millis(self.now), KNOWN, false);
-            self.owes_us += (self.sent() - before) as i64 * FRAME_US;
+            self.cpu_debt_us += (self.sent() - before) as i64 * FRAME_US;
         }
-        while self.owes_us < 0 {
+        while self.cpu_debt_us < 0 {
             let Some(work) = self.work.pop_front() else { break };
-            self.owes_us += self.do_one(work);
+            self.cpu_debt_us += self.process(work);
         }
-        self.owes_us = self.owes_us.max(-GETS_US);
+        self.cpu_debt_us = self.cpu_debt_us.max(-OWNER_CPU_US_PER_STEP);
     }
 
     /// Returns what it takes of the processor.
-    fn do_one(&mut self, work: Work) -> i64 {
+    fn process(&mut self, work: OwnerWork) -> i64 {
         match work {
-            Work::Join(i) => {
+            OwnerWork::Join(i) => {
                 let Some(outbox) = self.followers[i].outbox.take() else { return LINK_US };
                 let address = format!("10.0.{}.{}:7000", i / 250, i % 250);
                 let hello = Hello { address, cpu_milli: 1_000, age_ms: 1, ..Hello::default() };
@@ -149,11 +150,11 @@
                 self.members.greet(i as u64, KNOWN);
                 LINK_US + (self.sent() - before) as i64 * FRAME_US
             }
-            Work::Beat(i) => {
+            OwnerWork::Beat(i) => {
                 self.members.beat(i as u64, &MemberBeat::default(), Millis(self.now));
                 FRAME_US
             }
-            Work::Question(i) => {
+            OwnerWork::Question(i) => {
                 self.followers[i].asked = self.followers[i].asked.map(|_| true);
                 LINK_US
             }
@@ -168,7 +169,7 @@
     fn follow(&mut self, i: usize) {
         let now = Millis(self.now);
         let f = &mut self.followers[i];
-        let Some(hearing) = f.hearing.as_mut().filter(|_| f.parted.is_none()) else { return };
+        let Some(hearing) = f.hearing.as_mut().filter(|_| f.left.is_none()) else { return };
         while let Ok(frame) = f.rx.try_recv() {
             hearing.note(now);
             f.asked = None;
@@ -183,20 +184,20 @@
         match hearing.judge(now) {
             Judged::Quiet if f.asked.is_none() => {
                 f.asked = Some(false);
-                self.work.push_back(Work::Question(i));
+                self.work.push_back(OwnerWork::Question(i));
             }
-            Judged::Silent => f.parted = Some((self.now, Judged::Silent)),
+            Judged::Silent => f.left = Some((self.now, Judged::Silent)),
             _ => {}
         }
         if self.now - f.beat_sent >= hearing.pace().0 {
             f.beat_sent = self.now;
-            self.work.push_back(Work::Beat(i));
+            self.work.push_back(OwnerWork::Beat(i));
         }
     }
 
     /// Returns when members have left the owner, in turn.
-    fn parted(&self) -> Vec<u64> {
-        let mut at: Vec<_> = self.followers.iter().filter_map(|f| Some(f.parted?.0)).collect();
+    fn left(&self) -> Vec<u64> {
+        let mut at: Vec<_> = self.followers.iter().filter_map(|f| Some(f.left?.0)).collect();
         at.sort_unstable();
         at
     }
@@ -208,10 +209,10 @@
     twice_the_fleet = { 1_176 },
 )]
 fn no_member_leaves_an_owner_that_lives(instances: usize) {
-    let mut scene = Scene::new(instances);
-    scene.play(SETTLED);
-    assert_eq!(scene.parted(), Vec::<u64>::new());
-    assert!(scene.followers.iter().all(|f| f.outbox.is_none()), "all have joined");
+    let mut simulation = Simulation::new(instances);
+    simulation.advance(SETTLE_MS);
+    assert_eq!(simulation.left(), Vec::<u64>::new());
+    assert!(simulation.followers.iter().all(|f| f.outbox.is_none()), "all have joined");
 }
 
 #[parameterized(
@@ -220,12 +221,12 @@
     twice_the_fleet = { 1_176 },
 )]
 fn those_that_take_over_first_miss_an_owner_in_time(instances: usize) {
-    let mut scene = Scene::new(instances);
-    scene.play(SETTLED);
-    scene.stopped = true;
-    let stopped = scene.now;
-    scene.play(5_000);
-    let parted = scene.parted();
-    assert_eq!(parted.len(), instances, "all miss it");
-    assert!(parted[7] <= stopped + MISSED_WITHIN, "{:?} after {stopped}", &parted[..8]);
+    let mut simulation = Simulation::new(instances);
+    simulation.advance(SETTLE_MS);
+    simulation.stopped = true;
+    let stopped = simulation.now;
+    simulation.advance(5_000);
+    let left = simulation.left();
+    assert_eq!(left.len(), instances, "all miss it");
+    assert!(left[7] <= stopped + MAX_DETECTION_MS, "{:?} after {stopped}", &left[..8]);
 }
--- a/crates/hollowford-node/src/metrics.rs
+++ b/crates/hollowford-node/src/metrics.rs
@@ -6,7 +6,8 @@
 };
 
 /// Bounds of the latency histograms, in seconds.
-const BUCKETS: &[f64] = &[0.002, 0.005, 0.01, 0.02, 0.04, 0.08, 0.15, 0.25, 0.5, 1.0, 2.5, 5.0];
+const LATENCY_BUCKETS_S: &[f64] =
+    &[0.002, 0.005, 0.01, 0.02, 0.04, 0.08, 0.15, 0.25, 0.5, 1.0, 2.5, 5.0];
 
 /// All metrics of a process.
 #[derive(Debug)]
@@ -87,7 +88,7 @@
         };
         let gauges = |name: &str, help: &str| gauges_by(name, help, &["partition"]);
         let seconds = |name: &str, help: &str| {
-            let opts = HistogramOpts::new(name, help).buckets(BUCKETS.to_vec());
+            let opts = HistogramOpts::new(name, help).buckets(LATENCY_BUCKETS_S.to_vec());
             let h = Histogram::with_opts(opts)?;
             r.register(Box::new(h.clone()))?;
             Ok::<_, prometheus::Error>(h)
--- a/crates/hollowford-node/src/node.rs
+++ b/crates/hollowford-node/src/node.rs
@@ -23,16 +23,16 @@
 use tokio::time::{sleep, timeout};
 
 /// Idle channels of callers are closed after this time.
-const CALLER_IDLE: Duration = Duration::from_secs(75);
+const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(75);
 /// A stopping owner waits so long for its hand-over.
-const HAND_OVER: Duration = Duration::from_millis(1_600);
+const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(1_600);
 /// A stopping process takes new channels for so long: the balancer asks every second, and
 /// stops sending after two refusals.
-const LINGER: Duration = Duration::from_millis(2_600);
+const DRAIN_TIME: Duration = Duration::from_millis(2_600);
 /// How often it looks whether requests are open, and the time for the last bytes to leave.
-const LAST_CHECK: Duration = Duration::from_millis(40);
+const OPEN_CALLS_CHECK_INTERVAL: Duration = Duration::from_millis(40);
 /// Longest time for answers that are open when it stops taking channels.
-const LAST_ANSWERS: Duration = Duration::from_millis(2_600);
+const OPEN_CALLS_TIMEOUT: Duration = Duration::from_millis(2_600);
 
 /// Why a process can't run.
 #[derive(Debug, thiserror::Error)]
@@ -98,7 +98,7 @@
         let addr = SocketAddr::new(addresses.peers.ip(), port);
         servers.spawn(serve(addr, MetricsEndpoint::new(shared.clone()), stopped));
     }
-    start_duties(&shared, options.workers_each, listener, hup);
+    start_tasks(&shared, options.workers_each, listener, hup);
     tokio::select! {
         _ = term.recv() => {}
         Some(ended) = servers.join_next() => {
@@ -108,12 +108,12 @@
             }
         }
     }
-    end(&shared, &stop).await;
+    shut_down(&shared, &stop).await;
     Ok(())
 }
 
 /// Starts what runs until the process ends.
-fn start_duties(
+fn start_tasks(
     shared: &Arc<Shared>,
     workers_each: NonZeroUsize,
     listener: TcpListener,
@@ -138,15 +138,15 @@
 }
 
 /// Ends the process's service without cutting a request.
-async fn end(shared: &Shared, stop: &channel::Sender<bool>) {
+async fn shut_down(shared: &Shared, stop: &channel::Sender<bool>) {
     log::info!("process.stopping");
     shared.stopping.store(true, Ordering::Relaxed);
-    let began = shared.clock.now();
-    hand_over(shared).await;
-    sleep(LINGER.saturating_sub(shared.clock.now().since(began).duration())).await;
+    let started_at = shared.clock.now();
+    hand_over_partitions(shared).await;
+    sleep(DRAIN_TIME.saturating_sub(shared.clock.now().since(started_at).duration())).await;
     // No new channels from here on, and the channels that are idle are closed.
     let _ = stop.send(true);
-    answer_the_last(shared).await;
+    drain_open_calls(shared).await;
     log::info!("process.stopped");
 }
 
@@ -170,25 +170,25 @@
         let _ = stopped.wait_for(|&s| s).await;
     };
     poem::Server::new(PoemListener::bind(addr.to_string()))
-        .idle_timeout(CALLER_IDLE)
-        .run_with_graceful_shutdown(endpoint, signal, Some(LAST_ANSWERS))
+        .idle_timeout(CALLER_IDLE_TIMEOUT)
+        .run_with_graceful_shutdown(endpoint, signal, Some(OPEN_CALLS_TIMEOUT))
         .await
         .map_err(|error| NodeError::Bind { addr, error })
 }
 
 /// Waits until all requests are answered, and the answers are on their way.
-async fn answer_the_last(shared: &Shared) {
-    let began = shared.clock.now();
+async fn drain_open_calls(shared: &Shared) {
+    let started_at = shared.clock.now();
     while shared.open_calls.load(Ordering::Relaxed) > 0
-        && shared.clock.now().since(began).duration() < LAST_ANSWERS
+        && shared.clock.now().since(started_at).duration() < OPEN_CALLS_TIMEOUT
     {
-        sleep(LAST_CHECK).await;
+        sleep(OPEN_CALLS_CHECK_INTERVAL).await;
     }
-    sleep(LAST_CHECK).await;
+    sleep(OPEN_CALLS_CHECK_INTERVAL).await;
 }
 
 /// Hands over the partitions that this process owns.
-async fn hand_over(shared: &Shared) {
+async fn hand_over_partitions(shared: &Shared) {
     let mut handed_over = Vec::new();
     for partition in shared.partitions() {
         let Route::Local(owner) = partition.route.borrow().clone() else { continue };
@@ -196,7 +196,7 @@
         owner.send(OwnerMsg::Stop(tx)).await;
         handed_over.push(rx);
     }
-    if timeout(HAND_OVER, join_all(handed_over)).await.is_err() {
+    if timeout(HAND_OVER_TIMEOUT, join_all(handed_over)).await.is_err() {
         log::warn!("owner.hand_over timed_out=true");
     }
 }
--- a/crates/hollowford-node/src/owner.rs
+++ b/crates/hollowford-node/src/owner.rs
@@ -28,14 +28,14 @@
 use tokio::time::timeout;
 
 /// Messages taken before the engine is polled.
-const DRAIN: usize = 256;
+const MAX_MESSAGES_PER_POLL: usize = 256;
 /// Longest time between two polls of the engine.
-const TICK: Duration = Duration::from_millis(10);
+const MAX_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Members that come or go within this time are taken in together: what uses them is told the
 /// whole list each time.
-const MEMBERS_GATHER: Millis = Millis(20);
+const MEMBER_UPDATE_INTERVAL: Millis = Millis(20);
 /// Members are asked whether the store answers them once a batch hangs for so long.
-const PROBE_AFTER: Millis = Millis(300);
+const STORE_LOST_TIMEOUT: Millis = Millis(300);
 
 /// Why an owner ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -49,7 +49,7 @@
 }
 
 /// What the owner starts from.
-pub struct Start {
+pub struct RecoveredState {
     /// Who it is.
     pub info: OwnerInfo,
     /// Version of each lane's row.
@@ -57,7 +57,7 @@
     /// The engine, with what the store held.
     pub engine: Engine,
     /// The engine's time less the process's.
-    pub offset: i64,
+    pub clock_offset: i64,
 }
 
 /// The owner.
@@ -66,7 +66,7 @@
     info: OwnerInfo,
     engine: Engine,
     /// The engine's time less the process's.
-    offset: i64,
+    clock_offset: i64,
     workers: WorkerClient,
     delegation: Delegation,
     handle: OwnerHandle,
@@ -74,7 +74,7 @@
     /// Members have come or gone since those who use them were told last.
     members_changed: bool,
     /// When they were told last.
-    members_told: Millis,
+    members_updated_at: Millis,
     waiters: WaitingCalls,
     /// Empty between two polls; kept for its room.
     orders: Vec<Order>,
@@ -82,24 +82,24 @@
     batches: Batches,
     reach: Reach,
     /// Version of the configuration that the engine has.
-    config: u64,
+    config_version: u64,
     settings: watch::Receiver<NodeSettings>,
     /// When the gauges were renewed last.
-    viewed: Millis,
+    view_updated_at: Millis,
     /// The engine's counters as they were then.
-    shown: Stats,
+    reported_stats: Stats,
     giving_up: GivingUp,
     end: Option<OwnerEnd>,
 }
 
 impl Owner {
     /// Makes an owner.
-    pub fn new(cx: Cx, start: Start, handle: OwnerHandle) -> Owner {
-        let Start { info, lanes, engine, offset } = start;
+    pub fn new(cx: Cx, start: RecoveredState, handle: OwnerHandle) -> Owner {
+        let RecoveredState { info, lanes, engine, clock_offset } = start;
         let (shared, part) = (&cx.shared, cx.partition.part.clone());
         let giving_up = GivingUp::new(shared.clone(), info.epoch);
         let workers = shared.workers.with_fence(info.epoch);
-        let delegation = Delegation::new(info.epoch, engine_time(shared, offset));
+        let delegation = Delegation::new(info.epoch, engine_time(shared, clock_offset));
         let batches = Batches::new(shared.clone(), info.clone(), part, lanes, handle.clone());
         Owner {
             members: Members::new(info.clone(), shared.partition_count()),
@@ -108,19 +108,19 @@
             cx,
             info,
             engine,
-            offset,
+            clock_offset,
             workers,
             delegation,
             handle,
             members_changed: false,
-            members_told: Millis(0),
+            members_updated_at: Millis(0),
             waiters: WaitingCalls::default(),
             orders: Vec::new(),
             decisions: DecisionLog::default(),
             batches,
-            config: 0,
-            viewed: Millis(0),
-            shown: Stats::default(),
+            config_version: 0,
+            view_updated_at: Millis(0),
+            reported_stats: Stats::default(),
             giving_up,
             end: None,
         }
@@ -128,7 +128,7 @@
 
     /// Returns the engine's time.
     fn now(&self) -> Millis {
-        engine_time(&self.cx.shared, self.offset)
+        engine_time(&self.cx.shared, self.clock_offset)
     }
 
     /// Owns the partition until it is lost or given up.
@@ -136,20 +136,20 @@
         tokio::spawn(registry::follow(self.cx.clone(), self.handle.clone()));
         self.engine.set_seats(&self.members.seats());
         while self.end.is_none() {
-            if let Ok(Some(msg)) = timeout(TICK, rx.recv()).await {
-                self.take(msg);
-                for _ in 0..DRAIN {
+            if let Ok(Some(msg)) = timeout(MAX_POLL_INTERVAL, rx.recv()).await {
+                self.handle_message(msg);
+                for _ in 0..MAX_MESSAGES_PER_POLL {
                     let Ok(msg) = rx.try_recv() else { break };
-                    self.take(msg);
+                    self.handle_message(msg);
                 }
             }
-            self.act(rx.is_empty());
+            self.poll_engine(rx.is_empty());
         }
-        self.finish(rx)
+        self.shut_down(rx)
     }
 
     /// Sends all that wait to the next owner, and tells why this one ended.
-    fn finish(mut self, mut rx: mpsc::Receiver<OwnerMsg>) -> OwnerEnd {
+    fn shut_down(mut self, mut rx: mpsc::Receiver<OwnerMsg>) -> OwnerEnd {
         rx.close();
         while let Ok(msg) = rx.try_recv() {
             if let OwnerMsg::Call(call, reply) = msg {
@@ -161,22 +161,24 @@
         self.end.unwrap_or(OwnerEnd::GaveUp)
     }
 
-    fn take(&mut self, msg: OwnerMsg) {
+    fn handle_message(&mut self, msg: OwnerMsg) {
         let now = self.now();
         match msg {
-            OwnerMsg::Call(call, reply) => self.take_call(call, reply, now),
-            OwnerMsg::WorkerAnswer { call, called, sent, at } => {
-                self.take_worker(CallOutcome { call, called, sent, at }, now);
+            OwnerMsg::Call(call, reply) => self.handle_call(call, reply, now),
+            OwnerMsg::WorkerAnswer { call, called, sent, timing } => {
+                self.handle_worker_answer(CallOutcome { call, called, sent, timing }, now);
             }
             OwnerMsg::Outcomes(link, outcomes) => {
-                for delivered in self.delegation.take(link, outcomes, now) {
-                    self.take_worker(delivered, now);
+                for outcome in self.delegation.receive_outcomes(link, outcomes, now) {
+                    self.handle_worker_answer(outcome, now);
                 }
             }
             OwnerMsg::Advised { seat, step, answer } => {
                 self.engine.advised(&seat, step, answer, now);
             }
-            OwnerMsg::BatchFinished { batch, written } => self.take_written(batch, written, now),
+            OwnerMsg::BatchFinished { batch, outcome } => {
+                self.handle_batch_outcome(batch, outcome, now)
+            }
             OwnerMsg::WorkerList(list) => {
                 self.delegation.set_workers(&list);
                 self.engine.list_workers(&list, now);
@@ -192,30 +194,30 @@
             OwnerMsg::Left(link) => {
                 log::info!("member.left link={link}");
                 self.members.leave(link);
-                self.delegation.left(link, now);
+                self.delegation.member_left(link, now);
                 self.members_changed = true;
             }
-            OwnerMsg::Heartbeat(link, beat) => self.take_beat(link, &beat),
+            OwnerMsg::HeartbeatReceived(link, beat) => self.handle_heartbeat(link, &beat),
             OwnerMsg::Stop(done) => self.giving_up.stop(done),
         }
     }
 
     /// Sends the heartbeats that are due, and tells those who use the members which of them can be
     /// used, if that may have changed.
-    fn tend_members(&mut self, now: Millis) {
-        let lost = self.batches.is_uncommitted_for(PROBE_AFTER, now);
+    fn update_members(&mut self, now: Millis) {
+        let store_lost = self.batches.is_uncommitted_for(STORE_LOST_TIMEOUT, now);
         let shared = &self.cx.shared;
-        let all_told = self.members.tick(shared.clock.now(), shared.config_known(), lost);
-        let gathered = now.since(self.members_told) >= MEMBERS_GATHER;
+        let all_told = self.members.tick(shared.clock.now(), shared.config_known(), store_lost);
+        let gathered = now.since(self.members_updated_at) >= MEMBER_UPDATE_INTERVAL;
         if all_told || (self.members_changed && gathered) {
             self.members_changed = false;
-            self.members_told = now;
+            self.members_updated_at = now;
             self.engine.set_seats(&self.members.seats());
             self.delegation.set_members(self.members.delegates(), now);
         }
     }
 
-    fn take_beat(&mut self, link: LinkId, beat: &MemberBeat) {
+    fn handle_heartbeat(&mut self, link: LinkId, beat: &MemberBeat) {
         let heard = self.cx.shared.clock.now();
         self.reach.member_heard(heard);
         self.members.beat(link, beat, heard);
@@ -231,12 +233,12 @@
         }
     }
 
-    fn take_written(&mut self, batch: u64, written: BatchOutcome, now: Millis) {
-        self.batches.note(batch, &written, now);
-        match written {
+    fn handle_batch_outcome(&mut self, batch: u64, outcome: BatchOutcome, now: Millis) {
+        self.batches.record_outcome(batch, &outcome, now);
+        match outcome {
             BatchOutcome::Made { .. } => {
                 self.engine.committed(batch, now);
-                self.waiters.committed(&self.engine);
+                self.waiters.answer_committed(&self.engine);
             }
             BatchOutcome::Deposed(by) => {
                 log::warn!(
@@ -253,15 +255,15 @@
         }
     }
 
-    /// Lets the engine decide, carries out its orders and writes the next batch. `heard_all` tells
+    /// Lets the engine decide, carries out its orders and writes the next batch. `inbox_is_empty` tells
     /// that no message waits.
-    fn act(&mut self, heard_all: bool) {
+    fn poll_engine(&mut self, inbox_is_empty: bool) {
         let now = self.now();
         self.apply_config(now);
         self.cx.note_owner();
-        self.tend_members(now);
-        for delivered in self.delegation.overdue(heard_all, now) {
-            self.take_worker(delivered, now);
+        self.update_members(now);
+        for outcome in self.delegation.take_overdue(inbox_is_empty, now) {
+            self.handle_worker_answer(outcome, now);
         }
         let mut orders = std::mem::take(&mut self.orders);
         if self.end.is_none() && !self.delegation.awaits_members(now) {
@@ -278,7 +280,7 @@
         if !last_sent {
             self.batches.write_next(&mut self.engine, now);
         }
-        self.waiters.give_up(&mut self.engine, now);
+        self.waiters.answer_expired(&mut self.engine, now);
         if let Some(end) = self.reach.check(&self.batches, &self.members, now) {
             self.end = Some(end);
         }
@@ -287,7 +289,7 @@
         if let Some(end) = end {
             self.end = Some(end);
         }
-        self.renew_view(now);
+        self.update_view(now);
     }
 
     fn apply_config(&mut self, now: Millis) {
@@ -296,10 +298,10 @@
             self.engine.set_bounds(bounds);
         }
         let version = self.cx.shared.config_version();
-        if version != self.config
+        if version != self.config_version
             && let Some(config) = self.cx.shared.config.load_full()
         {
-            self.config = version;
+            self.config_version = version;
             self.engine.set_queues(&config.queues, now);
             self.set_accounts(&config);
             self.send_config();
@@ -318,7 +320,7 @@
     }
 }
 
-/// Returns the engine's time, which is ahead of the process's by `offset`.
-fn engine_time(shared: &Shared, offset: i64) -> Millis {
-    Millis((shared.clock.now().0 as i64 + offset).max(0) as u64)
+/// Returns the engine's time, which is ahead of the process's by `clock_offset`.
+fn engine_time(shared: &Shared, clock_offset: i64) -> Millis {
+    Millis((shared.clock.now().0 as i64 + clock_offset).max(0) as u64)
 }
--- a/crates/hollowford-node/src/owner/caller_calls.rs
+++ b/crates/hollowford-node/src/owner/caller_calls.rs
@@ -11,7 +11,7 @@
 impl Owner {
     /// Takes a request, or answers it at once: when it is made for nobody that is known, when this
     /// owner gives up, or when its acceptance could not be in the store in time.
-    pub(super) fn take_call(&mut self, call: Call, reply: Reply, now: Millis) {
+    pub(super) fn handle_call(&mut self, call: Call, reply: Reply, now: Millis) {
         if call.config > self.cx.shared.config_version() {
             self.cx.shared.config_wanted.notify_one();
         }
@@ -19,17 +19,17 @@
             reply.send(call.id, Said::NotOwner, 0);
             return;
         }
-        let call = match self.admit(call) {
+        let call = match self.authorize(call) {
             Ok(call) => call,
             Err((id, said)) => return reply.send(id, said, 0),
         };
         let limit = call_timeout(&call);
-        let admitted = self.batches.admits(&self.engine, limit, now);
-        self.waiters.take(&mut self.engine, call, reply, admitted, now);
+        let admitted = self.batches.admits_job(&self.engine, limit, now);
+        self.waiters.handle(&mut self.engine, call, reply, admitted, now);
     }
 
     /// Checks for whom a call is made, and names that account in it; else tells the answer.
-    fn admit(&self, mut call: Call) -> Result<Call, (u64, Said)> {
+    fn authorize(&self, mut call: Call) -> Result<Call, (u64, Said)> {
         let config = self.cx.shared.config.load();
         let config = config.as_deref();
         let has_accounts = config.is_some_and(|c| c.accounts.is_some());
@@ -38,7 +38,7 @@
         }
         match access::recheck(config, &call) {
             Access::Granted(account) if account == call.account => Ok(call),
-            Access::Granted(account) if self.is_home(account, &call) => {
+            Access::Granted(account) if self.is_home_partition(account, &call) => {
                 call.account = account.to_owned();
                 Ok(call)
             }
@@ -49,7 +49,7 @@
     }
 
     /// Tells whether jobs of an account belong here; a count is asked of all partitions.
-    fn is_home(&self, account: &str, call: &Call) -> bool {
+    fn is_home_partition(&self, account: &str, call: &Call) -> bool {
         let home = self.cx.shared.partition_of(account, JobId(call.job));
         call.verb() == Verb::Waiting || home.is_some_and(|p| p.number == self.info.partition)
     }
--- a/crates/hollowford-node/src/owner/joining_tests.rs
+++ b/crates/hollowford-node/src/owner/joining_tests.rs
@@ -4,7 +4,7 @@
 //! instance opens a link to the new owner within a few tenths of a second.
 #![allow(clippy::expect_used)]
 
-use super::{Owner, Start};
+use super::{Owner, RecoveredState};
 use crate::inbox::{OwnerHandle, OwnerMsg};
 use crate::lane::LANE_COUNT;
 use crate::link::Outbox;
@@ -25,7 +25,7 @@
     let cx = Cx { shared, partition };
     let info = cx.as_owner(EPOCH);
     let engine = Engine::new(EPOCH, cx.shared.settings.bounds, Millis(0));
-    let start = Start { info, lanes: [0; LANE_COUNT], engine, offset: 0 };
+    let start = RecoveredState { info, lanes: [0; LANE_COUNT], engine, clock_offset: 0 };
     Owner::new(cx, start, OwnerHandle::new().0)
 }
 
@@ -34,7 +34,7 @@
     let (outbox, rx) = Outbox::to_test();
     let address = format!("10.0.{}.{}:7000", link / 250, link % 250);
     let hello = Hello { address, cpu_milli: 120, ..Hello::default() };
-    owner.take(OwnerMsg::Joined(link, hello, outbox));
+    owner.handle_message(OwnerMsg::Joined(link, hello, outbox));
     rx
 }
 
@@ -44,7 +44,7 @@
 }
 
 #[tokio::test]
-async fn a_link_that_opens_costs_as_much_however_many_there_are() {
+async fn opening_a_link_costs_the_same_with_any_number_of_links() {
     for instances in [147, 588, 1_176] {
         let mut owner = owner();
         let mut links: Vec<_> = (0..instances).map(|link| join(&mut owner, link)).collect();
@@ -56,13 +56,13 @@
 }
 
 #[tokio::test]
-async fn links_that_end_together_cost_the_others_nothing() {
+async fn links_that_close_together_cause_no_extra_heartbeats() {
     let mut owner = owner();
     let mut links: Vec<_> = (0..588).map(|link| join(&mut owner, link)).collect();
     for rx in &mut links {
         heartbeats(rx);
     }
-    (0..300).for_each(|link| owner.take(OwnerMsg::Left(link)));
+    (0..300).for_each(|link| owner.handle_message(OwnerMsg::Left(link)));
     let told: usize = links[300..].iter_mut().map(heartbeats).sum();
     assert!(told <= 288, "those that stay were told {told} times");
 }
--- a/crates/hollowford-node/src/owner/view.rs
+++ b/crates/hollowford-node/src/owner/view.rs
@@ -5,40 +5,40 @@
 use hollowford_jobs::WaitCause;
 
 /// How often the owner's gauges and its line in the log are renewed.
-const VIEW_EVERY: Millis = Millis(2_000);
+const VIEW_INTERVAL: Millis = Millis(2_000);
 /// An account that holds so much of its quota is logged.
-const AT_QUOTA_PERCENT: u64 = 95;
+const NEAR_QUOTA_PERCENT: u64 = 95;
 /// A step of a job that was accepted so long ago is logged while it waits.
-const WAITED_LONG: Millis = Millis(3_000);
+const MIN_LOGGED_WAIT: Millis = Millis(3_000);
 /// Most steps that are logged so at a time.
-const MOST_WAIT_LINES: usize = 8;
+const MAX_WAIT_LINES: usize = 8;
 /// Most accounts that are logged so at a time.
-const MOST_QUOTA_LINES: usize = 8;
+const MAX_QUOTA_LINES: usize = 8;
 
 impl Owner {
     /// Renews the gauges and the lines in the log, every now and then.
-    pub(super) fn renew_view(&mut self, now: Millis) {
-        if now.since(self.viewed) < VIEW_EVERY {
+    pub(super) fn update_view(&mut self, now: Millis) {
+        if now.since(self.view_updated_at) < VIEW_INTERVAL {
             return;
         }
-        self.viewed = now;
+        self.view_updated_at = now;
         let view = self.engine.view(now);
         let (metrics, part) = (&self.cx.shared.metrics, [self.cx.partition.part.as_str()]);
         metrics.open_jobs.with_label_values(&part).set(view.open_jobs as i64);
         metrics.lost_permille.with_label_values(&part).set(i64::from(view.lost_permille));
         metrics.usable_workers.with_label_values(&part).set(view.usable_workers as i64);
-        let crashes = view.stats.crashes - self.shown.crashes;
+        let crashes = view.stats.crashes - self.reported_stats.crashes;
         metrics.worker_crashes.with_label_values(&part).inc_by(crashes);
-        let crashing_jobs = view.stats.crashing_jobs - self.shown.crashing_jobs;
+        let crashing_jobs = view.stats.crashing_jobs - self.reported_stats.crashing_jobs;
         metrics.crashing_jobs.with_label_values(&part).inc_by(crashing_jobs);
-        self.shown = view.stats;
-        self.renew_account_view();
-        self.renew_waits(now);
+        self.reported_stats = view.stats;
+        self.update_account_usage();
+        self.update_step_waits(now);
         log::info!("owner.view partition={} {view}", self.info.partition);
     }
 
     /// Renews the gauges of what steps wait for, and logs those that have waited long.
-    fn renew_waits(&mut self, now: Millis) {
+    fn update_step_waits(&mut self, now: Millis) {
         let part = self.cx.partition.part.clone();
         let gauge = &self.cx.shared.metrics.waiting_steps;
         let waits = self.engine.step_waits(now);
@@ -46,19 +46,19 @@
             let count = waits.iter().filter(|w| w.cause == cause).count();
             gauge.with_label_values(&[part.as_str(), cause.name()]).set(count as i64);
         }
-        for w in waits.iter().filter(|w| w.age >= WAITED_LONG).take(MOST_WAIT_LINES) {
+        for w in waits.iter().filter(|w| w.age >= MIN_LOGGED_WAIT).take(MAX_WAIT_LINES) {
             log::info!("step.waits partition={part} {w}");
         }
     }
 
     /// Renews the gauges of the client accounts with a quota, and logs those that are at theirs.
-    fn renew_account_view(&mut self) {
+    fn update_account_usage(&mut self) {
         let part = self.cx.partition.part.clone();
         let gauge = &self.cx.shared.metrics.account_used_milli;
         let mut lines = 0;
         for a in self.engine.account_uses() {
             gauge.with_label_values(&[part.as_str(), &a.name]).set(a.used.cpu_milli as i64);
-            if a.is_over(AT_QUOTA_PERCENT) && lines < MOST_QUOTA_LINES {
+            if a.is_over(NEAR_QUOTA_PERCENT) && lines < MAX_QUOTA_LINES {
                 lines += 1;
                 log::info!(
                     "account.at_quota partition={part} account={} used={:?} quota={:?}",
--- a/crates/hollowford-node/src/owner/worker_calls.rs
+++ b/crates/hollowford-node/src/owner/worker_calls.rs
@@ -9,9 +9,9 @@
 
 impl Owner {
     /// Takes in what came of a call to a worker, made here or by a member.
-    pub(super) fn take_worker(&mut self, delivered: CallOutcome, now: Millis) {
-        let CallOutcome { call, called, sent, at } = delivered;
-        let late = at == AnswerTiming::Late;
+    pub(super) fn handle_worker_answer(&mut self, outcome: CallOutcome, now: Millis) {
+        let CallOutcome { call, called, sent, timing } = outcome;
+        let late = timing == AnswerTiming::Late;
         let fenced = match (&call, called) {
             (WorkerCall::Start { worker, task, run, .. }, Called::Start(answer)) => {
                 let (engine, started) = (&mut self.engine, (*task, *run));
--- a/crates/hollowford-node/src/peers.rs
+++ b/crates/hollowford-node/src/peers.rs
@@ -120,7 +120,9 @@
     async fn take_frame(&self, body: Body) {
         match body {
             Body::Call(call) => self.owner.call_from_link(call, &self.outbox),
-            Body::MemberBeat(beat) => self.owner.send(OwnerMsg::Heartbeat(self.link, beat)).await,
+            Body::MemberBeat(beat) => {
+                self.owner.send(OwnerMsg::HeartbeatReceived(self.link, beat)).await
+            }
             Body::Advice(advice) => self.take_advice(advice).await,
             Body::Outcomes(o) => self.owner.send(OwnerMsg::Outcomes(self.link, o)).await,
             other => log::warn!("link.unexpected frame={other:?}"),
--- a/crates/hollowford-node/src/reload.rs
+++ b/crates/hollowford-node/src/reload.rs
@@ -8,24 +8,24 @@
 use tokio::time::timeout;
 
 /// The file may also change without a signal; it is read this often.
-const READ_EVERY: Duration = Duration::from_secs(5);
+const READ_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Follows the settings file. Addresses stay as they were at the start; the times for the
 /// decisions are put in force.
 pub async fn follow_settings(shared: Arc<Shared>, mut hup: Signal) {
     loop {
-        let signalled = timeout(READ_EVERY, hup.recv()).await.is_ok();
+        let signalled = timeout(READ_INTERVAL, hup.recv()).await.is_ok();
         match NodeSettings::from_file(&shared.settings.file) {
-            Ok(settings) => take(&shared, settings, signalled),
+            Ok(settings) => apply_settings(&shared, settings, signalled),
             Err(e) => log::error!("settings.rejected error=\"{e}\" in_force=earlier"),
         }
     }
 }
 
-fn take(shared: &Shared, settings: NodeSettings, signalled: bool) {
-    let changed = shared.settings_changed.send_if_modified(|known| {
-        let changed = *known != settings;
-        *known = settings;
+fn apply_settings(shared: &Shared, settings: NodeSettings, signalled: bool) {
+    let changed = shared.settings_changed.send_if_modified(|current| {
+        let changed = *current != settings;
+        *current = settings;
         changed
     });
     if changed || signalled {
--- a/crates/hollowford-node/src/shared.rs
+++ b/crates/hollowford-node/src/shared.rs
@@ -17,11 +17,11 @@
 
 /// Changes of the list of workers that wait to be taken in; an owner that is further behind reads
 /// the list itself.
-const WORKER_CHANGES: usize = 16;
+const WORKER_CHANGES_CAPACITY: usize = 16;
 
 /// Calls to the store that have failed for so long are an outage: what an owner had to write meanwhile
 /// may be lost with it.
-const LEAST_OUTAGE: Millis = Millis(500);
+const MIN_OUTAGE: Millis = Millis(500);
 
 /// Shared by all duties of a process.
 #[derive(Debug)]
@@ -53,15 +53,15 @@
     /// Callers' requests that are not answered yet.
     pub open_calls: AtomicUsize,
     /// Reading of the clock when the store answered last.
-    store_answered: AtomicU64,
+    store_answered_at: AtomicU64,
     /// Reading of the clock when a call to the store failed last.
-    store_failed: AtomicU64,
+    store_failed_at: AtomicU64,
     /// Reading of the clock when calls to the store began to fail last.
-    store_failing: AtomicU64,
+    store_failing_since: AtomicU64,
     /// Reading of the clock when the last outage of the store was over; 0: there was none.
-    outage_over: AtomicU64,
+    outage_ended_at: AtomicU64,
     /// Reading of the clock when this process read the configuration last.
-    config_read: AtomicU64,
+    config_read_at: AtomicU64,
     /// Changes of the list of workers that the owner of another partition has told.
     pub worker_changes: broadcast::Sender<Arc<WorkerChanges>>,
     /// Its metrics.
@@ -91,12 +91,12 @@
             partitions: OnceLock::new(),
             stopping: AtomicBool::new(false),
             open_calls: AtomicUsize::new(0),
-            store_answered: AtomicU64::new(0),
-            store_failed: AtomicU64::new(0),
-            store_failing: AtomicU64::new(0),
-            outage_over: AtomicU64::new(0),
-            config_read: AtomicU64::new(0),
-            worker_changes: broadcast::Sender::new(WORKER_CHANGES),
+            store_answered_at: AtomicU64::new(0),
+            store_failed_at: AtomicU64::new(0),
+            store_failing_since: AtomicU64::new(0),
+            outage_ended_at: AtomicU64::new(0),
+            config_read_at: AtomicU64::new(0),
+            worker_changes: broadcast::Sender::new(WORKER_CHANGES_CAPACITY),
             metrics,
         }
     }
@@ -126,26 +126,27 @@
     pub fn record_store_answer(&self) {
         let now = self.clock.now();
         if self.is_store_failing() {
-            let failing = Millis(self.store_failing.load(Ordering::Relaxed));
-            if now.since(failing) >= LEAST_OUTAGE {
-                self.outage_over.store(now.0, Ordering::Relaxed);
+            let failing_since = Millis(self.store_failing_since.load(Ordering::Relaxed));
+            if now.since(failing_since) >= MIN_OUTAGE {
+                self.outage_ended_at.store(now.0, Ordering::Relaxed);
             }
         }
-        self.store_answered.store(now.0, Ordering::Relaxed);
+        self.store_answered_at.store(now.0, Ordering::Relaxed);
     }
 
     /// Tells whether the last call to the store has failed.
     fn is_store_failing(&self) -> bool {
-        self.store_failed.load(Ordering::Relaxed) > self.store_answered.load(Ordering::Relaxed)
+        self.store_failed_at.load(Ordering::Relaxed)
+            > self.store_answered_at.load(Ordering::Relaxed)
     }
 
     /// Takes note that a call to the store has failed.
     pub fn record_store_failure(&self) {
         let now = self.clock.now().0;
         if !self.is_store_failing() {
-            self.store_failing.store(now, Ordering::Relaxed);
+            self.store_failing_since.store(now, Ordering::Relaxed);
         }
-        self.store_failed.store(now, Ordering::Relaxed);
+        self.store_failed_at.store(now, Ordering::Relaxed);
     }
 
     /// Tells whether the store has failed this process for `at_least`, up to its last call.
@@ -156,13 +157,13 @@
     /// Tells whether an outage of the store was over within this time. Single calls that fail are none: who
     /// made them makes them again.
     pub fn had_outage_within(&self, span: Millis) -> bool {
-        let over = self.outage_over.load(Ordering::Relaxed);
-        over > 0 && self.clock.now().since(Millis(over)) < span
+        let ended_at = self.outage_ended_at.load(Ordering::Relaxed);
+        ended_at > 0 && self.clock.now().since(Millis(ended_at)) < span
     }
 
     /// Returns the time since the store answered.
     pub fn store_age(&self) -> Millis {
-        self.clock.now().since(Millis(self.store_answered.load(Ordering::Relaxed)))
+        self.clock.now().since(Millis(self.store_answered_at.load(Ordering::Relaxed)))
     }
 
     /// Sets how many partitions there are. The first call counts.
@@ -204,13 +205,13 @@
 
     /// Takes note that this process has read the configuration.
     pub fn record_config_read(&self) {
-        self.config_read.store(self.clock.now().0, Ordering::Relaxed);
+        self.config_read_at.store(self.clock.now().0, Ordering::Relaxed);
     }
 
     /// Returns the time since this process read the configuration, counted from its start before
     /// it first has.
     pub fn config_age(&self) -> Millis {
-        self.clock.now().since(Millis(self.config_read.load(Ordering::Relaxed)))
+        self.clock.now().since(Millis(self.config_read_at.load(Ordering::Relaxed)))
     }
 
     /// Returns what this process knows of the configuration.
--- a/crates/hollowford-node/src/writer.rs
+++ b/crates/hollowford-node/src/writer.rs
@@ -18,9 +18,9 @@
 /// Longest time for a reading. A slow store takes up to 0.5 s.
 const READ_TIMEOUT: Duration = Duration::from_millis(800);
 /// Longest time for one copy.
-const COPY_TIMEOUT: Duration = Duration::from_millis(2_500);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Pause after the store has refused.
-const REFUSED_PAUSE: Duration = Duration::from_millis(80);
+const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(80);
 
 /// What came of a batch.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -54,7 +54,7 @@
     /// The batch.
     pub batch: Batch,
     /// How long to wait for an answer before the lane's row is read.
-    pub read_after: Millis,
+    pub read_delay: Millis,
 }
 
 /// Writes a batch until it is known what came of it.
@@ -63,82 +63,84 @@
 /// requires and replaces the row of its lane. The store makes the transactions of a part one
 /// after the other, so a copy that isn't needed keeps the next batch waiting. So the row is read
 /// first, which costs no turn: it shows a batch whose answer was lost, and how slow the store is.
-pub async fn write(shared: Arc<Shared>, writing: BatchWrite) -> BatchOutcome {
-    let tx = transaction(&writing);
+pub async fn write(shared: Arc<Shared>, batch_write: BatchWrite) -> BatchOutcome {
+    let tx = transaction(&batch_write);
     let mut calls = FuturesUnordered::new();
-    calls.push(copy(&shared, &writing, &tx).boxed());
-    let mut retries = Retries::begun(shared.clock.now(), writing.read_after);
+    calls.push(send_attempt(&shared, &batch_write, &tx).boxed());
+    let mut retries = Retries::new(shared.clock.now(), batch_write.read_delay);
     loop {
         let wait = retries.wait(shared.store_age(), shared.clock.now());
-        let heard = tokio::select! {
-            Some(heard) = calls.next() => heard,
+        let result = tokio::select! {
+            Some(result) = calls.next() => result,
             () = sleep(wait.duration()) => {
                 let now = shared.clock.now();
-                if retries.copy_is_due(shared.store_age(), now) {
-                    calls.push(copy(&shared, &writing, &tx).boxed());
-                    retries.copied(now);
+                if retries.attempt_is_due(shared.store_age(), now) {
+                    calls.push(send_attempt(&shared, &batch_write, &tx).boxed());
+                    retries.attempt_sent(now);
                     shared.metrics.batches.with_label_values(&["copied"]).inc();
                 } else {
-                    calls.push(reading(&shared, &writing).boxed());
-                    retries.reads();
+                    calls.push(read_lane_row(&shared, &batch_write).boxed());
+                    retries.read_sent();
                 }
                 continue;
             }
         };
-        match heard {
-            Heard::Copy(Ok(TxOutcome::Made(rev)), took) => return made(&shared, rev, Some(took)),
-            Heard::Copy(Ok(TxOutcome::Conflict(rows)), _) => {
+        match result {
+            CallResult::Attempt(Ok(TxOutcome::Made(rev)), took) => {
+                return committed(&shared, rev, Some(took));
+            }
+            CallResult::Attempt(Ok(TxOutcome::Conflict(rows)), _) => {
                 shared.record_store_answer();
-                return settle(&shared, &writing, &rows);
+                return outcome_from_row(&shared, &batch_write, &rows);
             }
-            Heard::Copy(Err(e), _) => {
+            CallResult::Attempt(Err(e), _) => {
                 record_failure(&shared, &e);
-                retries.copy_failed(e.surely_not_done());
-                if retries.all_failed() {
+                retries.attempt_failed(e.surely_not_done());
+                if retries.all_attempts_failed() {
                     if retries.is_refused() {
                         return BatchOutcome::Refused;
                     }
-                    sleep(REFUSED_PAUSE).await;
-                    calls.push(copy(&shared, &writing, &tx).boxed());
-                    retries.copied(shared.clock.now());
+                    sleep(REFUSED_RETRY_DELAY).await;
+                    calls.push(send_attempt(&shared, &batch_write, &tx).boxed());
+                    retries.attempt_sent(shared.clock.now());
                 }
             }
-            Heard::Reading(Ok(Some(row)), took) => {
+            CallResult::LaneRead(Ok(Some(row)), took) => {
                 shared.record_store_answer();
-                if row.version != writing.rev {
-                    return settle(&shared, &writing, &[row]);
+                if row.version != batch_write.rev {
+                    return outcome_from_row(&shared, &batch_write, &[row]);
                 }
-                retries.not_made(took, shared.clock.now());
+                retries.batch_not_found(took, shared.clock.now());
             }
-            Heard::Reading(_, _) => retries.unread(shared.clock.now()),
+            CallResult::LaneRead(_, _) => retries.read_failed(shared.clock.now()),
         }
     }
 }
 
 /// What a call for a batch came to, and how long it took.
-enum Heard {
+enum CallResult {
     /// A copy of the batch.
-    Copy(Result<TxOutcome, StoreError>, Millis),
+    Attempt(Result<TxOutcome, StoreError>, Millis),
     /// A reading of the lane's row.
-    Reading(Result<Option<Row>, StoreError>, Millis),
+    LaneRead(Result<Option<Row>, StoreError>, Millis),
 }
 
 /// Sends one copy.
-async fn copy(shared: &Shared, writing: &BatchWrite, tx: &Transaction) -> Heard {
-    let began = shared.clock.now();
-    let answer = shared.store.transact(TABLE, &writing.part, tx, COPY_TIMEOUT).await;
-    Heard::Copy(answer, shared.clock.now().since(began))
+async fn send_attempt(shared: &Shared, batch_write: &BatchWrite, tx: &Transaction) -> CallResult {
+    let started_at = shared.clock.now();
+    let answer = shared.store.transact(TABLE, &batch_write.part, tx, ATTEMPT_TIMEOUT).await;
+    CallResult::Attempt(answer, shared.clock.now().since(started_at))
 }
 
 /// Reads the row of the batch's lane.
-async fn reading(shared: &Shared, writing: &BatchWrite) -> Heard {
-    let began = shared.clock.now();
-    let key = lane_key(writing.lane);
-    let answer = shared.store.read(TABLE, &writing.part, &key, READ_TIMEOUT).await;
-    Heard::Reading(answer.map(|(row, _)| row), shared.clock.now().since(began))
+async fn read_lane_row(shared: &Shared, batch_write: &BatchWrite) -> CallResult {
+    let started_at = shared.clock.now();
+    let key = lane_key(batch_write.lane);
+    let answer = shared.store.read(TABLE, &batch_write.part, &key, READ_TIMEOUT).await;
+    CallResult::LaneRead(answer.map(|(row, _)| row), shared.clock.now().since(started_at))
 }
 
-fn made(shared: &Shared, rev: Version, answered_in: Option<Millis>) -> BatchOutcome {
+fn committed(shared: &Shared, rev: Version, answered_in: Option<Millis>) -> BatchOutcome {
     shared.record_store_answer();
     shared.metrics.batches.with_label_values(&["made"]).inc();
     BatchOutcome::Made { rev, answered_in }
@@ -152,26 +154,26 @@
 }
 
 /// Tells from the lane's row whether an earlier copy was made.
-fn settle(shared: &Shared, writing: &BatchWrite, rows: &[Row]) -> BatchOutcome {
-    let (number, key) = (writing.batch.number, lane_key(writing.lane));
+fn outcome_from_row(shared: &Shared, batch_write: &BatchWrite, rows: &[Row]) -> BatchOutcome {
+    let (number, key) = (batch_write.batch.number, lane_key(batch_write.lane));
     let row = rows.iter().find(|r| r.key == key);
     let Some((found, version)) = row.and_then(|r| Some((read_owner(r)?, r.version))) else {
         log::error!("batch.conflict batch={number} row={key} missing");
         return BatchOutcome::Inconsistent;
     };
     let Some(holder) = found.owner else { return BatchOutcome::Inconsistent };
-    if holder != writing.owner {
+    if holder != batch_write.owner {
         return BatchOutcome::Deposed(holder);
     }
     if found.batch == number {
-        return made(shared, version, None);
+        return committed(shared, version, None);
     }
     log::error!("batch.conflict batch={number} row={key} found={}", found.batch);
     BatchOutcome::Inconsistent
 }
 
-pub(crate) fn transaction(writing: &BatchWrite) -> Transaction {
-    let BatchWrite { owner, lane, rev, batch, .. } = writing;
+pub(crate) fn transaction(batch_write: &BatchWrite) -> Transaction {
+    let BatchWrite { owner, lane, rev, batch, .. } = batch_write;
     let key = lane_key(*lane);
     let expect = vec![Expect { key: key.clone(), version: *rev }];
     let mut put = vec![(key, encode_owner(owner, batch.number))];
--- a/crates/hollowford-node/src/writer_tests.rs
+++ b/crates/hollowford-node/src/writer_tests.rs
@@ -57,8 +57,8 @@
         self.read().await.1
     }
 
-    async fn write(&self, writing: BatchWrite) -> BatchOutcome {
-        write(self.shared.clone(), writing).await
+    async fn write(&self, batch_write: BatchWrite) -> BatchOutcome {
+        write(self.shared.clone(), batch_write).await
     }
 }
 
@@ -67,12 +67,12 @@
 }
 
 /// A batch that writes its number into a row of its lane and into one of its own.
-fn writing(owner: &OwnerInfo, lane: usize, rev: Version, number: u64) -> BatchWrite {
+fn batch_write(owner: &OwnerInfo, lane: usize, rev: Version, number: u64) -> BatchWrite {
     let row = |key: String| RowWrite { key, value: Some(number.to_le_bytes().to_vec()) };
     let rows = vec![row(format!("last/{lane}")), row(format!("batch/{}/{number}", owner.epoch))];
     let batch = Batch { number, rows };
-    let read_after = Millis(150);
-    BatchWrite { part: PART.to_owned(), owner: owner.clone(), lane, rev, batch, read_after }
+    let read_delay = Millis(150);
+    BatchWrite { part: PART.to_owned(), owner: owner.clone(), lane, rev, batch, read_delay }
 }
 
 fn rev_of(written: &BatchOutcome) -> Version {
@@ -87,8 +87,8 @@
     let store = Store::start().await;
     let me = owner(1);
     let revs = store.take(&me).await;
-    let both =
-        (0..LANE_COUNT).map(|lane| store.write(writing(&me, lane, revs[lane], lane as u64 + 1)));
+    let both = (0..LANE_COUNT)
+        .map(|lane| store.write(batch_write(&me, lane, revs[lane], lane as u64 + 1)));
     let made = |w: &BatchOutcome| matches!(w, BatchOutcome::Made { .. });
     assert!(join_all(both).await.iter().all(made));
     let (rows, _) = store.read().await;
@@ -102,7 +102,7 @@
     let revs = store.take(&me).await;
     store.take(&next).await;
     for (lane, rev) in revs.into_iter().enumerate() {
-        let written = store.write(writing(&me, lane, rev, 1)).await;
+        let written = store.write(batch_write(&me, lane, rev, 1)).await;
         assert_eq!(written, BatchOutcome::Deposed(next.clone()), "lane {lane}");
     }
     let (rows, _) = store.read().await;
@@ -117,7 +117,7 @@
     let before = store.platform.served().made;
     store.platform.set_faults(Faults { lose_answers: 1, ..Faults::default() });
     let lane = LANE_COUNT - 1;
-    rev_of(&store.write(writing(&me, lane, revs[lane], 1)).await);
+    rev_of(&store.write(batch_write(&me, lane, revs[lane], 1)).await);
     assert_eq!(store.platform.served().made - before, 1, "made once");
 }
 
@@ -128,7 +128,7 @@
     let revs = store.take(&me).await;
     store.platform.set_faults(Faults { mute_writes: true, ..Faults::default() });
     for (lane, rev) in revs.into_iter().enumerate() {
-        let written = store.write(writing(&me, lane, rev, 1));
+        let written = store.write(batch_write(&me, lane, rev, 1));
         rev_of(&timeout(TIMEOUT, written).await.expect("an outcome"));
     }
 }
@@ -141,7 +141,7 @@
     store.platform.set_faults(Faults { slow_ms: 200, turn_ms: 300, ..Faults::default() });
     let before = store.platform.served().writes;
     for number in 1..=4 {
-        let both = (0..LANE_COUNT).map(|l| store.write(writing(&me, l, revs[l], number)));
+        let both = (0..LANE_COUNT).map(|l| store.write(batch_write(&me, l, revs[l], number)));
         let written = join_all(both).await;
         revs = std::array::from_fn(|lane| rev_of(&written[lane]));
     }
@@ -183,7 +183,7 @@
                     number += used.len() as u64;
                     let numbered = used.iter().zip(first + 1..);
                     let batches: Vec<_> =
-                        numbered.map(|(&l, n)| writing(&me, l, revs[l], n)).collect();
+                        numbered.map(|(&l, n)| batch_write(&me, l, revs[l], n)).collect();
                     late.extend(batches.iter().map(transaction));
                     for b in &batches {
                         last.insert(format!("last/{}", b.lane), b.batch.number);
