--- a/crates/hollowford-node/src/calls.rs
+++ b/crates/hollowford-node/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to workers and to the service for advice, each in a task of its own.
+//! Calls to workers and to the advice service, each in its own task.
 
 use crate::inbox::{OwnerHandle, OwnerMsg};
 use crate::shared::Shared;
@@ -10,24 +10,24 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Longest time for a call for advice. The slowest name a hundred workers.
+/// Timeout of a call for advice. Calls that name a hundred workers take the longest.
 const ADVICE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// A call is waited for so much longer than its time limit. It is made again meanwhile, but an
-/// answer that comes late still tells what runs and what has ended.
+/// How long an answer is awaited after the call's time limit. The call is repeated in the meantime,
+/// but a late answer still says which tasks are running and which have ended.
 const LATE_ANSWER_TIMEOUT: Millis = Millis(3_000);
 
-/// When an answer has come.
+/// Whether an answer arrived within the call's time limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerTiming {
-    /// Within the call's time limit; that there was none by then counts as well.
+    /// Within the time limit, or no answer by then.
     InTime,
-    /// After it, when it was already told that there was none.
+    /// After the time limit, when the call was already reported as unanswered.
     Late,
 }
 
-/// Calls a worker and tells what came of it: once the limit has passed that there was no answer,
-/// and the answer, if it still comes.
+/// Calls a worker and reports the outcome. If there is no answer within the limit, reports the call
+/// as unanswered, and reports the answer as well if it still arrives.
 pub async fn call_worker<F: Future<Output = ()>>(
     shared: &Shared,
     workers: &WorkerClient,
@@ -62,7 +62,7 @@
     report(called, timing).await;
 }
 
-/// Returns what is told of a call without an answer.
+/// Returns the outcome that stands for a missing answer.
 pub fn unanswered(call: &WorkerCall) -> Called {
     match call {
         WorkerCall::Start { .. } => Called::Start(StartAnswer::Unanswered),
@@ -72,7 +72,7 @@
     }
 }
 
-/// Calls a worker from this process and tells its owner what came of it.
+/// Calls a worker from the owner's process and reports the outcome to the owner.
 pub async fn call_worker_locally(
     shared: Arc<Shared>,
     workers: WorkerClient,
@@ -122,7 +122,8 @@
     }
 }
 
-/// Makes a call for advice from this instance.
+/// Calls the advice service from this process. Returns `None` if the service isn't configured or
+/// the call fails.
 pub async fn request_advice(
     shared: &Shared,
     step: &str,
@@ -135,7 +136,7 @@
     answer.inspect_err(|e| log::info!("advice.failed step={step} error=\"{e}\"")).ok()
 }
 
-/// Makes a call for advice from this process and tells its owner what came of it.
+/// Calls the advice service from the owner's process and reports the outcome to the owner.
 pub async fn request_advice_locally(
     shared: Arc<Shared>,
     seat: Seat,
@@ -147,7 +148,8 @@
     handle.send(OwnerMsg::Advised { seat, step, answer }).await;
 }
 
-/// Reads a member's answer to a call for advice.
+/// Decodes a member's answer to a call for advice. Returns `None` if the service did not answer the
+/// member.
 pub fn decode_advice(msg: Advice) -> Option<(Advised, Millis)> {
     let rows = msg.workers.iter().zip(&msg.tickets);
     let rows = rows.map(|(id, t)| (id.as_str().into(), t.as_str().into())).collect();
--- a/crates/hollowford-node/src/delegate.rs
+++ b/crates/hollowford-node/src/delegate.rs
@@ -1,7 +1,7 @@
-//! A member's part in the owner's calls to workers: it makes those that the owner hands it.
+//! Calls to workers that a member makes for the owner.
 //!
-//! The owner's fence is on each call, so a member decides nothing: what it carries out late or
-//! after its owner was deposed, a worker treats like any call that was long on its way.
+//! Each call carries the owner's fence, so the member makes no decisions. Workers treat calls made
+//! late, or after the owner was deposed, like calls delayed on the network.
 
 use crate::calls::{AnswerTiming, call_worker};
 use crate::delegate_wire::{Delegated, Outcome, Outcomes};
@@ -11,7 +11,7 @@
 use hollowford_core::Millis;
 use std::sync::Arc;
 
-/// Makes the calls of a frame, and tells the owner what comes of each.
+/// Makes the calls of a frame and reports the outcome of each to the owner.
 pub fn execute_calls(shared: &Arc<Shared>, frame: Delegated, outbox: &Outbox) {
     let workers = shared.workers.with_fence(frame.epoch);
     let templates: Vec<Arc<str>> = frame.templates.iter().map(|t| t.as_str().into()).collect();
@@ -29,7 +29,7 @@
         tokio::spawn(async move {
             let report = |called, _: AnswerTiming| {
                 let list = vec![Outcome::new(id, &called)];
-                // A link that has ended: the owner takes the call as unanswered.
+                // If the link has closed, the owner counts the call as unanswered.
                 outbox.send(Body::Outcomes(Outcomes { list }));
                 std::future::ready(())
             };
--- a/crates/hollowford-node/src/delegation.rs
+++ b/crates/hollowford-node/src/delegation.rs
@@ -1,12 +1,12 @@
-//! Which member makes which of the owner's calls to workers.
+//! Assignment of the owner's calls to workers to the members that make them.
 //!
-//! In a cell of hundreds of workers the owner's own link, channels and wake-ups would bound it.
-//! So its members make the calls, each those to a share of the workers, with the owner's fence.
-//! A worker has one member, of its own availability zone where there is one; only what a member
-//! that comes or goes has to do with changes. A member that says nothing of a call, and one that
-//! doesn't reach a worker twice in a row, are passed over for a while. The owner takes a call
-//! whose outcome doesn't come for one without an answer: it may have been made, or may be made
-//! later, as with any call that is lost on its way.
+//! With hundreds of workers, the owner's link, connections and task wake-ups would become the
+//! bottleneck. Its members therefore make the calls, each to a share of the workers and with the
+//! owner's fence. Each worker is assigned to one member, in its own availability zone if there is
+//! one there; a member that joins or leaves changes only its own share. Members that don't report
+//! on calls are skipped for a while, and so is a member that fails to reach a worker twice in a
+//! row. A call without a report counts as unanswered: like any call lost on the way, it may have
+//! been made or may still be made later.
 
 mod route;
 
@@ -23,76 +23,73 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// From so many workers on, members make the calls. Below, the owner's own channels cost less
-/// than another hop.
+/// Minimum number of workers for members to make the calls. With fewer workers, direct connections
+/// of the owner cost less than another hop.
 const MIN_WORKERS_TO_DELEGATE: usize = 100;
-/// Fewest members for it: one that is lost takes its share of calls under way with it.
+/// Minimum number of members for delegation: the loss of a member loses its share of the calls in
+/// flight.
 const MIN_MEMBERS_TO_DELEGATE: usize = 3;
-/// A member's report on a call is waited for so much longer than the call's own time limit, at
-/// least: the way there and back, and some tens of milliseconds in which it may be busy.
+/// Minimum time to wait for a member's report beyond the call's own time limit. It covers the round
+/// trip and some tens of milliseconds in which the member may be busy.
 const MIN_REPORT_GRACE: Millis = Millis(300);
-/// The same at most, however late members' reports have come.
+/// Maximum time to wait for a member's report beyond the call's own time limit.
 const MAX_REPORT_GRACE: Millis = Millis(1_500);
-/// What comes so long after that is of no use any more.
+/// How long a report is still accepted after its call was counted as unanswered.
 const LATE_REPORT_TIMEOUT: Millis = Millis(4_000);
-/// A member that says nothing of so many calls in a row gets no others for a while.
+/// A member that misses this many reports in a row gets no calls for [`SILENT_MEMBER_PAUSE`].
 const MAX_MISSED_REPORTS: u32 = 2;
-/// For so long.
+/// How long a silent member gets no calls.
 const SILENT_MEMBER_PAUSE: Millis = Millis(1_500);
-/// A new owner makes no calls until no member has joined for so long: else it would open channels
-/// to all workers itself, or give them all to the first that come.
+/// A new owner makes no calls until no member has joined for this long. Otherwise it would open
+/// connections to all workers itself, or assign them all to the first members that join.
 const JOIN_QUIET_TIME: Millis = Millis(60);
-/// It waits for members no longer than this.
+/// Maximum time that a new owner waits for members to join.
 const MAX_JOIN_WAIT: Millis = Millis(300);
 
-/// A member that can make calls.
+/// A member that can make calls to workers.
 #[derive(Clone, Debug)]
 pub struct Delegate {
-    /// Its link.
     pub link: LinkId,
-    /// Its address.
     pub address: Arc<str>,
-    /// Its availability zone.
     pub zone: Arc<str>,
-    /// Where frames to it go.
+    /// Queue of the frames to be sent to it.
     pub outbox: Outbox,
 }
 
-/// What is known of a member's reports on its calls.
+/// Reporting history of a member.
 #[derive(Clone, Copy, Debug, Default)]
 struct MemberReports {
-    /// Calls in a row that it has said nothing of.
+    /// Number of consecutive calls without a report.
     missed: u32,
-    /// It gets no calls before.
+    /// The member gets no calls before this time.
     paused_until: Millis,
 }
 
-/// A call that a member is making.
+/// A call handed to a member.
 #[derive(Debug)]
 struct PendingCall {
     call: WorkerCall,
     link: LinkId,
     sent: Millis,
-    /// When the member's report is not waited for any more.
+    /// When the call counts as unanswered or, after that, is forgotten.
     due: Millis,
-    /// It was told that there was no answer.
+    /// Whether the engine has been told that there was no answer.
     reported_unanswered: bool,
 }
 
-/// What came of a call that a member has made.
+/// The outcome of a call to a worker.
 #[derive(Debug)]
 pub struct CallOutcome {
-    /// The call.
     pub call: WorkerCall,
-    /// What came of it.
+    /// The worker's answer, or that there was none.
     pub called: Called,
-    /// When it was handed to the member, by the engine's clock.
+    /// When the call was handed to the member or sent by the owner, in engine time.
     pub sent: Millis,
-    /// Whether it came in time.
+    /// Whether the answer came within the time limit.
     pub timing: AnswerTiming,
 }
 
-/// The calls that members make. All times are the engine's.
+/// Delegated calls of one owner. All times are in engine time.
 #[derive(Debug)]
 pub struct Delegation {
     epoch: u64,
@@ -106,14 +103,14 @@
     next_call_id: u64,
     pending: FxHashMap<u64, PendingCall>,
     due: BTreeSet<(Millis, u64)>,
-    /// Calls that are not sent yet.
+    /// Calls that have not been sent yet, by link.
     frames: BTreeMap<LinkId, Delegated>,
-    /// How long members' reports take.
+    /// Response times of the members' reports.
     report_times: AnswerTimes,
 }
 
 impl Delegation {
-    /// Starts without members or workers.
+    /// Creates a delegation without members or workers.
     pub fn new(epoch: u64, now: Millis) -> Delegation {
         Delegation {
             epoch,
@@ -131,7 +128,7 @@
         }
     }
 
-    /// Sets the members that can make calls.
+    /// Replaces the list of members that can make calls.
     pub fn set_members(&mut self, members: Vec<Delegate>, now: Millis) {
         if members.len() > self.members.len() {
             self.last_joined_at = now;
@@ -142,18 +139,18 @@
         self.members = members;
     }
 
-    /// Takes over the list of workers.
+    /// Replaces the list of workers.
     pub fn set_workers(&mut self, list: &[WorkerListing]) {
         self.zones = list.iter().map(|l| (l.life.id().clone(), l.zone.clone())).collect();
         self.routes.retain(|address, _| list.iter().any(|l| l.address == *address));
     }
 
-    /// Tells whether members are to make the calls, if there are any.
+    /// Returns true if there are enough workers to delegate calls.
     fn is_large(&self) -> bool {
         self.zones.len() >= MIN_WORKERS_TO_DELEGATE
     }
 
-    /// Tells whether calls should wait a little for members that are just joining.
+    /// Returns true while calls should be held back for members that are still joining.
     pub fn awaits_members(&self, now: Millis) -> bool {
         self.is_large()
             && now.since(self.created_at) < MAX_JOIN_WAIT
@@ -161,8 +158,8 @@
                 || now.since(self.last_joined_at) < JOIN_QUIET_TIME)
     }
 
-    /// Hands a call to a member with the next frame; gives it back when the owner has to make it
-    /// itself.
+    /// Assigns a call to a member; the next [`Delegation::send`] sends it. Returns the call if the
+    /// owner has to make it itself.
     pub fn delegate(&mut self, call: WorkerCall, limit: Millis, now: Millis) -> Option<WorkerCall> {
         let Some(link) = self.member_for(&call, now) else { return Some(call) };
         let id = self.next_call_id;
@@ -176,7 +173,7 @@
         None
     }
 
-    /// Returns the link of the member that makes a call; none: the owner does.
+    /// Returns the link of the member that makes a call, or `None` if the owner makes it.
     fn member_for(&self, call: &WorkerCall, now: Millis) -> Option<LinkId> {
         if !self.is_large() || self.members.len() < MIN_MEMBERS_TO_DELEGATE {
             return None;
@@ -191,19 +188,19 @@
         of_zone.or_else(|| pick_member(active(), call.address(), skipped_members)).map(|m| m.link)
     }
 
-    /// Returns how much longer than a call's own time limit a member's report is waited for.
+    /// Returns how long to wait for a member's report beyond the call's own time limit.
     fn report_grace(&self) -> Millis {
-        let expected = self.report_times.expected().unwrap_or_default();
-        expected.clamp(MIN_REPORT_GRACE, MAX_REPORT_GRACE)
+        let expected_delay = self.report_times.expected().unwrap_or_default();
+        expected_delay.clamp(MIN_REPORT_GRACE, MAX_REPORT_GRACE)
     }
 
-    /// Returns the link of the call that was handed over last.
+    /// Returns the link of the most recently delegated call.
     #[cfg(test)]
     pub fn last_link(&self) -> Option<LinkId> {
         self.pending.get(&self.next_call_id.checked_sub(1)?).map(|p| p.link)
     }
 
-    /// Sends the calls that were handed over since the last time.
+    /// Sends the calls that were assigned since the last time.
     pub fn send(&mut self, now: Millis) {
         for (link, frame) in std::mem::take(&mut self.frames) {
             let ids: Vec<u64> = frame.calls.iter().map(|c| c.id).collect();
@@ -216,7 +213,7 @@
         }
     }
 
-    /// A call's outcome won't come.
+    /// Makes a call due at once because its outcome will not arrive.
     fn expire(&mut self, id: u64, now: Millis) {
         if let Some(p) = self.pending.get_mut(&id) {
             self.due.remove(&(p.due, id));
@@ -225,7 +222,7 @@
         }
     }
 
-    /// The link of a member has ended: nothing more comes of its calls.
+    /// Counts the calls of a member whose link has closed as unanswered.
     pub fn member_left(&mut self, link: LinkId, now: Millis) {
         let ids: Vec<u64> =
             self.pending.iter().filter(|(_, p)| p.link == link).map(|(&id, _)| id).collect();
@@ -233,7 +230,7 @@
         self.members.retain(|m| m.link != link);
     }
 
-    /// Takes in what a member says of its calls.
+    /// Handles a member's report and returns the outcomes for the engine.
     pub fn receive_outcomes(
         &mut self,
         link: LinkId,
@@ -261,7 +258,7 @@
         let route = self.routes.entry(p.call.address().clone()).or_default();
         route.record(answered);
         if !answered {
-            // The answer may still come.
+            // The answer may still arrive.
             p.reported_unanswered = true;
             let (call, sent) = (p.call.clone(), p.sent);
             return Some(CallOutcome { call, called, sent, timing });
@@ -271,15 +268,15 @@
         Some(CallOutcome { call: p.call, called, sent: p.sent, timing })
     }
 
-    /// Returns the calls on which no report has come in time, as unanswered. While reports wait to
-    /// be taken in, the owner itself is late, and none is overdue.
+    /// Returns the calls whose report is overdue, as unanswered. Returns none while messages are
+    /// waiting in the owner's inbox, because the reports may be among them.
     pub fn take_overdue(&mut self, inbox_is_empty: bool, now: Millis) -> Vec<CallOutcome> {
         let mut out = Vec::new();
         if !inbox_is_empty {
             return out;
         }
-        while let Some(&(due, id)) = self.due.first().filter(|(due, _)| *due <= now) {
-            self.due.remove(&(due, id));
+        while let Some(&(due_at, id)) = self.due.first().filter(|(due_at, _)| *due_at <= now) {
+            self.due.remove(&(due_at, id));
             let Some(p) = self.pending.get_mut(&id) else { continue };
             if p.reported_unanswered {
                 self.pending.remove(&id);
@@ -296,7 +293,7 @@
         out
     }
 
-    /// A member has said nothing of a call.
+    /// Records that a member has not reported on a call.
     fn record_missed_report(&mut self, link: LinkId, now: Millis) {
         let reports = self.reports.entry(link).or_default();
         reports.missed += 1;
--- a/crates/hollowford-node/src/delegation/route.rs
+++ b/crates/hollowford-node/src/delegation/route.rs
@@ -1,24 +1,24 @@
-//! By which member a worker is reached.
+//! Choice of the member that calls a worker.
 
 use super::Delegate;
 use std::cmp::Reverse;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// A worker that doesn't answer so many calls in a row gets another member.
+/// A worker that leaves this many consecutive calls unanswered is assigned to another member.
 const MAX_UNANSWERED: u32 = 2;
 
-/// How a worker is reached.
+/// The routing state of one worker.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Route {
-    /// Calls in a row that it has not answered.
+    /// Number of consecutive unanswered calls.
     unanswered: u32,
-    /// How many members are passed over for it.
+    /// Number of members to skip in the worker's order of preference.
     pub skipped_members: usize,
 }
 
 impl Route {
-    /// Takes note of whether the worker has answered, and passes over its member once it has not
-    /// twice.
+    /// Records whether the worker answered. Skips the current member after [`MAX_UNANSWERED`]
+    /// consecutive unanswered calls.
     pub fn record(&mut self, answered: bool) {
         self.unanswered = if answered { 0 } else { self.unanswered + 1 };
         if self.unanswered == MAX_UNANSWERED {
@@ -28,8 +28,8 @@
     }
 }
 
-/// Picks the member for an address, after passing over so many: the one with the highest hash of
-/// both, so that a member that comes or goes changes only its own share.
+/// Picks the member for an address by rendezvous hashing, after skipping `skipped_members` members.
+/// A member that joins or leaves changes only its own share of the workers.
 pub(super) fn pick_member<'a>(
     members: impl Iterator<Item = &'a Delegate>,
     address: &str,
--- a/crates/hollowford-node/src/delegation_tests.rs
+++ b/crates/hollowford-node/src/delegation_tests.rs
@@ -1,7 +1,7 @@
-//! Which member makes which call, and what is made of a member that says nothing.
+//! Assignment of calls to members, and handling of silent members.
 //!
-//! The pattern: 1,100 workers and 147 instances in six availability zones (the users' large
-//! deployment), of which some are killed, cut off or frozen with calls under way.
+//! Plays a large deployment: 1,100 workers and 147 instances in six availability zones, of which
+//! some are killed, cut off or frozen while calls are in flight.
 #![allow(clippy::expect_used)]
 
 use crate::calls::AnswerTiming;
@@ -62,7 +62,7 @@
     d
 }
 
-/// Hands out one look at each worker. Returns the link that each went to.
+/// Delegates one `look` call to each worker and returns the link of each.
 fn assign(d: &mut Delegation, workers: usize, now: Millis) -> Vec<u64> {
     let one = |i| {
         assert!(d.delegate(look(i), LIMIT, now).is_none(), "worker {i} was not delegated");
@@ -83,15 +83,15 @@
 fn members_get_even_shares_of_their_own_zone() {
     let mut d = delegation(144, 1_100);
     let links = assign(&mut d, 1_100, NOW);
-    let mut shares: BTreeMap<u64, u32> = BTreeMap::new();
+    let mut counts: BTreeMap<u64, u32> = BTreeMap::new();
     for (i, link) in links.iter().enumerate() {
         assert_eq!(link % ZONES, i as u64 % ZONES, "worker {i} is called from another zone");
-        *shares.entry(*link).or_default() += 1;
+        *counts.entry(*link).or_default() += 1;
     }
-    // 7.6 on average.
-    let most = shares.values().max().expect("some");
-    assert!(*most <= 24, "one member has {most} workers");
-    assert!(shares.len() > 120, "{} members have any", shares.len());
+    // The average is 7.6.
+    let max = counts.values().max().expect("some");
+    assert!(*max <= 24, "one member has {max} workers");
+    assert!(counts.len() > 120, "only {} members have workers", counts.len());
 }
 
 #[test]
@@ -114,14 +114,14 @@
     let lost = links.iter().filter(|&&l| l == 5).count();
     assert!(lost > 0);
     d.member_left(5, NOW);
-    let told = d.take_overdue(true, NOW);
-    assert_eq!(told.len(), lost);
-    assert!(told.iter().all(|t| t.called == Called::Look(LookAnswer::Unanswered)));
-    assert!(d.take_overdue(true, NOW).is_empty(), "once only");
+    let outcomes = d.take_overdue(true, NOW);
+    assert_eq!(outcomes.len(), lost);
+    assert!(outcomes.iter().all(|t| t.called == Called::Look(LookAnswer::Unanswered)));
+    assert!(d.take_overdue(true, NOW).is_empty(), "reported only once");
 }
 
 #[test]
-fn a_member_that_says_nothing_is_passed_over_for_a_while() {
+fn a_member_that_does_not_report_is_skipped_for_a_while() {
     let mut d = delegation(12, 200);
     let before = assign(&mut d, 200, NOW);
     for (i, link) in before.iter().enumerate().filter(|(_, l)| **l != 5) {
@@ -135,14 +135,14 @@
     assert_eq!(again, before);
 }
 
-/// Has a member say that the `call`-th call found nothing new.
+/// Lets a member report an answer to the call with the number `call`.
 fn answer(d: &mut Delegation, call: usize, link: u64) -> usize {
     let outcome = Outcome::new(call as u64, &Called::Look(LookAnswer::OtherLife));
     d.receive_outcomes(link, Outcomes { list: vec![outcome] }, NOW).len()
 }
 
 #[test]
-fn a_late_answer_is_delivered_after_it_was_told_that_there_is_none() {
+fn a_late_answer_is_delivered_after_the_call_counted_as_unanswered() {
     let mut d = delegation(12, 200);
     let start = WorkerCall::Start {
         worker: "w1".into(),
@@ -159,27 +159,27 @@
     let late = NOW + Millis(1_000);
     assert_eq!(d.take_overdue(true, late).len(), 1);
     let runs = Outcome::new(0, &Called::Start(StartAnswer::Runs(5)));
-    let told = d.receive_outcomes(link, Outcomes { list: vec![runs] }, late);
-    assert_eq!(told.len(), 1);
-    assert_eq!(told[0].timing, AnswerTiming::Late);
-    assert_eq!(told[0].sent, NOW);
+    let outcomes = d.receive_outcomes(link, Outcomes { list: vec![runs] }, late);
+    assert_eq!(outcomes.len(), 1);
+    assert_eq!(outcomes[0].timing, AnswerTiming::Late);
+    assert_eq!(outcomes[0].sent, NOW);
 }
 
 #[test]
-fn a_worker_that_a_member_does_not_reach_gets_another_one() {
+fn a_worker_that_its_member_does_not_reach_gets_another_member() {
     let mut d = delegation(60, 200);
     let first = assign(&mut d, 1, NOW)[0];
     for id in 0..2 {
         let none = Outcome::new(id, &Called::Look(LookAnswer::Unanswered));
-        let told = d.receive_outcomes(first, Outcomes { list: vec![none] }, NOW);
-        assert_eq!(told[0].timing, AnswerTiming::InTime);
+        let outcomes = d.receive_outcomes(first, Outcomes { list: vec![none] }, NOW);
+        assert_eq!(outcomes[0].timing, AnswerTiming::InTime);
         d.delegate(look(0), LIMIT, NOW);
     }
     assert_ne!(d.last_link().expect("a call"), first);
 }
 
 #[test]
-fn a_new_owner_of_a_large_cell_waits_a_little_for_its_members() {
+fn a_new_owner_of_a_large_cell_waits_briefly_for_its_members() {
     let mut d = Delegation::new(3, NOW);
     d.set_workers(&(0..200).map(listing).collect::<Vec<_>>());
     assert!(d.awaits_members(NOW));
@@ -190,16 +190,16 @@
     assert!(!d.awaits_members(NOW + Millis(190)));
     let mut alone = Delegation::new(3, NOW);
     alone.set_workers(&(0..200).map(listing).collect::<Vec<_>>());
-    assert!(!alone.awaits_members(NOW + Millis(400)), "nobody comes");
+    assert!(!alone.awaits_members(NOW + Millis(400)), "no member joins");
     alone.set_workers(&(0..50).map(listing).collect::<Vec<_>>());
     assert!(!alone.awaits_members(NOW), "a small cell needs no members");
 }
 
 #[test]
-fn no_call_is_overdue_while_the_owner_has_not_taken_in_all_reports() {
+fn no_call_is_overdue_while_the_owner_has_not_handled_all_reports() {
     let mut d = delegation(12, 200);
     let before = assign(&mut d, 200, NOW);
     let late = NOW + Millis(2_000);
     assert!(d.take_overdue(false, late).is_empty());
-    assert_eq!(assign(&mut d, 200, late), before, "no member is taken for silent");
+    assert_eq!(assign(&mut d, 200, late), before, "no member counts as silent");
 }
--- a/crates/hollowford-node/src/owner.rs
+++ b/crates/hollowford-node/src/owner.rs
@@ -1,4 +1,4 @@
-//! The owner of the partition: one task that drives the engine and carries out its orders.
+//! The partition owner: one task that drives the scheduling engine and executes its orders.
 
 mod caller_calls;
 #[cfg(test)]
@@ -27,75 +27,77 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
 
-/// Messages taken before the engine is polled.
+/// Maximum number of messages handled between two polls of the engine.
 const MAX_MESSAGES_PER_POLL: usize = 256;
-/// Longest time between two polls of the engine.
+/// Maximum time between two polls of the engine.
 const MAX_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Members that come or go within this time are taken in together: what uses them is told the
-/// whole list each time.
+/// Minimum time between two membership updates, so that members that join or leave together cause
+/// one update. Each update passes on the whole member list.
 const MEMBER_UPDATE_INTERVAL: Millis = Millis(20);
-/// Members are asked whether the store answers them once a batch hangs for so long.
+/// Once no batch has been committed for this long, heartbeats ask the members whether the store
+/// answers them.
 const STORE_LOST_TIMEOUT: Millis = Millis(300);
 
-/// Why an owner ended.
+/// The reason an owner ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OwnerEnd {
     /// Another process owns the partition.
     Deposed,
-    /// It was handed over.
+    /// The partition was handed over to a member.
     HandedOver,
-    /// It gave up: what the store holds can't be read, or nobody was within reach.
+    /// The owner gave up because the stored data is unreadable or neither the store nor a member
+    /// could be reached.
     GaveUp,
 }
 
-/// What the owner starts from.
+/// The state from which a new owner starts.
 pub struct RecoveredState {
-    /// Who it is.
+    /// The epoch, partition and process of the owner.
     pub info: OwnerInfo,
     /// Version of each lane's row.
     pub lanes: [Version; LANE_COUNT],
-    /// The engine, with what the store held.
+    /// The engine, recovered from the stored rows.
     pub engine: Engine,
-    /// The engine's time less the process's.
+    /// Engine time minus process time, in milliseconds.
     pub clock_offset: i64,
 }
 
-/// The owner.
+/// Owner of one partition; see the module documentation.
 pub struct Owner {
     cx: Cx,
     info: OwnerInfo,
     engine: Engine,
-    /// The engine's time less the process's.
+    /// Engine time minus process time, in milliseconds.
     clock_offset: i64,
     workers: WorkerClient,
     delegation: Delegation,
     handle: OwnerHandle,
     members: Members,
-    /// Members have come or gone since those who use them were told last.
+    /// Whether members have joined or left since the last membership update.
     members_changed: bool,
-    /// When they were told last.
+    /// Time of the last membership update.
     members_updated_at: Millis,
     waiters: WaitingCalls,
-    /// Empty between two polls; kept for its room.
+    /// Buffer reused across polls; empty between them.
     orders: Vec<Order>,
     decisions: DecisionLog,
     batches: Batches,
     reach: Reach,
-    /// Version of the configuration that the engine has.
+    /// Version of the configuration that the engine uses.
     config_version: u64,
     settings: watch::Receiver<NodeSettings>,
-    /// When the gauges were renewed last.
+    /// Time of the last update of the gauges.
     view_updated_at: Millis,
-    /// The engine's counters as they were then.
+    /// Engine counters at the last update of the gauges.
     reported_stats: Stats,
     giving_up: GivingUp,
     end: Option<OwnerEnd>,
 }
 
 impl Owner {
-    /// Makes an owner.
-    pub fn new(cx: Cx, start: RecoveredState, handle: OwnerHandle) -> Owner {
-        let RecoveredState { info, lanes, engine, clock_offset } = start;
+    /// Creates the owner from the recovered state.
+    pub fn new(cx: Cx, state: RecoveredState, handle: OwnerHandle) -> Owner {
+        let RecoveredState { info, lanes, engine, clock_offset } = state;
         let (shared, part) = (&cx.shared, cx.partition.part.clone());
         let giving_up = GivingUp::new(shared.clone(), info.epoch);
         let workers = shared.workers.with_fence(info.epoch);
@@ -126,12 +128,12 @@
         }
     }
 
-    /// Returns the engine's time.
+    /// Returns the current engine time.
     fn now(&self) -> Millis {
         engine_time(&self.cx.shared, self.clock_offset)
     }
 
-    /// Owns the partition until it is lost or given up.
+    /// Runs the owner until it loses the partition or gives it up.
     pub async fn run(mut self, mut rx: mpsc::Receiver<OwnerMsg>) -> OwnerEnd {
         tokio::spawn(registry::follow(self.cx.clone(), self.handle.clone()));
         self.engine.set_seats(&self.members.seats());
@@ -148,7 +150,7 @@
         self.shut_down(rx)
     }
 
-    /// Sends all that wait to the next owner, and tells why this one ended.
+    /// Refers the remaining callers to the next owner and returns why this one ended.
     fn shut_down(mut self, mut rx: mpsc::Receiver<OwnerMsg>) -> OwnerEnd {
         rx.close();
         while let Ok(msg) = rx.try_recv() {
@@ -202,14 +204,15 @@
         }
     }
 
-    /// Sends the heartbeats that are due, and tells those who use the members which of them can be
-    /// used, if that may have changed.
+    /// Sends the heartbeats that are due. After a full round of heartbeats or a change of
+    /// membership, passes the list of usable members to the engine and the delegation.
     fn update_members(&mut self, now: Millis) {
         let store_lost = self.batches.is_uncommitted_for(STORE_LOST_TIMEOUT, now);
         let shared = &self.cx.shared;
-        let all_told = self.members.tick(shared.clock.now(), shared.config_known(), store_lost);
-        let gathered = now.since(self.members_updated_at) >= MEMBER_UPDATE_INTERVAL;
-        if all_told || (self.members_changed && gathered) {
+        let round_complete =
+            self.members.tick(shared.clock.now(), shared.config_known(), store_lost);
+        let update_due = now.since(self.members_updated_at) >= MEMBER_UPDATE_INTERVAL;
+        if round_complete || (self.members_changed && update_due) {
             self.members_changed = false;
             self.members_updated_at = now;
             self.engine.set_seats(&self.members.seats());
@@ -255,8 +258,8 @@
         }
     }
 
-    /// Lets the engine decide, carries out its orders and writes the next batch. `inbox_is_empty` tells
-    /// that no message waits.
+    /// Polls the engine, executes its orders and writes the next batch. `inbox_is_empty` is true if
+    /// no message is waiting to be handled.
     fn poll_engine(&mut self, inbox_is_empty: bool) {
         let now = self.now();
         self.apply_config(now);
@@ -320,7 +323,7 @@
     }
 }
 
-/// Returns the engine's time, which is ahead of the process's by `clock_offset`.
+/// Returns the engine time, which is `clock_offset` ahead of the process's clock.
 fn engine_time(shared: &Shared, clock_offset: i64) -> Millis {
     Millis((shared.clock.now().0 as i64 + clock_offset).max(0) as u64)
 }
--- a/crates/hollowford-node/src/owner/caller_calls.rs
+++ b/crates/hollowford-node/src/owner/caller_calls.rs
@@ -1,4 +1,4 @@
-//! Callers' requests: for whom they are made, and whether they are taken now.
+//! Handles callers' requests: authorization and admission.
 
 use super::Owner;
 use crate::access::{self, Access, MAX_CONFIG_AGE};
@@ -9,8 +9,9 @@
 use hollowford_jobs::JobId;
 
 impl Owner {
-    /// Takes a request, or answers it at once: when it is made for nobody that is known, when this
-    /// owner gives up, or when its acceptance could not be in the store in time.
+    /// Accepts a request or answers it at once. It is rejected if its key is unknown, if this owner
+    /// is giving up the partition, or if the store cannot commit a new job before the caller's time
+    /// limit.
     pub(super) fn handle_call(&mut self, call: Call, reply: Reply, now: Millis) {
         if call.config > self.cx.shared.config_version() {
             self.cx.shared.config_wanted.notify_one();
@@ -28,7 +29,8 @@
         self.waiters.handle(&mut self.engine, call, reply, admitted, now);
     }
 
-    /// Checks for whom a call is made, and names that account in it; else tells the answer.
+    /// Sets the client account on whose behalf the call is made. Returns the call's id and the
+    /// answer if the call is rejected.
     fn authorize(&self, mut call: Call) -> Result<Call, (u64, Said)> {
         let config = self.cx.shared.config.load();
         let config = config.as_deref();
@@ -42,19 +44,20 @@
                 call.account = account.to_owned();
                 Ok(call)
             }
-            // The entry didn't know the account, and so came to another home.
+            // The entry process didn't know the account and routed the call to the wrong partition.
             Access::Granted(_) => Err((call.id, Said::NotTaken)),
             Access::Unknown => Err((call.id, Said::UnknownKey)),
         }
     }
 
-    /// Tells whether jobs of an account belong here; a count is asked of all partitions.
+    /// Returns true if the account's jobs belong to this partition. Counts are sent to all
+    /// partitions.
     fn is_home_partition(&self, account: &str, call: &Call) -> bool {
         let home = self.cx.shared.partition_of(account, JobId(call.job));
         call.verb() == Verb::Waiting || home.is_some_and(|p| p.number == self.info.partition)
     }
 
-    /// Refuses the jobs that wait behind a batch that hangs: of them nothing was sent.
+    /// Refuses new jobs that wait behind a stalled batch and have not been sent to the store.
     pub(super) fn refuse_unsent(&mut self, now: Millis) {
         if self.batches.is_stalled(now) {
             for job in self.engine.withdraw_unsent() {
--- a/crates/hollowford-node/src/owner/joining_tests.rs
+++ b/crates/hollowford-node/src/owner/joining_tests.rs
@@ -1,7 +1,8 @@
-//! What it costs an owner that hundreds of links open to it at once.
+//! Cost of many links that open or close at once.
 //!
-//! The pattern: a cell of some 600 instances in which a partition changes hands, so that every
-//! instance opens a link to the new owner within a few tenths of a second.
+//! Guards against an owner that sends every member a heartbeat each time another one joins. A
+//! partition of a cell with some 600 instances changes hands, and every instance opens a link to
+//! the new owner within a few tenths of a second.
 #![allow(clippy::expect_used)]
 
 use super::{Owner, RecoveredState};
@@ -29,7 +30,7 @@
     Owner::new(cx, start, OwnerHandle::new().0)
 }
 
-/// Has a member join, and returns what is sent to it.
+/// Lets a member join and returns the frames sent to it.
 fn join(owner: &mut Owner, link: u64) -> Receiver<Frame> {
     let (outbox, rx) = Outbox::to_test();
     let address = format!("10.0.{}.{}:7000", link / 250, link % 250);
@@ -48,10 +49,10 @@
     for instances in [147, 588, 1_176] {
         let mut owner = owner();
         let mut links: Vec<_> = (0..instances).map(|link| join(&mut owner, link)).collect();
-        let told: Vec<usize> = links.iter_mut().map(heartbeats).collect();
-        assert!(told.iter().all(|&n| n >= 1), "each is told at once who its owner is");
-        let most = told.iter().max().copied().unwrap_or(0);
-        assert!(most <= 2, "{instances} links: a member was told {most} times");
+        let received: Vec<usize> = links.iter_mut().map(heartbeats).collect();
+        assert!(received.iter().all(|&n| n >= 1), "each member gets a heartbeat at once");
+        let max = received.iter().max().copied().unwrap_or(0);
+        assert!(max <= 2, "{instances} links: a member got {max} heartbeats");
     }
 }
 
@@ -63,6 +64,6 @@
         heartbeats(rx);
     }
     (0..300).for_each(|link| owner.handle_message(OwnerMsg::Left(link)));
-    let told: usize = links[300..].iter_mut().map(heartbeats).sum();
-    assert!(told <= 288, "those that stay were told {told} times");
+    let received: usize = links[300..].iter_mut().map(heartbeats).sum();
+    assert!(received <= 288, "the remaining members got {received} heartbeats");
 }
--- a/crates/hollowford-node/src/owner/view.rs
+++ b/crates/hollowford-node/src/owner/view.rs
@@ -1,22 +1,22 @@
-//! What an owner shows of itself: gauges, and lines in the log.
+//! Gauges and log lines about the owner's state.
 
 use super::Owner;
 use hollowford_core::Millis;
 use hollowford_jobs::WaitCause;
 
-/// How often the owner's gauges and its line in the log are renewed.
+/// Interval between two updates of the gauges and the log line.
 const VIEW_INTERVAL: Millis = Millis(2_000);
-/// An account that holds so much of its quota is logged.
+/// Accounts that use at least this share of their quota are logged.
 const NEAR_QUOTA_PERCENT: u64 = 95;
-/// A step of a job that was accepted so long ago is logged while it waits.
+/// Minimum age of a job whose waiting steps are logged.
 const MIN_LOGGED_WAIT: Millis = Millis(3_000);
-/// Most steps that are logged so at a time.
+/// Maximum number of waiting steps logged per update.
 const MAX_WAIT_LINES: usize = 8;
-/// Most accounts that are logged so at a time.
+/// Maximum number of accounts logged per update.
 const MAX_QUOTA_LINES: usize = 8;
 
 impl Owner {
-    /// Renews the gauges and the lines in the log, every now and then.
+    /// Updates the gauges and writes the log lines once per [`VIEW_INTERVAL`].
     pub(super) fn update_view(&mut self, now: Millis) {
         if now.since(self.view_updated_at) < VIEW_INTERVAL {
             return;
@@ -37,7 +37,7 @@
         log::info!("owner.view partition={} {view}", self.info.partition);
     }
 
-    /// Renews the gauges of what steps wait for, and logs those that have waited long.
+    /// Updates the gauges of waiting steps by cause and logs those that have waited long.
     fn update_step_waits(&mut self, now: Millis) {
         let part = self.cx.partition.part.clone();
         let gauge = &self.cx.shared.metrics.waiting_steps;
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Renews the gauges of the client accounts with a quota, and logs those that are at theirs.
+    /// Updates the usage gauges of client accounts with a quota and logs accounts near their quota.
     fn update_account_usage(&mut self) {
         let part = self.cx.partition.part.clone();
         let gauge = &self.cx.shared.metrics.account_used_milli;
--- a/crates/hollowford-node/src/owner/worker_calls.rs
+++ b/crates/hollowford-node/src/owner/worker_calls.rs
@@ -1,4 +1,4 @@
-//! The owner's calls to workers and for advice, and what comes of them.
+//! The owner's calls to workers and to the advice service, and their outcomes.
 
 use super::{Owner, OwnerEnd};
 use crate::calls::{AnswerTiming, call_worker_locally, request_advice_locally};
@@ -8,7 +8,8 @@
 use hollowford_jobs::{Order, WorkerCall};
 
 impl Owner {
-    /// Takes in what came of a call to a worker, made here or by a member.
+    /// Passes the outcome of a call to a worker, made by this process or by a member, to the
+    /// engine.
     pub(super) fn handle_worker_answer(&mut self, outcome: CallOutcome, now: Millis) {
         let CallOutcome { call, called, sent, timing } = outcome;
         let late = timing == AnswerTiming::Late;
@@ -46,8 +47,8 @@
         }
     }
 
-    /// Has a call made: to a worker by a member or from here, for advice by the member whose
-    /// seat it is.
+    /// Executes an order of the engine: starts a call to a worker, made by a member or by this
+    /// process, or a call for advice, made by the instance that holds the seat.
     pub(super) fn execute_order(&mut self, order: Order, now: Millis) {
         match order {
             Order::Worker { call, limit } => {
