--- a/crates/hollowford-node/src/batches.rs
+++ b/crates/hollowford-node/src/batches.rs
@@ -1,4 +1,4 @@
-//! The owner's batches: when one is made and in which lane, and how those under way fare.
+//! Schedules the owner's batches over the lanes and tracks those in flight.
 
 use crate::inbox::{OwnerHandle, OwnerMsg};
 use crate::lane::LANE_COUNT;
@@ -11,44 +11,44 @@
 use hollowford_jobs::{Batch, Engine};
 use std::sync::Arc;
 
-/// Shortest time between two batches when somebody waits for one, so that what comes
-/// together is written together.
+/// Minimum time between two batches when a caller waits for one, so that changes that come together
+/// are written together.
 const MIN_BATCH_INTERVAL: Millis = Millis(14);
-/// Shortest time between two batches when nobody waits.
+/// Minimum time between two batches when no caller waits for one.
 const MIN_IDLE_BATCH_INTERVAL: Millis = Millis(30);
-/// A further lane is used once the batches under way have been so for this long: a store of
-/// usual speed has made them by then, and needs one lane only.
+/// Another lane is used once a batch has been in flight for this long. A store of normal speed
+/// commits a batch sooner and needs only one lane.
 const EXTRA_LANE_DELAY: Millis = Millis(40);
-/// Further lanes are used only while the store has made a batch within this time. Beyond it is
-/// away, and more batches would only wait.
+/// Another lane is used only if the store has committed a batch within this time. Otherwise the
+/// store is unavailable and more batches would only wait.
 const MAX_COMMIT_AGE_FOR_EXTRA_LANE: Millis = Millis(1_000);
-/// A batch that takes so long is logged. The store's usual answer takes some 10 ms.
+/// Batches that take at least this long are logged. The store usually answers within about 10 ms.
 const SLOW_BATCH_THRESHOLD: Millis = Millis(150);
-/// A batch under way for so long hangs, if the store has answered nothing else for as long.
+/// A batch in flight for this long is stalled if the store has answered no other call for as long.
 const SILENT_STORE_STALL_TIMEOUT: Millis = Millis(600);
-/// A batch under way for so long hangs in any case.
+/// A batch in flight for this long is stalled in any case.
 const STALL_TIMEOUT: Millis = Millis(2_000);
-/// After the store has refused a batch, new jobs are refused for so long; then one is tried.
+/// How long new jobs are refused after the store has refused a batch.
 const REFUSAL_BACKOFF: Millis = Millis(300);
 
-/// A batch that is under way.
+/// A batch that is being written.
 #[derive(Clone, Copy, Debug)]
 struct InFlightBatch {
     number: u64,
-    /// Rows that it writes, but for its lane's.
+    /// Number of rows it writes, excluding the lane's row.
     rows: usize,
     started_at: Millis,
 }
 
-/// A row in which batches are counted, and the batch that is to change it.
+/// A lane, which writes one batch at a time and counts them in a row of its own.
 #[derive(Clone, Copy, Debug)]
 struct Lane {
-    /// Version of its row, as the last batch left it.
+    /// Version of the lane's row after its last batch.
     rev: Version,
     in_flight: Option<InFlightBatch>,
 }
 
-/// The batches of one owner, of which one at most is under way in each lane.
+/// The batches of one owner, with at most one in flight in each lane.
 #[derive(Debug)]
 pub struct Batches {
     shared: Arc<Shared>,
@@ -56,22 +56,23 @@
     part: String,
     lanes: [Lane; LANE_COUNT],
     handle: OwnerHandle,
-    /// When the last one was cut.
+    /// When the last batch was cut.
     last_cut_at: Millis,
-    /// When the last one was made.
+    /// When the last batch was committed.
     last_committed_at: Millis,
-    /// Since when none was made though there was one to make.
+    /// Since when a batch has been pending without any batch being committed.
     uncommitted_since: Option<Millis>,
-    /// When the store refused one last, with none made since.
+    /// When the store last refused a batch, if none has been committed since.
     last_refused_at: Option<Millis>,
-    /// How long the last one took.
+    /// How long the last committed batch took.
     last_duration: Millis,
-    /// How long the store's answers to copies took.
+    /// The store's response times to write attempts.
     answer_times: AnswerTimes,
 }
 
 impl Batches {
-    /// Makes the batches of the owner `info`, on top of these versions of the lanes' rows.
+    /// Creates the batches of the owner `info`, starting from the given versions of the lanes'
+    /// rows.
     pub fn new(
         shared: Arc<Shared>,
         info: OwnerInfo,
@@ -110,8 +111,8 @@
         self.start_writing(lane, batch);
     }
 
-    /// Returns the lane for the next batch: the first one, and another one only while the
-    /// store is slow.
+    /// Returns the lane for the next batch. While a batch is in flight, another lane is used only
+    /// if the store is slow.
     fn free_lane(&self, now: Millis) -> Option<usize> {
         let free = self.lanes.iter().position(|l| l.in_flight.is_none())?;
         if self.is_idle() {
@@ -135,7 +136,7 @@
         });
     }
 
-    /// Takes note of what came of a batch.
+    /// Records the outcome of a batch.
     pub fn record_outcome(&mut self, batch: u64, outcome: &BatchOutcome, now: Millis) {
         let of = |l: &Lane| l.in_flight.is_some_and(|u| u.number == batch);
         let Some(at) = self.lanes.iter().position(of) else { return };
@@ -152,7 +153,7 @@
         match outcome {
             BatchOutcome::Made { rev, answered_in } => {
                 lane.rev = *rev;
-                // What was made by a later copy says how long that one took.
+                // If a later attempt was committed, its own response time counts.
                 self.last_duration = answered_in.unwrap_or(took);
                 if let Some(took) = answered_in {
                     self.answer_times.note(*took);
@@ -166,14 +167,14 @@
         }
     }
 
-    /// Returns since when the oldest batch is under way.
+    /// Returns when the oldest batch in flight was started.
     fn oldest_start(&self) -> Option<Millis> {
         self.lanes.iter().filter_map(|l| l.in_flight).map(|u| u.started_at).min()
     }
 
-    /// Tells whether the store takes no batches now, as far as is known.
+    /// Returns true if the store currently commits no batches.
     pub fn is_stalled(&self, now: Millis) -> bool {
-        // A slow store answers something meanwhile: the writer reads, beside the batch.
+        // A slow store still answers the reads that the writer makes beside the batch.
         let store_answers = self.shared.store_age() < SILENT_STORE_STALL_TIMEOUT;
         let timeout = if store_answers { STALL_TIMEOUT } else { SILENT_STORE_STALL_TIMEOUT };
         let stalled = self.oldest_start().is_some_and(|s| now.since(s) >= timeout);
@@ -182,13 +183,13 @@
                 && self.last_refused_at.is_some_and(|at| now.since(at) < REFUSAL_BACKOFF))
     }
 
-    /// Tells whether a new job is taken whose caller waits for `limit` longer. It is refused at
-    /// once when its acceptance can't be in the store by then, or the store takes no batches.
+    /// Returns true if a new job can be accepted whose caller waits for another `limit`. It is
+    /// refused at once if the store is stalled or can't commit the job in that time.
     pub fn admits_job(&self, engine: &Engine, limit: Millis, now: Millis) -> bool {
         !self.is_stalled(now) && self.estimated_commit_time(engine, now) <= limit
     }
 
-    /// Returns how long it takes until a job that comes now is in the store.
+    /// Estimates the time until a job that arrives now is committed.
     fn estimated_commit_time(&self, engine: &Engine, now: Millis) -> Millis {
         let free = self.lanes.iter().any(|l| l.in_flight.is_none());
         let began = self.oldest_start().filter(|_| !free);
@@ -197,17 +198,17 @@
         until_free + Millis(self.last_duration.max(MIN_BATCH_INTERVAL).0 * rounds)
     }
 
-    /// Tells whether for so long none was made though there was one to make.
+    /// Returns true if a batch has been pending for `limit` without any batch being committed.
     pub fn is_uncommitted_for(&self, limit: Millis, now: Millis) -> bool {
         self.uncommitted_since.is_some_and(|s| now.since(s) >= limit)
     }
 
-    /// Tells whether none is under way.
+    /// Returns true if no batch is in flight.
     pub fn is_idle(&self) -> bool {
         self.lanes.iter().all(|l| l.in_flight.is_none())
     }
 
-    /// Returns the version of the owner row, unless a batch under way may change it.
+    /// Returns the version of the owner row, or `None` while a batch in flight may change it.
     pub fn stable_owner_rev(&self) -> Option<Version> {
         self.is_idle().then_some(self.lanes[0].rev)
     }
--- a/crates/hollowford-node/src/delegation_tests.rs
+++ b/crates/hollowford-node/src/delegation_tests.rs
@@ -89,8 +89,8 @@
         *counts.entry(*link).or_default() += 1;
     }
     // The average is 7.6.
-    let max = counts.values().max().expect("some");
-    assert!(*max <= 24, "one member has {max} workers");
+    let largest = counts.values().max().expect("some");
+    assert!(*largest <= 24, "one member has {largest} workers");
     assert!(counts.len() > 120, "only {} members have workers", counts.len());
 }
 
--- a/crates/hollowford-node/src/load.rs
+++ b/crates/hollowford-node/src/load.rs
@@ -1,4 +1,4 @@
-//! What a new owner starts from: the partition's rows.
+//! Loads a partition's rows and recovers the engine of a new owner from them.
 
 use crate::lane::lane_versions;
 use crate::owner::RecoveredState;
@@ -11,14 +11,16 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Longest time for reading the partition's rows.
+/// Timeout of one attempt to read the partition's rows.
 const LOAD_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// An owner that lives for so long after an outage of the store has written all that it knew.
+/// How long an outage of the store matters after its end: the previous owner may have lost changes
+/// that it could not write. An owner that survives the outage by this time has written them all.
 const RECENT_OUTAGE_WINDOW: Millis = Millis(2_000);
-/// An owner without the partition's rows for so long gives it up.
+/// An owner that can't read the partition's rows within this time gives the partition up.
 const MAX_LOAD_TIME: Millis = Millis(4_000);
 
-/// Reads what the store holds of the partition.
+/// Loads the partition's rows and recovers the owner's state. Returns `None` if the rows can't be
+/// read or another process owns the partition.
 pub async fn load(cx: &Cx, info: &OwnerInfo) -> Option<RecoveredState> {
     let started_at = cx.shared.clock.now();
     loop {
--- a/crates/hollowford-node/src/mass_join_tests.rs
+++ b/crates/hollowford-node/src/mass_join_tests.rs
@@ -1,8 +1,8 @@
-//! A cell whose instances all follow a new owner at once: what each hears, on one virtual clock.
+//! Simulates a cell whose instances all join a new owner at once.
 //!
-//! Pattern: hundreds of links open to an owner while it claims its workers. Members that heard nothing for
-//! half a second of that took it for silent, the next owner began with the same work, and owners that lived
-//! deposed each other until the cell happened to be quiet.
+//! Guards against owners that depose each other under load. Hundreds of links open while the owner
+//! claims its workers. Members that received nothing for half a second took the owner for dead, and
+//! the next owner started with the same load, until the cell happened to be quiet.
 #![allow(clippy::expect_used)]
 
 use crate::announce::{TOLD_AT_A_TIME, TOLD_EVERY};
@@ -15,44 +15,44 @@
 use tokio::sync::mpsc::Receiver;
 use yare::parameterized;
 
-/// One step of the clock, in milliseconds.
+/// Step of the simulated clock, in milliseconds.
 const STEP_MS: u64 = 1;
-/// When the partition gets its owner.
+/// When the owner takes the partition, in milliseconds.
 const OWNER_START_MS: u64 = 5_000;
-/// The owner's loop gets so much processor in a step, in microseconds: half of its core, since what it
-/// has others do for it wants the other half.
+/// CPU time that the owner's loop gets per step, in microseconds. This is half a core; tasks that
+/// the owner has started need the other half.
 const OWNER_CPU_US_PER_STEP: i64 = 500;
-/// What it takes of that to take a link, or to answer a question over a new one.
+/// CPU time to accept a link, or to answer a probe over a new link.
 const LINK_US: i64 = 200;
-/// What it takes to send or to take a frame.
+/// CPU time to send or receive a frame.
 const FRAME_US: i64 = 25;
-/// Workers of the partition for each instance, and what it takes to claim one.
+/// Workers of the partition per instance, and the CPU time to claim one.
 const WORKERS_PER_INSTANCE: i64 = 2;
 const CLAIM_US: i64 = 100;
-/// By then all have joined for long, in milliseconds.
+/// Simulated time by which all members have joined, in milliseconds.
 const SETTLE_MS: u64 = 8_000;
-/// An owner that says nothing is missed within this time by those that take over first.
+/// Time within which the first candidates detect a silent owner, in milliseconds.
 const MAX_DETECTION_MS: u64 = 600;
 
-/// What waits for the owner.
+/// Work queued for the owner. Each variant holds the index of the follower.
 enum OwnerWork {
-    /// A link of a member.
+    /// A member opens a link.
     Join(usize),
-    /// A member's heartbeat.
+    /// A member sends a heartbeat.
     Beat(usize),
-    /// A member's question whether it lives.
-    Question(usize),
+    /// A member asks whether the owner is alive.
+    Probe(usize),
 }
 
-/// A process that follows the owner, as `member` does.
+/// A process that follows the owner like `member` does.
 struct Follower {
     rx: Receiver<Frame>,
     outbox: Option<Outbox>,
     hearing: Option<Hearing>,
-    /// The owner is asked, and has answered once this is true.
-    asked: Option<bool>,
+    /// `Some(false)` while a probe is unanswered, `Some(true)` once it is answered.
+    probe_answered: Option<bool>,
     beat_sent: u64,
-    /// When it has left the owner, and how.
+    /// When and why the follower left the owner.
     left: Option<(u64, Judged)>,
 }
 
@@ -61,9 +61,10 @@
     members: Members,
     followers: Vec<Follower>,
     work: VecDeque<OwnerWork>,
-    /// Processor that the owner has used ahead, in microseconds.
+    /// CPU time that the owner has used ahead of the clock, in microseconds; negative if some is
+    /// left.
     cpu_debt_us: i64,
-    /// The owner does nothing any more.
+    /// Whether the owner has stopped.
     stopped: bool,
 }
 
@@ -77,7 +78,7 @@
                 rx,
                 outbox: Some(outbox),
                 hearing: None,
-                asked: None,
+                probe_answered: None,
                 beat_sent: 0,
                 left: None,
             }
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Plays so many milliseconds.
+    /// Advances the simulation by `ms` milliseconds.
     fn advance(&mut self, ms: u64) {
         for _ in 0..ms / STEP_MS {
             self.now += STEP_MS;
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Those that are told now open their links.
+    /// Opens the links of the followers that are told of the owner in this step.
     fn open_links(&mut self) {
         let told_every = TOLD_EVERY.as_millis() as u64;
         let since = self.now - OWNER_START_MS - STEP_MS;
@@ -119,9 +120,9 @@
         }
     }
 
-    /// The owner does what its processor allows.
+    /// Executes the owner's queued work, as far as its CPU time allows.
     fn work(&mut self) {
-        // Claims go on beside, for as long as they take.
+        // The owner claims workers at the same time until all are claimed.
         let claims_us = self.followers.len() as i64 * WORKERS_PER_INSTANCE * CLAIM_US;
         let claiming = ((self.now - OWNER_START_MS) as i64) * OWNER_CPU_US_PER_STEP < claims_us;
         self.cpu_debt_us -=
@@ -138,7 +139,7 @@
         self.cpu_debt_us = self.cpu_debt_us.max(-OWNER_CPU_US_PER_STEP);
     }
 
-    /// Returns what it takes of the processor.
+    /// Executes one item of work and returns the CPU time it takes, in microseconds.
     fn process(&mut self, work: OwnerWork) -> i64 {
         match work {
             OwnerWork::Join(i) => {
@@ -154,14 +155,14 @@
                 self.members.beat(i as u64, &MemberBeat::default(), Millis(self.now));
                 FRAME_US
             }
-            OwnerWork::Question(i) => {
-                self.followers[i].asked = self.followers[i].asked.map(|_| true);
+            OwnerWork::Probe(i) => {
+                self.followers[i].probe_answered = self.followers[i].probe_answered.map(|_| true);
                 LINK_US
             }
         }
     }
 
-    /// Returns how many frames are on their way to members.
+    /// Returns the number of frames on their way to members.
     fn sent(&self) -> usize {
         self.followers.iter().map(|f| f.rx.len()).sum()
     }
@@ -172,19 +173,19 @@
         let Some(hearing) = f.hearing.as_mut().filter(|_| f.left.is_none()) else { return };
         while let Ok(frame) = f.rx.try_recv() {
             hearing.note(now);
-            f.asked = None;
+            f.probe_answered = None;
             if let Some(Body::Heartbeat(beat)) = frame.body {
                 hearing.set_pace(Millis(beat.every_ms));
             }
         }
-        // Their timers come at times of their own.
+        // The followers' timers don't fire at the same time.
         if !(self.now + i as u64).is_multiple_of(BEAT.0) {
             return;
         }
         match hearing.judge(now) {
-            Judged::Quiet if f.asked.is_none() => {
-                f.asked = Some(false);
-                self.work.push_back(OwnerWork::Question(i));
+            Judged::Quiet if f.probe_answered.is_none() => {
+                f.probe_answered = Some(false);
+                self.work.push_back(OwnerWork::Probe(i));
             }
             Judged::Silent => f.left = Some((self.now, Judged::Silent)),
             _ => {}
@@ -195,7 +196,7 @@
         }
     }
 
-    /// Returns when members have left the owner, in turn.
+    /// Returns when members left the owner, in ascending order.
     fn left(&self) -> Vec<u64> {
         let mut at: Vec<_> = self.followers.iter().filter_map(|f| Some(f.left?.0)).collect();
         at.sort_unstable();
@@ -208,11 +209,11 @@
     fleet = { 588 },
     twice_the_fleet = { 1_176 },
 )]
-fn no_member_leaves_an_owner_that_lives(instances: usize) {
+fn no_member_leaves_a_living_owner(instances: usize) {
     let mut simulation = Simulation::new(instances);
     simulation.advance(SETTLE_MS);
     assert_eq!(simulation.left(), Vec::<u64>::new());
-    assert!(simulation.followers.iter().all(|f| f.outbox.is_none()), "all have joined");
+    assert!(simulation.followers.iter().all(|f| f.outbox.is_none()), "all members have joined");
 }
 
 #[parameterized(
@@ -220,13 +221,13 @@
     fleet = { 588 },
     twice_the_fleet = { 1_176 },
 )]
-fn those_that_take_over_first_miss_an_owner_in_time(instances: usize) {
+fn first_candidates_detect_a_silent_owner_in_time(instances: usize) {
     let mut simulation = Simulation::new(instances);
     simulation.advance(SETTLE_MS);
     simulation.stopped = true;
     let stopped = simulation.now;
     simulation.advance(5_000);
     let left = simulation.left();
-    assert_eq!(left.len(), instances, "all miss it");
+    assert_eq!(left.len(), instances, "all members detect the silence");
     assert!(left[7] <= stopped + MAX_DETECTION_MS, "{:?} after {stopped}", &left[..8]);
 }
--- a/crates/hollowford-node/src/owner/joining_tests.rs
+++ b/crates/hollowford-node/src/owner/joining_tests.rs
@@ -51,8 +51,8 @@
         let mut links: Vec<_> = (0..instances).map(|link| join(&mut owner, link)).collect();
         let received: Vec<usize> = links.iter_mut().map(heartbeats).collect();
         assert!(received.iter().all(|&n| n >= 1), "each member gets a heartbeat at once");
-        let max = received.iter().max().copied().unwrap_or(0);
-        assert!(max <= 2, "{instances} links: a member got {max} heartbeats");
+        let highest = received.iter().max().copied().unwrap_or(0);
+        assert!(highest <= 2, "{instances} links: a member got {highest} heartbeats");
     }
 }
 
--- a/crates/hollowford-node/src/retries.rs
+++ b/crates/hollowford-node/src/retries.rs
@@ -1,65 +1,69 @@
-//! When the calls for a batch are made again: copies of it, and readings of its lane's row.
+//! Timing of the store calls for a batch: repeated write attempts, and reads of its lane's row.
 //!
-//! The store makes the transactions of a part one after the other, so a copy that isn't needed
-//! keeps the next batch waiting. So the row is read first, which costs no turn: it shows a batch
-//! whose answer was lost, and by its own time how slow the store is.
+//! The store executes the transactions of a part one after the other, so an unnecessary attempt
+//! delays the next batch. The lane's row is therefore read first, which doesn't queue behind
+//! transactions: it shows whether the batch was committed although the answer was lost, and the
+//! duration of the read shows how slow the store is.
 
 use hollowford_core::{AnswerTimes, Millis};
 
-/// The lane's row is read at the earliest after this time without an answer, and so long after each
-/// reading. The store's usual answer takes some 10 to 25 ms.
+/// Minimum time without an answer before the lane's row is read, and between two reads. The store
+/// usually answers within 10 to 25 ms.
 const MIN_READ_DELAY: Millis = Millis(40);
-/// It is read after this time at the latest: an answer may be lost, and its channel with it.
+/// Maximum time without an answer before the lane's row is read. An answer may be lost together
+/// with its connection.
 const MAX_READ_DELAY: Millis = Millis(150);
-/// A batch that a reading doesn't show is sent again once the last copy is older than so many
-/// times what the reading took: a transaction takes longer than a reading, and waits its turn.
+/// After a read that doesn't show the batch, it is sent again once the last attempt is older than
+/// this many times the duration of the read. A transaction takes longer than a read because it
+/// queues behind others.
 const RETRY_DELAY_FACTOR: u64 = 5;
-/// A batch is sent again after this time if no reading has come back: one may be lost as well.
+/// Time after which the batch is sent again if no read has been answered; a read may be lost, too.
 const UNREAD_RETRY_DELAY: Millis = Millis(1_000);
-/// While the store answers nothing at all, copies are sent this often: the first one after its
-/// return is to find it, and each costs little.
+/// Interval of the attempts while the store answers nothing. One of them should reach the store
+/// soon after it returns, and each costs little.
 const OUTAGE_RETRY_INTERVAL: Millis = Millis(200);
-/// A store that has answered nothing for so long is away.
+/// A store that has answered nothing for this long is unavailable.
 const STORE_OUTAGE_TIMEOUT: Millis = Millis(1_000);
-/// Shortest pause between two calls.
+/// Minimum time between two calls.
 const MIN_WAIT: Millis = Millis(5);
-/// Copies under way at most: a copy every 0.2 s for as long as one may take, and some more.
+/// Maximum number of attempts in flight: enough for one every 0.2 s for as long as an attempt may
+/// take, with some to spare.
 const MAX_ATTEMPTS_IN_FLIGHT: usize = 16;
-/// A batch that the store refuses so often is given back: it may refuse a few calls when
-/// many come at once.
+/// Number of refused attempts after which the batch counts as refused. The store may refuse single
+/// calls when many arrive at once.
 const MAX_REFUSALS: u32 = 3;
 
-/// Returns how long to wait for the answer to a copy before the lane's row is read, by how long
-/// answers took lately: callers wait for two batches, and where many answers are lost a fixed time
-/// would hold each of them up.
+/// Returns how long to wait for the answer to an attempt before reading the lane's row, based on
+/// recent response times. Callers wait for two batches, so a fixed delay would slow each of them
+/// down while many answers are lost.
 pub fn read_delay(answers: &AnswerTimes) -> Millis {
     let expected = answers.expected().unwrap_or(MAX_READ_DELAY);
     expected.clamp(MIN_READ_DELAY, MAX_READ_DELAY)
 }
 
-/// The calls that were made for a batch, and what is known of them.
+/// The store calls made for one batch.
 #[derive(Debug)]
 pub struct Retries {
-    /// Copies without an answer.
+    /// Number of attempts without an answer.
     attempts_in_flight: usize,
-    /// When the last copy was sent.
+    /// When the last attempt was sent.
     last_attempt_at: Millis,
     /// See [`read_delay`].
     read_delay: Millis,
-    /// A reading is under way.
+    /// Whether a read is in flight.
     read_in_flight: bool,
-    /// When the next reading is due.
+    /// When the next read is due.
     next_read_at: Millis,
-    /// How long the last reading took, which did not show the batch.
+    /// Duration of the last read, if it did not show the batch.
     last_read_duration: Option<Millis>,
-    /// Copies that failed.
+    /// Number of failed attempts.
     failures: u32,
-    /// One of them may have been made.
+    /// Whether one of the failed attempts may have been committed.
     maybe_committed: bool,
 }
 
 impl Retries {
-    /// The first copy was sent.
+    /// Starts the timing with the first attempt, sent at `now`.
     pub fn new(now: Millis, read_delay: Millis) -> Retries {
         Retries {
             attempts_in_flight: 1,
@@ -73,8 +77,8 @@
         }
     }
 
-    /// Returns when the next copy is due, if no answer comes before; `store_age` is the time
-    /// since the store has answered anything.
+    /// Returns when the next attempt is due if no answer arrives before. `store_age` is the time
+    /// since the last answer of the store to any call.
     fn next_attempt_at(&self, store_age: Millis) -> Option<Millis> {
         if self.attempts_in_flight >= MAX_ATTEMPTS_IN_FLIGHT {
             return None;
@@ -86,7 +90,7 @@
         Some(self.last_attempt_at + self.last_read_duration.map_or(UNREAD_RETRY_DELAY, read))
     }
 
-    /// Tells whether the next call is to be a copy.
+    /// Returns true if the next call should be an attempt rather than a read.
     pub fn attempt_is_due(&self, store_age: Millis, now: Millis) -> bool {
         self.next_attempt_at(store_age).is_some_and(|at| at <= now)
     }
@@ -102,41 +106,41 @@
         at.since(now).max(MIN_WAIT)
     }
 
-    /// Another copy was sent.
+    /// Records that another attempt was sent.
     pub fn attempt_sent(&mut self, now: Millis) {
         self.attempts_in_flight += 1;
         self.last_attempt_at = now;
     }
 
-    /// A copy has failed; `batch_not_found` tells whether it surely was not made.
-    pub fn attempt_failed(&mut self, batch_not_found: bool) {
+    /// Records a failed attempt; `not_committed` is true if it was certainly not committed.
+    pub fn attempt_failed(&mut self, not_committed: bool) {
         self.attempts_in_flight -= 1;
         self.failures += 1;
-        self.maybe_committed |= !batch_not_found;
+        self.maybe_committed |= !not_committed;
     }
 
-    /// Tells whether no copy is under way any more.
+    /// Returns true if no attempt is in flight any more.
     pub fn all_attempts_failed(&self) -> bool {
         self.attempts_in_flight == 0
     }
 
-    /// A reading was sent.
+    /// Records that a read was sent.
     pub fn read_sent(&mut self) {
         self.read_in_flight = true;
     }
 
-    /// Tells whether the store has refused all copies, so that none will be made.
+    /// Returns true if the store has refused all attempts, so that none can still be committed.
     pub fn is_refused(&self) -> bool {
         !self.maybe_committed && self.failures >= MAX_REFUSALS
     }
 
-    /// A reading that took so long has not shown the batch.
+    /// Records a read that took `took` and did not show the batch.
     pub fn batch_not_found(&mut self, took: Millis, now: Millis) {
         self.last_read_duration = Some(took.max(MIN_WAIT));
         self.read_failed(now);
     }
 
-    /// A reading has failed.
+    /// Records a failed read.
     pub fn read_failed(&mut self, now: Millis) {
         self.read_in_flight = false;
         self.next_read_at = now + self.read_delay;
--- a/crates/hollowford-node/src/retries_tests.rs
+++ b/crates/hollowford-node/src/retries_tests.rs
@@ -1,50 +1,50 @@
-//! When a batch without an answer is read for, and sent again.
+//! Timing of reads and repeated attempts for a batch without an answer.
 
 use crate::retries::{Retries, read_delay};
 use hollowford_core::{AnswerTimes, Millis};
 
 const SENT: Millis = Millis(10_000);
-/// Time since the last answer of a store that answers.
+/// Time since the last answer of a store that is available.
 const JUST_NOW: Millis = Millis(10);
 
-/// Returns how long after the last copy the next one is due; none within a minute.
+/// Returns the time from the last attempt to the next one, or `None` if it is more than a minute.
 fn next_attempt(retries: &Retries, store_age: Millis) -> Option<Millis> {
     let due = |after: &u64| retries.attempt_is_due(store_age, SENT + Millis(*after));
     (0..60_000).find(due).map(Millis)
 }
 
 #[test]
-fn a_batch_is_read_for_before_it_is_sent_again() {
+fn the_lane_row_is_read_before_a_batch_is_sent_again() {
     let retries = Retries::new(SENT, Millis(150));
     let wait = retries.wait(JUST_NOW, SENT);
     assert!(!retries.attempt_is_due(JUST_NOW, SENT + wait));
 }
 
 #[test]
-fn a_quick_store_that_does_not_show_the_batch_gets_a_copy_soon_and_a_slow_one_later() {
-    let mut quick = Retries::new(SENT, Millis(150));
-    quick.read_sent();
-    quick.batch_not_found(Millis(5), SENT + Millis(155));
+fn a_batch_not_found_is_sent_again_sooner_to_a_fast_store_than_to_a_slow_one() {
+    let mut fast = Retries::new(SENT, Millis(150));
+    fast.read_sent();
+    fast.batch_not_found(Millis(5), SENT + Millis(155));
     let mut slow = Retries::new(SENT, Millis(150));
     slow.read_sent();
     slow.batch_not_found(Millis(400), SENT + Millis(550));
-    assert_eq!(next_attempt(&quick, JUST_NOW), Some(Millis(150)));
+    assert_eq!(next_attempt(&fast, JUST_NOW), Some(Millis(150)));
     assert_eq!(next_attempt(&slow, JUST_NOW), Some(Millis(2_000)));
 }
 
 #[test]
-fn a_reading_that_is_lost_holds_the_copy_up_for_a_second_only() {
+fn a_lost_read_delays_the_next_attempt_by_a_second_only() {
     let mut retries = Retries::new(SENT, Millis(150));
     retries.read_sent();
     assert_eq!(next_attempt(&retries, JUST_NOW), Some(Millis(1_000)));
 }
 
 #[test]
-fn a_store_that_answers_nothing_is_tried_often_for_as_long_as_it_is_away() {
+fn attempts_are_frequent_while_the_store_answers_nothing() {
     let mut retries = Retries::new(SENT, Millis(150));
     let away = Millis(1_500);
     assert_eq!(next_attempt(&retries, away), Some(Millis(200)));
-    // Each copy may take 2.5 s, and none of those must keep the next one back.
+    // Each attempt may take 2.5 s; those in flight must not delay the next one.
     for _ in 0..12 {
         retries.attempt_sent(SENT);
     }
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_batch_is_given_back_only_when_no_copy_can_have_been_made() {
+fn a_batch_counts_as_refused_only_if_no_attempt_can_have_been_committed() {
     let mut refused = Retries::new(SENT, Millis(150));
     let mut unsure = Retries::new(SENT, Millis(150));
     for failure in 0..3 {
@@ -66,25 +66,25 @@
     assert!(!unsure.is_refused());
 }
 
-/// Returns the times of a store whose answers take so long.
+/// Returns the response times of a store that takes `took` milliseconds in turn.
 fn answers(took: &[u64]) -> AnswerTimes {
     let mut times = AnswerTimes::default();
     (0..10).flat_map(|_| took).for_each(|&ms| times.note(Millis(ms)));
     times
 }
 
-// The pattern: 42% of the answers to writes are lost for 6 s, and the others take 14 to 28 ms (a
-// day of the users' shifted work); a store 53 times as slow answers after 0.3 to 0.5 s.
+// If 42% of the answers to writes are lost for 6 s and the others take 14 to 28 ms, a fixed read
+// delay holds up most callers. A store that is 53 times as slow answers after 0.3 to 0.5 s.
 #[test]
-fn a_store_that_answers_quickly_is_asked_early_what_came_of_a_batch() {
-    assert_eq!(read_delay(&AnswerTimes::default()), Millis(150), "nothing is known");
-    let quick = read_delay(&answers(&[14, 28, 17, 22]));
-    assert!((40..=60).contains(&quick.0), "{quick:?}");
+fn the_lane_row_is_read_earlier_in_a_fast_store() {
+    assert_eq!(read_delay(&AnswerTimes::default()), Millis(150), "no response times yet");
+    let fast = read_delay(&answers(&[14, 28, 17, 22]));
+    assert!((40..=60).contains(&fast.0), "{fast:?}");
     assert_eq!(read_delay(&answers(&[300, 500])), Millis(150));
 }
 
 #[test]
-fn a_lost_answer_of_a_quick_store_costs_less_than_a_tenth_of_a_second() {
+fn a_lost_answer_of_a_fast_store_costs_less_than_a_tenth_of_a_second() {
     let after = read_delay(&answers(&[14, 28, 17, 22]));
     let mut retries = Retries::new(SENT, after);
     let next_read_at = SENT + retries.wait(JUST_NOW, SENT);
--- a/crates/hollowford-node/src/writer.rs
+++ b/crates/hollowford-node/src/writer.rs
@@ -1,4 +1,4 @@
-//! Writes batches to the store, each exactly once.
+//! Writes each batch to the store exactly once.
 
 use crate::lane::lane_key;
 use crate::owner_row::{TABLE, encode_owner, read_owner};
@@ -15,54 +15,54 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Longest time for a reading. A slow store takes up to 0.5 s.
+/// Timeout of a read. A slow store takes up to 0.5 s.
 const READ_TIMEOUT: Duration = Duration::from_millis(800);
-/// Longest time for one copy.
+/// Timeout of one write attempt.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Pause after the store has refused.
+/// Delay before the next attempt after the store has refused one.
 const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(80);
 
-/// What came of a batch.
+/// The outcome of a batch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BatchOutcome {
-    /// It is in the store.
+    /// The batch was committed.
     Made {
-        /// Version of its lane's row.
+        /// Version of the lane's row after the commit.
         rev: Version,
-        /// How long the copy took that was answered; none when only its lane's row told.
+        /// Response time of the attempt that was committed, or `None` if the commit was detected by
+        /// reading the lane's row.
         answered_in: Option<Millis>,
     },
-    /// The store has refused it, and it will never be made.
+    /// The store refused the batch; it will never be committed.
     Refused,
     /// Another process owns the partition.
     Deposed(OwnerInfo),
-    /// The lane's row is not as only this owner can have written it.
+    /// The lane's row is missing or was not written by this owner's batches.
     Inconsistent,
 }
 
-/// A batch on its way.
+/// A batch to be written.
 #[derive(Debug)]
 pub struct BatchWrite {
-    /// Part of the table that it belongs to.
+    /// Part of the store's table that holds the partition's rows.
     pub part: String,
-    /// Whose batch it is.
+    /// The owner that writes the batch.
     pub owner: OwnerInfo,
-    /// Its lane.
     pub lane: usize,
-    /// Version of the lane's row on which it builds.
+    /// Version of the lane's row that the batch requires.
     pub rev: Version,
-    /// The batch.
     pub batch: Batch,
-    /// How long to wait for an answer before the lane's row is read.
+    /// How long to wait for an answer before reading the lane's row.
     pub read_delay: Millis,
 }
 
-/// Writes a batch until it is known what came of it.
+/// Writes a batch and returns once its outcome is known.
 ///
-/// Copies of one batch may be under way side by side: at most one can be made, since each
-/// requires and replaces the row of its lane. The store makes the transactions of a part one
-/// after the other, so a copy that isn't needed keeps the next batch waiting. So the row is read
-/// first, which costs no turn: it shows a batch whose answer was lost, and how slow the store is.
+/// Several attempts to write the same batch may be in flight at once. At most one of them can be
+/// committed because each requires and replaces the row of its lane. The store executes the
+/// transactions of a part one after the other, so an unnecessary attempt delays the next batch. The
+/// lane's row is therefore read first, which doesn't queue behind transactions: it shows whether
+/// the batch was committed although the answer was lost, and how slow the store is.
 pub async fn write(shared: Arc<Shared>, batch_write: BatchWrite) -> BatchOutcome {
     let tx = transaction(&batch_write);
     let mut calls = FuturesUnordered::new();
@@ -117,15 +117,15 @@
     }
 }
 
-/// What a call for a batch came to, and how long it took.
+/// The result of a store call for a batch, and how long it took.
 enum CallResult {
-    /// A copy of the batch.
+    /// An attempt to write the batch.
     Attempt(Result<TxOutcome, StoreError>, Millis),
-    /// A reading of the lane's row.
+    /// A read of the lane's row.
     LaneRead(Result<Option<Row>, StoreError>, Millis),
 }
 
-/// Sends one copy.
+/// Sends one attempt to write the batch.
 async fn send_attempt(shared: &Shared, batch_write: &BatchWrite, tx: &Transaction) -> CallResult {
     let started_at = shared.clock.now();
     let answer = shared.store.transact(TABLE, &batch_write.part, tx, ATTEMPT_TIMEOUT).await;
@@ -153,7 +153,7 @@
     log::debug!("batch.failed error=\"{e}\"");
 }
 
-/// Tells from the lane's row whether an earlier copy was made.
+/// Determines from the lane's row whether an earlier attempt was committed.
 fn outcome_from_row(shared: &Shared, batch_write: &BatchWrite, rows: &[Row]) -> BatchOutcome {
     let (number, key) = (batch_write.batch.number, lane_key(batch_write.lane));
     let row = rows.iter().find(|r| r.key == key);
--- a/crates/hollowford-node/src/writer_tests.rs
+++ b/crates/hollowford-node/src/writer_tests.rs
@@ -1,4 +1,4 @@
-//! Batches in several lanes, on a store that loses answers, is slow, and carries out calls late.
+//! Writes batches in several lanes to a store that is slow, loses answers and executes calls late.
 #![allow(clippy::expect_used)]
 
 use crate::lane::{LANE_COUNT, lane_versions, takeover_rows};
@@ -18,7 +18,7 @@
 use tokio::time::timeout;
 
 const PART: &str = "0";
-/// Far above what a call takes, since the machine may be busy.
+/// Much longer than a call takes because the machine may be busy.
 const TIMEOUT: Duration = Duration::from_secs(60);
 const ROUNDS: usize = 60;
 const SEEDS: u64 = 4;
@@ -41,15 +41,15 @@
         made.expect("an answer")
     }
 
-    /// Reads all rows, and the version of each lane's row.
+    /// Reads all rows and the versions of the lanes' rows.
     async fn read(&self) -> (BTreeMap<String, Vec<u8>>, [Version; LANE_COUNT]) {
         let feed = self.shared.store.read_all(TABLE, PART, TIMEOUT).await.expect("rows");
         let lanes = lane_versions(&feed.rows);
         (feed.rows.into_iter().map(|r| (r.key, r.value)).collect(), lanes)
     }
 
-    /// Takes the partition, and returns the versions of the lanes' rows.
-    async fn take(&self, owner: &OwnerInfo) -> [Version; LANE_COUNT] {
+    /// Takes over the partition and returns the versions of the lanes' rows.
+    async fn take_over(&self, owner: &OwnerInfo) -> [Version; LANE_COUNT] {
         let (_, before) = self.read().await;
         let expect = vec![Expect { key: crate::lane::lane_key(0), version: before[0] }];
         let tx = Transaction { expect, put: takeover_rows(owner), remove: Vec::new() };
@@ -66,7 +66,7 @@
     OwnerInfo { epoch, address: "127.0.0.1:1".to_owned(), boot: epoch, ..OwnerInfo::default() }
 }
 
-/// A batch that writes its number into a row of its lane and into one of its own.
+/// Returns a batch that writes its number to a row of its lane and to a row of its own.
 fn batch_write(owner: &OwnerInfo, lane: usize, rev: Version, number: u64) -> BatchWrite {
     let row = |key: String| RowWrite { key, value: Some(number.to_le_bytes().to_vec()) };
     let rows = vec![row(format!("last/{lane}")), row(format!("batch/{}/{number}", owner.epoch))];
@@ -75,10 +75,10 @@
     BatchWrite { part: PART.to_owned(), owner: owner.clone(), lane, rev, batch, read_delay }
 }
 
-fn rev_of(written: &BatchOutcome) -> Version {
-    match written {
+fn rev_of(outcome: &BatchOutcome) -> Version {
+    match outcome {
         BatchOutcome::Made { rev, .. } => *rev,
-        other => panic!("not made: {other:?}"),
+        other => panic!("not committed: {other:?}"),
     }
 }
 
@@ -86,7 +86,7 @@
 async fn lanes_do_not_wait_for_each_other() {
     let store = Store::start().await;
     let me = owner(1);
-    let revs = store.take(&me).await;
+    let revs = store.take_over(&me).await;
     let both = (0..LANE_COUNT)
         .map(|lane| store.write(batch_write(&me, lane, revs[lane], lane as u64 + 1)));
     let made = |w: &BatchOutcome| matches!(w, BatchOutcome::Made { .. });
@@ -99,11 +99,11 @@
 async fn a_batch_of_any_lane_is_refused_after_a_takeover() {
     let store = Store::start().await;
     let (me, next) = (owner(1), owner(2));
-    let revs = store.take(&me).await;
-    store.take(&next).await;
+    let revs = store.take_over(&me).await;
+    store.take_over(&next).await;
     for (lane, rev) in revs.into_iter().enumerate() {
-        let written = store.write(batch_write(&me, lane, rev, 1)).await;
-        assert_eq!(written, BatchOutcome::Deposed(next.clone()), "lane {lane}");
+        let outcome = store.write(batch_write(&me, lane, rev, 1)).await;
+        assert_eq!(outcome, BatchOutcome::Deposed(next.clone()), "lane {lane}");
     }
     let (rows, _) = store.read().await;
     assert!(!rows.keys().any(|k| k.starts_with("batch/")), "{:?}", rows.keys());
@@ -113,52 +113,52 @@
 async fn a_batch_whose_answer_is_lost_is_found_in_its_lanes_row() {
     let store = Store::start().await;
     let me = owner(1);
-    let revs = store.take(&me).await;
+    let revs = store.take_over(&me).await;
     let before = store.platform.served().made;
     store.platform.set_faults(Faults { lose_answers: 1, ..Faults::default() });
     let lane = LANE_COUNT - 1;
     rev_of(&store.write(batch_write(&me, lane, revs[lane], 1)).await);
-    assert_eq!(store.platform.served().made - before, 1, "made once");
+    assert_eq!(store.platform.served().made - before, 1, "committed once");
 }
 
 #[tokio::test]
 async fn a_batch_that_is_never_answered_is_found_in_its_lanes_row() {
     let store = Store::start().await;
     let me = owner(1);
-    let revs = store.take(&me).await;
+    let revs = store.take_over(&me).await;
     store.platform.set_faults(Faults { mute_writes: true, ..Faults::default() });
     for (lane, rev) in revs.into_iter().enumerate() {
-        let written = store.write(batch_write(&me, lane, rev, 1));
-        rev_of(&timeout(TIMEOUT, written).await.expect("an outcome"));
+        let outcome = store.write(batch_write(&me, lane, rev, 1));
+        rev_of(&timeout(TIMEOUT, outcome).await.expect("an outcome"));
     }
 }
 
 #[tokio::test]
-async fn a_slow_store_is_waited_for_and_gets_few_copies() {
+async fn a_slow_store_gets_few_repeated_attempts() {
     let store = Store::start().await;
     let me = owner(1);
-    let mut revs = store.take(&me).await;
+    let mut revs = store.take_over(&me).await;
     store.platform.set_faults(Faults { slow_ms: 200, turn_ms: 300, ..Faults::default() });
     let before = store.platform.served().writes;
     for number in 1..=4 {
         let both = (0..LANE_COUNT).map(|l| store.write(batch_write(&me, l, revs[l], number)));
-        let written = join_all(both).await;
-        revs = std::array::from_fn(|lane| rev_of(&written[lane]));
+        let outcome = join_all(both).await;
+        revs = std::array::from_fn(|lane| rev_of(&outcome[lane]));
     }
     let sent = store.platform.served().writes - before;
     assert!(sent < 2 * 4 * LANE_COUNT as u64, "{sent} transactions for {} batches", 4 * LANE_COUNT);
 }
 
-/// Answers are lost, copies of earlier batches are carried out late, and the partition is taken
-/// over, in random order: each batch that was told made is there, in the order of its lane, and
-/// none of a deposed owner comes after the takeover.
+/// Guards against batches that are written twice, out of order or by a deposed owner. In random
+/// order, answers are lost, attempts for earlier batches are executed late and the partition is
+/// taken over. Each batch reported as committed must be in the store, in the order of its lane.
 #[tokio::test]
-async fn no_batch_is_made_twice_or_late_whatever_the_order() {
+async fn no_batch_is_committed_twice_or_late_in_any_order() {
     for seed in 1..=SEEDS {
         let mut random = fastrand::Rng::with_seed(seed);
         let store = Store::start().await;
         let mut me = owner(1);
-        let mut revs = store.take(&me).await;
+        let mut revs = store.take_over(&me).await;
         let mut number = 0;
         let mut late: Vec<Transaction> = Vec::new();
         let mut last: BTreeMap<String, u64> = BTreeMap::new();
@@ -169,13 +169,16 @@
                 0 => {
                     me = owner(me.epoch + 1);
                     store.platform.set_faults(Faults::default());
-                    revs = store.take(&me).await;
+                    revs = store.take_over(&me).await;
                 }
                 1..=3 if !late.is_empty() => {
                     store.platform.set_faults(Faults::default());
                     let tx = late.swap_remove(random.usize(..late.len()));
                     let outcome = store.transact(&tx).await;
-                    assert!(matches!(outcome, TxOutcome::Conflict(_)), "seed {seed}: made late");
+                    assert!(
+                        matches!(outcome, TxOutcome::Conflict(_)),
+                        "seed {seed}: committed late"
+                    );
                 }
                 _ => {
                     let used: Vec<_> = (0..LANE_COUNT).filter(|_| random.bool()).collect();
@@ -188,8 +191,8 @@
                     for b in &batches {
                         last.insert(format!("last/{}", b.lane), b.batch.number);
                     }
-                    let written = join_all(batches.into_iter().map(|b| store.write(b))).await;
-                    for (&lane, w) in used.iter().zip(&written) {
+                    let outcome = join_all(batches.into_iter().map(|b| store.write(b))).await;
+                    for (&lane, w) in used.iter().zip(&outcome) {
                         revs[lane] = rev_of(w);
                     }
                 }
