--- a/crates/hollowford-node/src/access.rs
+++ b/crates/hollowford-node/src/access.rs
@@ -1,8 +1,10 @@
-//! For whom a call is made: by a caller's key, as the newest configuration knows it.
+//! Determines the client account of a call from the caller's key and the newest known
+//! configuration.
 //!
-//! The entry decides by the configuration that it knows, and the owner again by its own: whichever
-//! is newer counts. So a key that was taken away ends with the first of the two that hears of it,
-//! and one that has just come isn't refused by an entry that is known to be behind.
+//! The entry process decides by the configuration that it knows, and the owner decides again by its
+//! own; the newer configuration applies. A removed key is therefore rejected as soon as one of the
+//! two knows of the removal, and a new key isn't rejected by an entry process that knows its
+//! configuration is outdated.
 
 use crate::wire::Call;
 use hollowford_accounts::Credential;
@@ -10,21 +12,22 @@
 use hollowford_core::Millis;
 use hollowford_jobs::NO_ACCOUNT;
 
-/// An owner that has not read the configuration for so long doesn't vouch for keys any more: some
-/// may have been taken away since. Longer than the store is mostly away, since calls for what was
-/// accepted go on then, and nobody can take keys away in an outage of the whole store.
+/// Maximum age of the configuration by which an owner accepts keys; older ones may contain keys
+/// that were removed since. The limit exceeds most outages of the store, so that calls about
+/// accepted jobs continue during an outage. No key can be removed while the whole store is
+/// unavailable.
 pub const MAX_CONFIG_AGE: Millis = Millis(8_000);
 
-/// What an entry or an owner finds of a call.
+/// Result of an access check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Access<'a> {
-    /// It is made for this client account.
+    /// The call is made on behalf of this client account.
     Granted(&'a str),
-    /// Its key is missing or unknown.
+    /// The key is missing or unknown.
     Unknown,
 }
 
-/// Returns for whom a call on a route is made, by one configuration.
+/// Returns the client account of a call on a route according to one configuration.
 pub fn check<'a>(
     config: &'a Config,
     route: Option<&Route>,
@@ -39,8 +42,9 @@
     }
 }
 
-/// Returns for whom the owner takes a call: by its own configuration if that is newer than the one
-/// by which the entry found the account, and by that one otherwise.
+/// Returns the client account of a call at the owner. Uses the owner's configuration if it is newer
+/// than the one that the entry process used, and otherwise the account that the entry process
+/// found.
 pub fn recheck<'a>(config: Option<&'a Config>, call: &'a Call) -> Access<'a> {
     match config.filter(|c| c.version > call.config) {
         Some(config) => {
--- a/crates/hollowford-node/src/access_tests.rs
+++ b/crates/hollowford-node/src/access_tests.rs
@@ -1,4 +1,4 @@
-//! For whom calls are taken, by the configurations that an entry and an owner know.
+//! Access checks with different configurations at the entry process and the owner.
 #![allow(clippy::expect_used)]
 
 use crate::access::{Access, check, recheck};
@@ -11,7 +11,8 @@
 const QUEUE: &str = "q";
 const OPEN_QUEUE: &str = "open";
 
-/// A configuration with two queues, one of them without keys, and the keys `known` of `a`.
+/// Returns a configuration with two queues, of which one needs no key, and with the keys `known` of
+/// account `a`.
 fn config(version: u64, known: &[&str]) -> Config {
     let route = |queue: &str, is_open| Route {
         host: "h".into(),
@@ -36,13 +37,14 @@
     }
 }
 
-/// A call as an entry with this configuration sends it; none: the entry refuses it.
-fn entry(config: &Config, key: Option<&str>, is_behind: bool) -> Option<Call> {
+/// Returns the call that an entry process with this configuration sends, or `None` if it rejects
+/// the request.
+fn entry(config: &Config, key: Option<&str>, is_outdated: bool) -> Option<Call> {
     let credential = key.map(Credential::of);
     let access = check(config, config.route_of(QUEUE), credential.as_ref());
     let (account, unknown_key) = match access {
         Access::Granted(account) => (account.to_owned(), false),
-        Access::Unknown if is_behind => (String::new(), true),
+        Access::Unknown if is_outdated => (String::new(), true),
         Access::Unknown => return None,
     };
     let credential = credential.map_or_else(Vec::new, |c| c.as_bytes().to_vec());
@@ -58,7 +60,7 @@
 }
 
 #[test]
-fn a_key_stands_for_its_account_and_no_other_text_does() {
+fn a_key_grants_access_to_its_account_and_unknown_keys_do_not() {
     let config = config(1, &["one", "two"]);
     let of = |key: &str| check(&config, config.route_of(QUEUE), Some(&Credential::of(key)));
     assert_eq!(of("one"), Access::Granted("a"));
@@ -70,7 +72,7 @@
 }
 
 #[test]
-fn calls_need_no_key_where_the_route_or_the_deployment_has_none() {
+fn calls_need_no_key_if_the_route_or_the_deployment_requires_none() {
     let keyed = config(1, &["one"]);
     let open = keyed.route_of(OPEN_QUEUE);
     assert_eq!(check(&keyed, open, None), Access::Granted(NO_ACCOUNT));
@@ -81,7 +83,7 @@
 }
 
 #[test]
-fn a_route_that_is_gone_from_the_newer_configuration_opens_nothing() {
+fn a_route_missing_from_the_newer_configuration_grants_no_access() {
     let old = config(1, &["one"]);
     let call = entry(&old, Some("one"), false).expect("a call");
     let newer = Config { routes: Vec::new(), ..config(2, &[]) };
@@ -89,12 +91,12 @@
 }
 
 #[test]
-fn whichever_of_entry_and_owner_knows_the_newer_configuration_decides() {
+fn the_newer_configuration_of_entry_and_owner_decides() {
     let (old, new) = (config(1, &["old", "both"]), config(2, &["new", "both"]));
-    // An entry that is behind: the owner refuses what was taken away.
+    // The entry is outdated: the owner rejects the removed key.
     let call = entry(&old, Some("old"), false).expect("a call");
     assert_eq!(recheck(Some(&new), &call), Access::Unknown);
-    // An owner that is behind: what the entry found counts.
+    // The owner is outdated: the account found by the entry applies.
     let call = entry(&new, Some("new"), false).expect("a call");
     assert_eq!(recheck(Some(&old), &call), Access::Granted("a"));
     assert_eq!(recheck(None, &call), Access::Granted("a"));
@@ -104,18 +106,22 @@
 }
 
 #[test]
-fn a_key_that_has_just_come_is_left_to_the_owner_by_an_entry_that_knows_it_is_behind() {
+fn an_entry_that_knows_it_is_outdated_leaves_unknown_keys_to_the_owner() {
     let (old, new) = (config(1, &[]), config(2, &["new"]));
     assert_eq!(entry(&old, Some("new"), false), None);
     let call = entry(&old, Some("new"), true).expect("a call");
     assert_eq!(recheck(Some(&new), &call), Access::Granted("a"));
-    assert_eq!(recheck(Some(&old), &call), Access::Unknown, "the owner knows no more");
+    assert_eq!(
+        recheck(Some(&old), &call),
+        Access::Unknown,
+        "the owner does not know the key either"
+    );
     assert_eq!(recheck(None, &call), Access::Unknown);
 }
 
 #[test]
-fn a_key_is_in_no_dump() {
+fn debug_output_contains_no_key() {
     let config = config(1, &["secret-key"]);
-    let shown = format!("{config:?} {:?}", Credential::of("secret-key"));
-    assert!(!shown.contains("secret-key"));
+    let output = format!("{config:?} {:?}", Credential::of("secret-key"));
+    assert!(!output.contains("secret-key"));
 }
--- a/crates/hollowford-node/src/callers.rs
+++ b/crates/hollowford-node/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers' requests at the owner, and those that wait for the store.
+//! Handles callers' requests at the owner and keeps those that wait for the store.
 
 use crate::inbox::Reply;
 use crate::wire::{Call, Said, Verb};
@@ -7,27 +7,26 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// A caller is answered so long before its time is up, so that the answer reaches it in time.
+/// How long before its time limit a caller is answered, so that the answer arrives in time.
 const ANSWER_MARGIN: Millis = Millis(20);
-/// How long a caller waits that doesn't tell.
+/// Time limit for callers that set none.
 const DEFAULT_CALL_TIMEOUT: Millis = Millis(1_200);
-/// A question for a state waits so long for an end that is decided to be in the store, since
-/// a caller that is told an older state asks again much later.
+/// How long a state request waits for a decided end of the job to be committed. A caller that gets
+/// an older state asks again much later.
 const MAX_STATE_WAIT: Millis = Millis(150);
 
-/// A caller that waits until its request is in the store.
+/// A request that waits to be committed.
 #[derive(Debug)]
 struct WaitingCall {
     id: u64,
     verb: Verb,
     reply: Reply,
-    /// When it is answered as things stand then.
+    /// When the request is answered even if it is not committed.
     deadline: Millis,
 }
 
 impl WaitingCall {
-    /// Answers a question for a state with what is in the store now, anything else with
-    /// `said`.
+    /// Answers a state request with the committed state, and any other request with `said`.
     fn answer(self, engine: &Engine, job: JobId, said: Said) {
         match engine.state(job).filter(|_| self.verb == Verb::State) {
             Some(state) => self.reply.send(self.id, Said::Value, state.code().into()),
@@ -36,20 +35,20 @@
     }
 }
 
-/// Callers that wait, by job.
+/// Waiting requests by job.
 #[derive(Debug, Default)]
 pub struct WaitingCalls {
     by_job: HashMap<JobId, Vec<WaitingCall>>,
 }
 
 impl WaitingCalls {
-    /// Tells whether nobody waits.
+    /// Returns true if no request is waiting.
     pub fn is_empty(&self) -> bool {
         self.by_job.is_empty()
     }
 
-    /// Takes a call and answers it, at once or once its batch is made. A new job is refused
-    /// unless `admitted`.
+    /// Handles a call. Answers it at once or once its batch is committed. Refuses a new job unless
+    /// `admitted` is true.
     pub fn handle(
         &mut self,
         engine: &mut Engine,
@@ -61,13 +60,13 @@
         let job = JobId(call.job);
         let verb = call.verb();
         if verb != Verb::Waiting && !engine.may_touch(job, &call.account) {
-            // Nobody is told of another account's job, nor whether there is one, but by handing in
-            // the same id.
+            // Other accounts' jobs are not disclosed, except that submitting an id in use is
+            // rejected.
             let said = if verb == Verb::Submit { Said::NotYours } else { Said::NoJob };
             return reply.send(call.id, said, 0);
         }
         let said = match verb {
-            // Its end is on the way to the store, which takes some milliseconds.
+            // The end of the job is being written, which takes a few milliseconds.
             Verb::State if engine.is_ending(job) => None,
             Verb::State => match engine.state(job) {
                 Some(state) => return reply.send(call.id, Said::Value, state.code().into()),
@@ -94,7 +93,7 @@
         }
     }
 
-    /// Answers those whose requests are in the store now.
+    /// Answers the requests that are committed now.
     pub fn answer_committed(&mut self, engine: &Engine) {
         self.by_job.retain(|&job, waiters| {
             let state = engine.state(job);
@@ -108,8 +107,8 @@
         });
     }
 
-    /// Tells those that have waited for too long that nothing was done, if that is so, or that
-    /// the effect is not known, or the state as it is in the store.
+    /// Answers the requests whose deadline has passed: with `Unavailable` if the job was not sent
+    /// to the store, otherwise with `Unsure`, or with the committed state.
     pub fn answer_expired(&mut self, engine: &mut Engine, now: Millis) {
         if self.by_job.is_empty() {
             return;
@@ -130,14 +129,14 @@
         unsent.into_iter().for_each(|job| self.refuse(job));
     }
 
-    /// Refuses all that wait for a job that was taken back.
+    /// Refuses all requests for a job that was withdrawn.
     pub fn refuse(&mut self, job: JobId) {
         for w in self.by_job.remove(&job).unwrap_or_default() {
             w.reply.send(w.id, Said::Unavailable, 0);
         }
     }
 
-    /// Sends all to the next owner.
+    /// Tells all waiting callers that this owner has lost the partition.
     pub fn fail_all(&mut self) {
         for w in self.by_job.drain().flat_map(|(_, waiters)| waiters) {
             w.reply.send(w.id, Said::Deposed, 0);
--- a/crates/hollowford-node/src/compression.rs
+++ b/crates/hollowford-node/src/compression.rs
@@ -1,14 +1,15 @@
-//! Packed bytes: what goes between processes is much alike, and members' links are narrow.
+//! DEFLATE compression of messages. Messages between processes are repetitive, and the bandwidth of
+//! members' links is limited.
 
 use flate2::Compression;
 use flate2::read::DeflateDecoder;
 use flate2::write::DeflateEncoder;
 use std::io::{Error, ErrorKind, Read, Write};
 
-/// Packs bytes.
+/// Compresses bytes.
 ///
 /// # Errors
-/// None that a buffer in memory gives; passed on all the same.
+/// Returns the encoder's errors, which don't occur with a buffer in memory.
 pub fn compress(bytes: &[u8]) -> Result<Vec<u8>, Error> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     encoder.write_all(bytes)?;
@@ -18,13 +19,13 @@
 /// Returns the bytes that [`compress`] was given.
 ///
 /// # Errors
-/// When they are not packed so, or come to more than `max_bytes`: a broken peer must not fill this
-/// process's memory.
-pub fn decompress(packed: &[u8], max_bytes: usize) -> Result<Vec<u8>, Error> {
+/// Returns an error if the bytes can't be decompressed or if the result exceeds `max_bytes`, so
+/// that a faulty peer can't exhaust this process's memory.
+pub fn decompress(compressed: &[u8], max_bytes: usize) -> Result<Vec<u8>, Error> {
     let mut bytes = Vec::new();
-    DeflateDecoder::new(packed).take(max_bytes as u64 + 1).read_to_end(&mut bytes)?;
+    DeflateDecoder::new(compressed).take(max_bytes as u64 + 1).read_to_end(&mut bytes)?;
     if bytes.len() > max_bytes {
-        return Err(Error::new(ErrorKind::InvalidData, "unpacks to too much"));
+        return Err(Error::new(ErrorKind::InvalidData, "decompressed size exceeds the limit"));
     }
     Ok(bytes)
 }
--- a/crates/hollowford-node/src/compression_tests.rs
+++ b/crates/hollowford-node/src/compression_tests.rs
@@ -1,12 +1,12 @@
-//! Packed bytes: loads of narrow links.
+//! Compression of messages for links with limited bandwidth.
 #![allow(clippy::expect_used)]
 
 use crate::compression::{compress, decompress};
 
-/// More than any of these tests unpacks.
+/// More bytes than any of these tests decompresses.
 const MAX_BYTES: usize = 1 << 20;
 
-/// A text of so many routes, as much alike as those of a configuration are.
+/// Returns a configuration text of `count` routes that are as similar as real ones.
 fn routes(count: u32) -> Vec<u8> {
     let route = |i| {
         format!(
@@ -19,32 +19,33 @@
 }
 
 #[test]
-fn bytes_come_out_as_they_went_in() {
+fn compressed_bytes_decompress_to_the_original() {
     for count in [0, 1, 933] {
         let bytes = routes(count);
-        let packed = compress(&bytes).expect("packed");
-        assert_eq!(decompress(&packed, MAX_BYTES).expect("unpacked"), bytes);
+        let compressed = compress(&bytes).expect("compressed");
+        assert_eq!(decompress(&compressed, MAX_BYTES).expect("decompressed"), bytes);
     }
-    let empty = compress(&[]).expect("packed");
-    assert!(decompress(&empty, 0).expect("unpacked").is_empty());
+    let empty = compress(&[]).expect("compressed");
+    assert!(decompress(&empty, 0).expect("decompressed").is_empty());
 }
 
-/// Pattern: a thousand routes to some forty members at once, on one link of 200 Mbit/s.
+/// Guards against a configuration of a thousand routes overloading a link of 200 Mbit/s when it is
+/// sent to about forty members at once.
 #[test]
-fn a_thousand_routes_take_a_fifth_of_their_bytes_at_most() {
+fn a_thousand_routes_compress_to_a_fifth_or_less() {
     let bytes = routes(933);
-    let packed = compress(&bytes).expect("packed");
-    assert!(packed.len() * 5 < bytes.len(), "{} of {}", packed.len(), bytes.len());
+    let compressed = compress(&bytes).expect("compressed");
+    assert!(compressed.len() * 5 < bytes.len(), "{} of {}", compressed.len(), bytes.len());
 }
 
 #[test]
-fn bytes_that_are_not_packed_are_an_error() {
+fn uncompressed_bytes_are_an_error() {
     assert!(decompress(br#"{"version":7}"#, MAX_BYTES).is_err());
 }
 
 #[test]
-fn bytes_that_unpack_to_too_much_are_an_error() {
-    let packed = compress(&vec![0; MAX_BYTES + 1]).expect("packed");
-    assert!(packed.len() < MAX_BYTES / 100);
-    assert!(decompress(&packed, MAX_BYTES).is_err());
+fn exceeding_the_size_limit_is_an_error() {
+    let compressed = compress(&vec![0; MAX_BYTES + 1]).expect("compressed");
+    assert!(compressed.len() < MAX_BYTES / 100);
+    assert!(decompress(&compressed, MAX_BYTES).is_err());
 }
--- a/crates/hollowford-node/src/delegate_wire.rs
+++ b/crates/hollowford-node/src/delegate_wire.rs
@@ -1,67 +1,66 @@
-//! Messages about calls to workers that the owner has its members make.
+//! Messages for calls to workers that members make for the owner.
 //!
-//! A frame holds many calls, and each template once, since the tasks of a step share theirs.
+//! A frame holds many calls. The tasks of a step share a template, so each template is sent once.
 
 mod convert;
 
 use prost::{Enumeration, Message, Oneof};
 
-/// Calls that a member is to make.
+/// Calls to workers that the member should make.
 #[derive(Clone, PartialEq, Message)]
 pub struct Delegated {
-    /// Epoch of the owner, which is the fence of the calls.
+    /// Epoch of the owner, used as the fence of the calls.
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
-    /// Templates of the starts.
+    /// Templates of the start calls, referred to by index.
     #[prost(string, repeated, tag = "2")]
     pub templates: Vec<String>,
-    /// The calls.
     #[prost(message, repeated, tag = "3")]
     pub calls: Vec<DelegatedCall>,
 }
 
-/// One of them.
+/// One call to a worker.
 #[derive(Clone, PartialEq, Message)]
 pub struct DelegatedCall {
-    /// Matches the outcome to the call, on one link.
+    /// Identifies the call in its outcome; unique per link.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// How long to wait for the answer, beyond the time that the call itself lets the worker
-    /// wait, in milliseconds.
+    /// Time limit for the answer in milliseconds, in addition to the time that the call allows the
+    /// worker to wait.
     #[prost(uint64, tag = "2")]
     pub limit_ms: u64,
-    /// The worker.
+    /// Id of the worker.
     #[prost(string, tag = "3")]
     pub worker: String,
-    /// Its address.
+    /// Address of the worker.
     #[prost(string, tag = "4")]
     pub address: String,
-    /// What is asked of it.
+    /// The operation to call.
     #[prost(oneof = "What", tags = "5, 6, 7, 8")]
     pub what: Option<What>,
-    /// Tells its life apart from others under its id.
+    /// Incarnation of the worker, which distinguishes workers that used the same id.
     #[prost(uint64, optional, tag = "9")]
     pub incarnation: Option<u64>,
 }
 
-/// What is asked of a worker.
+/// An operation of a worker.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum What {
-    /// Start a task.
+    /// Starts a task.
     #[prost(message, tag = "5")]
     Start(StartCall),
-    /// Stop a task.
+    /// Stops a task.
     #[prost(message, tag = "6")]
     Stop(TaskRun),
-    /// Let a task work at a share of its full pace.
+    /// Sets the share of its full pace at which a task works.
     #[prost(message, tag = "7")]
     Pace(PaceCall),
-    /// Renew the lease and list what runs and has ended.
+    /// Renews the lease and lists running and ended tasks.
     #[prost(message, tag = "8")]
     Look(LookCall),
 }
 
-/// One start of a task.
+/// Identifies one run of a task.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct TaskRun {
     #[prost(fixed64, tag = "1")]
@@ -76,14 +75,14 @@
     run: u32,
 }
 
-/// See [`WorkerCall::Start`].
+/// Parameters of [`hollowford_jobs::WorkerCall::Start`].
 #[derive(Clone, PartialEq, Message)]
 pub struct StartCall {
     #[prost(message, required, tag = "1")]
     run: TaskRun,
     #[prost(uint64, tag = "2")]
     lease_until: u64,
-    /// Position of the template in the frame.
+    /// Index of the template in the frame.
     #[prost(uint32, tag = "3")]
     template: u32,
     #[prost(string, tag = "4")]
@@ -92,7 +91,7 @@
     ticket: String,
 }
 
-/// See [`WorkerCall::Pace`].
+/// Parameters of [`hollowford_jobs::WorkerCall::Pace`].
 #[derive(Clone, PartialEq, Message)]
 pub struct PaceCall {
     #[prost(message, required, tag = "1")]
@@ -101,7 +100,7 @@
     percent: u32,
 }
 
-/// See [`WorkerCall::Look`].
+/// Parameters of [`hollowford_jobs::WorkerCall::Look`].
 #[derive(Clone, PartialEq, Message)]
 pub struct LookCall {
     #[prost(uint64, optional, tag = "1")]
@@ -112,43 +111,43 @@
     wait_ms: u64,
 }
 
-/// What came of calls.
+/// Outcomes of calls to workers.
 #[derive(Clone, PartialEq, Message)]
 pub struct Outcomes {
-    /// One for each call, or two for one that was answered after its time limit.
+    /// One outcome per call, or two if the answer arrived after the time limit.
     #[prost(message, repeated, tag = "1")]
     pub list: Vec<Outcome>,
 }
 
-/// What came of one call.
+/// The outcome of one call.
 #[derive(Clone, PartialEq, Message)]
 pub struct Outcome {
-    /// The call's.
+    /// Id of the call.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// What the worker said.
+    /// The worker's answer, or that there was none.
     #[prost(oneof = "OutcomeOf", tags = "2, 3, 4, 5")]
     pub of: Option<OutcomeOf>,
 }
 
-/// What came of a call, by its kind.
+/// The outcome of a call, by operation.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum OutcomeOf {
-    /// Of a start.
+    /// Outcome of a start.
     #[prost(message, tag = "2")]
     Start(StartOutcome),
-    /// Of a stop: whether it was answered.
+    /// Whether a stop was answered.
     #[prost(bool, tag = "3")]
     Stop(bool),
-    /// Of a pace: whether it was answered.
+    /// Whether a pace call was answered.
     #[prost(bool, tag = "4")]
     Pace(bool),
-    /// Of a look.
+    /// Outcome of a look.
     #[prost(message, tag = "5")]
     Look(LookOutcome),
 }
 
-/// See [`StartAnswer`].
+/// Message for a [`hollowford_jobs::StartAnswer`].
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct StartOutcome {
     #[prost(enumeration = "StartSaid", tag = "1")]
@@ -157,33 +156,33 @@
     clock: u64,
 }
 
-/// The kinds of [`StartAnswer`].
+/// Variants of [`hollowford_jobs::StartAnswer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration)]
 #[repr(i32)]
 pub enum StartSaid {
-    /// No answer.
+    /// There was no answer.
     Unanswered = 0,
-    /// It runs.
+    /// The task is running.
     Runs = 1,
     /// A newer owner has claimed the worker.
     Fenced = 2,
-    /// The run has been stopped or has ended.
+    /// The run was stopped or has ended.
     Old = 3,
-    /// The lease was over.
+    /// The lease had expired.
     Late = 4,
-    /// No room.
+    /// The worker has too little free capacity.
     NoRoom = 5,
     /// The ticket is not valid.
     Ticket = 6,
-    /// The worker is not well.
+    /// The worker is unhealthy.
     Unhealthy = 7,
-    /// Another life answered.
+    /// Another incarnation of the worker answered.
     OtherLife = 8,
-    /// Not understood.
+    /// The worker rejected the call as invalid.
     Invalid = 9,
 }
 
-/// See [`LookAnswer`].
+/// Message for a [`hollowford_jobs::LookAnswer`].
 #[derive(Clone, PartialEq, Message)]
 pub struct LookOutcome {
     #[prost(enumeration = "LookSaid", tag = "1")]
@@ -198,21 +197,21 @@
     incarnation: Option<u64>,
 }
 
-/// The kinds of [`LookAnswer`].
+/// Variants of [`hollowford_jobs::LookAnswer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration)]
 #[repr(i32)]
 pub enum LookSaid {
-    /// No answer.
+    /// There was no answer.
     Unanswered = 0,
-    /// The lists.
+    /// The worker listed its running and ended tasks.
     Lists = 1,
-    /// Another life answered.
+    /// Another incarnation of the worker answered.
     OtherLife = 2,
     /// A newer owner has claimed the worker.
     Fenced = 3,
 }
 
-/// See [`Running`].
+/// Message for a [`hollowford_jobs::Running`].
 #[derive(Clone, PartialEq, Message)]
 pub struct RunningTask {
     #[prost(message, required, tag = "1")]
@@ -225,7 +224,7 @@
     load: u32,
 }
 
-/// See [`End`].
+/// Message for a [`hollowford_jobs::End`].
 #[derive(Clone, PartialEq, Message)]
 pub struct EndedTask {
     #[prost(message, required, tag = "1")]
@@ -238,31 +237,31 @@
     saved: String,
 }
 
-/// The kinds of [`EndKind`].
+/// Variants of [`hollowford_jobs::EndKind`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration)]
 #[repr(i32)]
 pub enum EndedHow {
-    /// Well.
+    /// The task completed.
     Done = 0,
-    /// By a fault.
+    /// The task failed.
     Failed = 1,
-    /// By an order.
+    /// The task was stopped by a call.
     Stopped = 2,
-    /// Its lease was over.
+    /// The lease expired.
     Lapsed = 3,
-    /// Another member ended.
+    /// Another task of the gang ended.
     Broken = 4,
-    /// Its gang was not complete in time.
+    /// The gang was not complete in time.
     Alone = 5,
 }
 
-/// What is wrong with a message.
+/// Why a message can't be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DelegateError {
-    /// A part that every such message has is missing.
-    #[error("a call without content")]
+    /// A required part is missing.
+    #[error("message has no operation or outcome")]
     Empty,
-    /// It names a template that the frame doesn't hold.
-    #[error("a start without its template")]
+    /// The call refers to a template that the frame doesn't contain.
+    #[error("start refers to a template missing from the frame")]
     Template,
 }
--- a/crates/hollowford-node/src/delegate_wire/convert.rs
+++ b/crates/hollowford-node/src/delegate_wire/convert.rs
@@ -1,4 +1,4 @@
-//! From calls to workers and their answers to messages, and back.
+//! Conversion between worker calls or their answers and messages.
 
 use super::*;
 use hollowford_adapter::Called;
@@ -22,12 +22,11 @@
 }
 
 impl Delegated {
-    /// Makes an empty frame of calls of the owner at `epoch`.
+    /// Creates an empty frame for calls of the owner with this epoch.
     pub fn new(epoch: u64) -> Delegated {
         Delegated { epoch, templates: Vec::new(), calls: Vec::new() }
     }
 
-    /// Adds a call.
     pub fn add(&mut self, id: u64, call: &WorkerCall, limit: Millis) {
         let what = match call {
             WorkerCall::Start { task, run, lease_until, template, saved, ticket, .. } => {
@@ -59,7 +58,7 @@
         });
     }
 
-    /// Returns the position of a template, which is added unless it was the last one.
+    /// Returns the index of a template. Adds it unless it equals the last one.
     fn template_index(&mut self, template: &Arc<str>) -> u32 {
         if self.templates.last().is_none_or(|t| **t != **template) {
             self.templates.push(template.to_string());
@@ -69,10 +68,10 @@
 }
 
 impl DelegatedCall {
-    /// Reads the call, with the templates of its frame.
+    /// Converts the message to a call, using the templates of its frame.
     ///
     /// # Errors
-    /// When a part is missing.
+    /// Returns an error if the operation is missing or the template is not in the frame.
     pub fn parse(&self, templates: &[Arc<str>]) -> Result<WorkerCall, DelegateError> {
         let incarnation = self.incarnation.map(Incarnation);
         let worker = WorkerLife::new(self.worker.as_str().into(), incarnation);
@@ -111,7 +110,7 @@
 }
 
 impl Outcome {
-    /// Makes the outcome of a call.
+    /// Creates the message for the outcome of a call.
     pub fn new(id: u64, called: &Called) -> Outcome {
         let of = match called {
             Called::Start(answer) => OutcomeOf::Start(start_outcome(answer)),
@@ -122,10 +121,10 @@
         Outcome { id, of: Some(of) }
     }
 
-    /// Reads it.
+    /// Converts the message to the outcome of a call.
     ///
     /// # Errors
-    /// When it has no content.
+    /// Returns an error if the outcome is missing.
     pub fn parse(self) -> Result<Called, DelegateError> {
         Ok(match self.of.ok_or(DelegateError::Empty)? {
             OutcomeOf::Start(s) => Called::Start(start_answer(s)),
--- a/crates/hollowford-node/src/delegate_wire_tests.rs
+++ b/crates/hollowford-node/src/delegate_wire_tests.rs
@@ -1,4 +1,4 @@
-//! Calls that members make are read as they were written.
+//! Encoding and decoding of delegated calls and their outcomes.
 #![allow(clippy::expect_used)]
 
 use crate::delegate_wire::{Delegated, Outcome};
--- a/crates/hollowford-node/src/http_endpoints.rs
+++ b/crates/hollowford-node/src/http_endpoints.rs
@@ -1,4 +1,4 @@
-//! Callers' HTTP.
+//! HTTP endpoints for callers, readiness probes and metrics.
 
 use crate::access::{self, Access};
 use crate::relay::{Relayed, relay};
@@ -16,23 +16,22 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// How long a call is tried for whose caller doesn't tell how long it waits. Takeovers take less.
+/// Time limit for calls whose caller sets none. It covers a takeover.
 const DEFAULT_CALL_TIMEOUT: Millis = Millis(2_500);
-/// Left of a caller's own time limit for the answer's way back.
+/// Part of the caller's time limit that is reserved for returning the answer.
 const ANSWER_MARGIN: Millis = Millis(60);
-/// When to come back after a refusal, in seconds.
+/// Value of the `Retry-After` header, in seconds.
 const RETRY_AFTER_SECONDS: &str = "1";
-/// A process that has not reached an owner for so long gets no new channels.
+/// A process that has not reached an owner for this long reports that it isn't ready.
 const OWNER_UNREACHABLE_TIMEOUT: Millis = Millis(2_500);
 
-/// Answers callers.
+/// Endpoint for callers.
 #[derive(Debug)]
 pub struct CallerEndpoint {
     shared: Arc<Shared>,
 }
 
 impl CallerEndpoint {
-    /// Makes the endpoint.
     pub fn new(shared: Arc<Shared>) -> CallerEndpoint {
         CallerEndpoint { shared }
     }
@@ -66,7 +65,7 @@
         resp
     }
 
-    /// Sends a call to the owner of its job's partition, or a count to all owners.
+    /// Relays a call to the owner of the job's partition, or a count to all owners.
     async fn relay(&self, call: Call, limit: Millis) -> Relayed {
         if call.verb() == Verb::Waiting {
             return self.count_waiting(call, limit).await;
@@ -77,7 +76,7 @@
         }
     }
 
-    /// Adds up the counts of all partitions; if one of them isn't told, none is.
+    /// Returns the sum of the counts of all partitions, or the first failure.
     async fn count_waiting(&self, call: Call, limit: Millis) -> Relayed {
         let partitions = self.shared.partitions();
         let counts = partitions.iter().map(|p| relay(&self.shared, p, call.clone(), limit));
@@ -91,7 +90,8 @@
         sum.map_or(Relayed::NotSent, |n| Relayed::Said(Said::Value, n))
     }
 
-    /// Reads what the caller wants of the owner, or the status that refuses it.
+    /// Parses a request into a call to the owner. Returns the status to answer if the request is
+    /// rejected.
     async fn parse_call(&self, req: &mut Request) -> Result<Call, StatusCode> {
         let config = self.shared.config.load_full().ok_or(StatusCode::SERVICE_UNAVAILABLE)?;
         let (route, rest) = find_route(&config, req).ok_or(StatusCode::NOT_FOUND)?;
@@ -115,8 +115,8 @@
         Ok(call)
     }
 
-    /// Begins a call with the client account that it is made for. An unknown key is refused at once,
-    /// unless this process knows that it is behind: then the owner decides.
+    /// Creates a call for the client account of the request. An unknown key is rejected at once,
+    /// unless this process knows that its configuration is outdated; then the owner decides.
     fn authorize(&self, config: &Config, route: &Route, req: &Request) -> Result<Call, StatusCode> {
         let credential = client_credential(|name| req.header(name));
         let mut call =
@@ -196,7 +196,7 @@
     }
 }
 
-/// Counts a request as open for as long as it lives, also when its caller goes away.
+/// Counts a request as open until it is dropped, including when the caller disconnects.
 struct OpenCallGuard<'a>(&'a Shared);
 
 impl OpenCallGuard<'_> {
@@ -221,13 +221,13 @@
     }
 }
 
-/// Returns until when a call is tried for.
+/// Returns when the call's time limit ends.
 fn deadline(req: &Request, now: Millis) -> Millis {
     let limit = client_timeout(|name| req.header(name));
     now + limit.map_or(DEFAULT_CALL_TIMEOUT, |l| l.since(ANSWER_MARGIN))
 }
 
-/// Reads a job that is handed in, or the status that refuses it.
+/// Reads the body of a submitted job. Returns the status to answer if the job is rejected.
 async fn read_job(req: &mut Request, job: JobId, max_bytes: usize) -> Result<Vec<u8>, StatusCode> {
     let body = req.take_body().into_bytes_limit(max_bytes).await;
     let body = body.map_err(|_| StatusCode::PAYLOAD_TOO_LARGE)?;
@@ -238,7 +238,7 @@
     Ok(encode_spec(&spec))
 }
 
-/// Finds the route with the longest prefix of the path, and what follows the prefix.
+/// Returns the route with the longest matching prefix and the rest of the path.
 fn find_route<'a>(config: &'a Config, req: &Request) -> Option<(&'a Route, String)> {
     let host = req.header(header::HOST)?;
     let host = host.split(':').next()?;
@@ -248,19 +248,18 @@
     Some((route, path[route.prefix.len()..].to_owned()))
 }
 
-/// Reads a state that the owner told.
+/// Decodes a job state sent by the owner.
 fn decode_state(value: u64) -> Option<JobState> {
     JobState::from_code(u32::try_from(value).ok()?).ok()
 }
 
-/// Answers the balancer.
+/// Endpoint for the load balancer's readiness probes.
 #[derive(Debug)]
 pub struct ReadinessEndpoint {
     shared: Arc<Shared>,
 }
 
 impl ReadinessEndpoint {
-    /// Makes the endpoint.
     pub fn new(shared: Arc<Shared>) -> ReadinessEndpoint {
         ReadinessEndpoint { shared }
     }
@@ -282,14 +281,13 @@
     }
 }
 
-/// Answers questions for the metrics.
+/// Endpoint for Prometheus metrics.
 #[derive(Debug)]
 pub struct MetricsEndpoint {
     shared: Arc<Shared>,
 }
 
 impl MetricsEndpoint {
-    /// Makes the endpoint.
     pub fn new(shared: Arc<Shared>) -> MetricsEndpoint {
         MetricsEndpoint { shared }
     }
--- a/crates/hollowford-node/src/inbox.rs
+++ b/crates/hollowford-node/src/inbox.rs
@@ -1,4 +1,4 @@
-//! What the owner is told, and how it is reached.
+//! Messages to the owner's task, and the handle for sending them.
 
 use crate::calls::AnswerTiming;
 use crate::delegate_wire::Outcomes;
@@ -12,68 +12,67 @@
 use hollowford_jobs::{Advised, Seat, StepKey, WorkerCall, WorkerListing};
 use tokio::sync::{mpsc, oneshot};
 
-/// Messages that wait for the owner; calls beyond are refused.
+/// Maximum number of messages waiting for the owner; further calls are rejected.
 const INBOX_CAPACITY: usize = 8_192;
 
-/// What the owner is told.
+/// A message to the owner.
 #[derive(Debug)]
 pub enum OwnerMsg {
     /// A caller's request.
     Call(Call, Reply),
-    /// A worker's answer, or that there is none.
+    /// The outcome of a call to a worker made by this process.
     WorkerAnswer {
-        /// What was asked.
         call: WorkerCall,
-        /// What came of it.
+        /// The worker's answer, or that there was none.
         called: Called,
-        /// When it was sent.
+        /// When the call was sent, in engine time.
         sent: Millis,
-        /// Whether it came in time.
+        /// Whether the answer came within the time limit.
         timing: AnswerTiming,
     },
-    /// What came of calls to workers that a member has made.
+    /// Outcomes of calls to workers made by a member.
     Outcomes(LinkId, Outcomes),
-    /// An answer of the service for advice.
+    /// The outcome of a call to the advice service.
     Advised {
-        /// Who asked.
+        /// The seat for which the call was made.
         seat: Seat,
-        /// The step.
+        /// The step that asked for advice.
         step: StepKey,
-        /// Who may run it, and how long the tickets hold.
+        /// The workers that may run the step and how long the tickets are valid, or `None` if the
+        /// call failed.
         answer: Option<(Advised, Millis)>,
     },
-    /// What came of a batch.
+    /// The outcome of a batch.
     BatchFinished {
-        /// Its number.
+        /// Number of the batch.
         batch: u64,
-        /// What came of it.
         outcome: BatchOutcome,
     },
-    /// The platform's list of workers.
+    /// The current list of workers.
     WorkerList(Vec<WorkerListing>),
-    /// What a reading of that list has changed, for the owners of other partitions.
+    /// Changes of the list of workers, to be sent on to the owners of other partitions.
     WorkerChanges(WorkerChanges),
     /// A process has opened a link.
     Joined(LinkId, Hello, Outbox),
-    /// A link has ended.
+    /// A link has closed.
     Left(LinkId),
     /// A member's heartbeat.
     HeartbeatReceived(LinkId, MemberBeat),
-    /// Hand the partition over; told when that is done.
+    /// Hand the partition over and confirm once that is done.
     Stop(oneshot::Sender<()>),
 }
 
-/// Where an answer goes.
+/// The destination of an answer.
 #[derive(Debug)]
 pub enum Reply {
-    /// To a call of this process.
+    /// A caller in this process.
     Local(oneshot::Sender<CallAnswer>),
-    /// To a call that came over a link.
+    /// A caller behind a link.
     Link(Outbox),
 }
 
 impl Reply {
-    /// Sends an answer. A caller that is gone needs none.
+    /// Sends an answer. Does nothing if the caller is gone.
     pub fn send(self, id: u64, said: Said, value: u64) {
         let answer = CallAnswer { id, said: said as i32, value };
         match self {
@@ -83,27 +82,27 @@
     }
 }
 
-/// Reaches the owner's task.
+/// Sends messages to the owner's task.
 #[derive(Clone, Debug)]
 pub struct OwnerHandle {
     tx: mpsc::Sender<OwnerMsg>,
 }
 
 impl OwnerHandle {
-    /// Makes a handle and the end that the owner reads.
+    /// Creates a handle and the receiver for the owner.
     pub fn new() -> (OwnerHandle, mpsc::Receiver<OwnerMsg>) {
         let (tx, rx) = mpsc::channel(INBOX_CAPACITY);
         (OwnerHandle { tx }, rx)
     }
 
-    /// Sends a call; none when the owner has ended or is too far behind.
+    /// Sends a call. Returns `None` if the owner has ended or its inbox is full.
     pub fn call(&self, call: &Call) -> Option<oneshot::Receiver<CallAnswer>> {
         let (tx, rx) = oneshot::channel();
         self.tx.try_send(OwnerMsg::Call(call.clone(), Reply::Local(tx))).ok()?;
         Some(rx)
     }
 
-    /// Sends a call that came over a link, and refuses it when the owner is too far behind.
+    /// Sends a call that came over a link. Rejects it if the owner has ended or its inbox is full.
     pub fn call_from_link(&self, call: Call, outbox: &Outbox) {
         let id = call.id;
         let msg = OwnerMsg::Call(call, Reply::Link(outbox.clone()));
@@ -118,13 +117,13 @@
         }
     }
 
-    /// Sends a message, waiting for room.
+    /// Sends a message, waiting while the inbox is full.
     pub async fn send(&self, msg: OwnerMsg) {
         // An owner that has ended needs no messages.
         let _ = self.tx.send(msg).await;
     }
 
-    /// Tells whether the owner has ended.
+    /// Returns true if the owner has ended.
     pub fn is_closed(&self) -> bool {
         self.tx.is_closed()
     }
--- a/crates/hollowford-node/src/logs.rs
+++ b/crates/hollowford-node/src/logs.rs
@@ -1,8 +1,8 @@
-//! Logs to standard output, one line each, that never hold a duty up.
+//! Logs to standard output without blocking the calling task.
 //!
-//! Lines go through a bounded queue to a thread that writes them; a line that finds it full
-//! is dropped and counted. Lines about decisions are limited to a number a second besides;
-//! what is left out is counted and told in one line.
+//! Lines go through a bounded queue to a writer thread. A line is dropped and counted if the queue
+//! is full. The lines about scheduling decisions are also rate-limited, and one line states how
+//! many were suppressed.
 
 use env_logger::{Builder, Env, Target};
 use hollowford_core::Millis;
@@ -11,28 +11,29 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 
-/// Lines that wait to be written.
+/// Maximum number of lines waiting to be written.
 const QUEUE_CAPACITY: usize = 4_096;
-/// Lines about decisions in one second. A busy owner decides some 600 times a second.
+/// Maximum number of lines about decisions per second. A busy owner makes about 600 decisions per
+/// second.
 const MAX_DECISIONS_PER_S: u32 = 1_500;
-/// Bytes kept for one line before it is handed over.
+/// Initial capacity of the line buffer, in bytes.
 const LINE_CAPACITY: usize = 256;
 
-/// Stack of the writing thread in bytes; it only copies lines.
+/// Stack size of the writer thread, which only copies lines.
 const WRITER_STACK_BYTES: usize = 64 << 10;
 
-/// Lines dropped since the start.
+/// Number of lines dropped since the start.
 static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Returns how many lines were dropped since the start.
+/// Returns the number of lines dropped since the start.
 pub fn dropped_lines() -> u64 {
     DROPPED_LINES.load(Ordering::Relaxed)
 }
 
-/// Starts logging. Called once, before anything is logged.
+/// Starts logging. Must be called once, before anything is logged.
 ///
 /// # Errors
-/// When the writing thread can't be started.
+/// Returns an error if the writer thread can't be started.
 pub fn init() -> io::Result<()> {
     let (tx, rx) = sync_channel(QUEUE_CAPACITY);
     std::thread::Builder::new()
@@ -58,13 +59,13 @@
             result = out.write_all(&next);
         }
         if result.and_then(|()| out.flush()).is_err() {
-            // Nobody reads the output; what is logged from now on counts as dropped.
+            // Standard output is closed; lines logged from now on count as dropped.
             return;
         }
     }
 }
 
-/// Hands whole lines to the writing thread, without waiting.
+/// Passes whole lines to the writer thread without blocking.
 struct QueueWriter {
     tx: SyncSender<Vec<u8>>,
     line: Vec<u8>,
@@ -87,7 +88,7 @@
     }
 }
 
-/// Limits lines about decisions.
+/// Rate limit for the log lines about decisions.
 #[derive(Debug)]
 pub struct DecisionLog {
     limit: u32,
@@ -103,12 +104,12 @@
 }
 
 impl DecisionLog {
-    /// Makes a log that takes `limit` lines in one second.
+    /// Creates a limit of `limit` lines per second.
     pub fn new(limit: u32) -> DecisionLog {
         DecisionLog { limit, second_start: Millis(0), written_in_second: 0, suppressed: 0 }
     }
 
-    /// Writes what was decided, one line each, as far as the limit allows.
+    /// Logs one line per decision, as far as the limit allows.
     pub fn write(&mut self, decisions: &[impl Display], now: Millis) {
         let suppressed = self.take_suppressed(now);
         if suppressed > 0 {
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Tells whether a line may be written at `now`, and counts it.
+    /// Returns true if a line may be logged at `now`, and counts the line.
     pub fn admit(&mut self, now: Millis) -> bool {
         if now.since(self.second_start) >= Millis(1_000) {
             self.second_start = now;
@@ -136,7 +137,7 @@
         admitted
     }
 
-    /// Returns how many lines were left out, once their second is over.
+    /// Returns the number of lines suppressed in a second that is over, and resets it.
     pub fn take_suppressed(&mut self, now: Millis) -> u64 {
         let is_over = now.since(self.second_start) >= Millis(1_000);
         if is_over { std::mem::take(&mut self.suppressed) } else { 0 }
--- a/crates/hollowford-node/src/mass_join_tests.rs
+++ b/crates/hollowford-node/src/mass_join_tests.rs
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Opens the links of the followers that are told of the owner in this step.
+    /// Opens the links of the followers that are notified of the owner in this step.
     fn open_links(&mut self) {
         let told_every = TOLD_EVERY.as_millis() as u64;
         let since = self.now - OWNER_START_MS - STEP_MS;
--- a/crates/hollowford-node/src/metrics.rs
+++ b/crates/hollowford-node/src/metrics.rs
@@ -1,11 +1,11 @@
-//! Counters and histograms of a process.
+//! Prometheus metrics of a process.
 
 use prometheus::{
     Encoder, Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, IntGaugeVec, Opts,
     Registry, TextEncoder,
 };
 
-/// Bounds of the latency histograms, in seconds.
+/// Bucket bounds of the latency histograms, in seconds.
 const LATENCY_BUCKETS_S: &[f64] =
     &[0.002, 0.005, 0.01, 0.02, 0.04, 0.08, 0.15, 0.25, 0.5, 1.0, 2.5, 5.0];
 
@@ -17,53 +17,52 @@
     pub calls: IntCounterVec,
     /// Time from a caller's request to its answer.
     pub call_seconds: Histogram,
-    /// Relayed calls that were sent again to another owner.
+    /// Calls relayed again to another owner.
     pub relayed_again: IntCounter,
-    /// Epoch that this process owns a partition in, by partition; 0: it doesn't.
+    /// Epoch in which this process owns a partition, or 0 if it doesn't, by partition.
     pub owned_epoch: IntGaugeVec,
     /// Takeovers, by cause.
     pub takeovers: IntCounterVec,
-    /// Times that a partition changed its owner within a minute, by partition, as this process
-    /// became its owner last.
+    /// Changes of owner within the last minute when this process last became owner, by partition.
     pub owner_changes: IntGaugeVec,
-    /// Time from a takeover's write to the first decision.
+    /// Time from the write of a takeover to the first scheduling decision.
     pub takeover_seconds: Histogram,
     /// Batches, by outcome.
     pub batches: IntCounterVec,
-    /// Time that a batch takes.
+    /// Time to write a batch.
     pub batch_seconds: Histogram,
-    /// Calls to workers, by call and outcome.
+    /// Calls to workers, by operation and outcome.
     pub worker_calls: IntCounterVec,
-    /// Time that an answered start takes.
+    /// Time of a task start that the worker answered.
     pub start_seconds: Histogram,
-    /// Calls for advice made here, by outcome.
+    /// Calls to the advice service made by this process, by outcome.
     pub advice_calls: IntCounterVec,
     /// Version of the configuration in force.
     pub config_version: IntGauge,
     /// Jobs that have not ended, by partition, while this process owns it.
     pub open_jobs: IntGaugeVec,
-    /// Workers that may get tasks, by partition, while this process owns it.
+    /// Workers that can be assigned tasks, by partition, while this process owns it.
     pub usable_workers: IntGaugeVec,
-    /// Steps that wait, by partition and cause, while this process owns it.
+    /// Waiting steps, by partition and cause, while this process owns it.
     pub waiting_steps: IntGaugeVec,
-    /// Thousandths of a core that a client account with a quota holds, by partition and account,
-    /// while this process owns it.
+    /// CPU in use by client accounts with a quota, in thousandths of a core, by partition and
+    /// account, while this process owns it.
     pub account_used_milli: IntGaugeVec,
-    /// Share of workers' answers that were lost lately, in thousandths, by partition.
+    /// Share of workers' answers lost recently, in thousandths, by partition.
     pub lost_permille: IntGaugeVec,
     /// Workers that crashed, by partition.
     pub worker_crashes: IntCounterVec,
-    /// Jobs given up since their tasks crash their workers, by partition.
+    /// Jobs given up because their tasks crash their workers, by partition.
     pub crashing_jobs: IntCounterVec,
-    /// Log lines that were dropped since the writer was behind.
+    /// Log lines dropped because the writer thread could not keep up.
     log_dropped: IntCounter,
 }
 
 impl Metrics {
-    /// Makes the metrics.
+    /// Creates and registers the metrics.
     ///
     /// # Errors
-    /// When two of them have one name, which is a fault in the program.
+    /// Returns an error if two metrics have the same name, which is a programming error.
     pub fn new() -> Result<Metrics, prometheus::Error> {
         let r = Registry::new_custom(Some("hollowford_node".to_owned()), None)?;
         let counters = |name: &str, help: &str, labels: &[&str]| {
@@ -94,40 +93,46 @@
             Ok::<_, prometheus::Error>(h)
         };
         Ok(Metrics {
-            calls: counters("calls_total", "Requests of callers", &["verb", "status"])?,
-            call_seconds: seconds("call_seconds", "Time of requests of callers")?,
+            calls: counters("calls_total", "Requests from callers", &["verb", "status"])?,
+            call_seconds: seconds("call_seconds", "Response time of requests from callers")?,
             relayed_again: counter("relayed_again_total", "Calls sent again to another owner")?,
-            owned_epoch: gauges("owned_epoch", "Epoch owned in, or 0")?,
-            takeovers: counters("takeovers_total", "Takeovers made", &["cause"])?,
+            owned_epoch: gauges("owned_epoch", "Epoch in which the partition is owned, or 0")?,
+            takeovers: counters("takeovers_total", "Takeovers of partitions", &["cause"])?,
             owner_changes: gauges("owner_changes_minute", "Changes of owner within a minute")?,
-            takeover_seconds: seconds("takeover_seconds", "From the takeover to decisions")?,
-            batches: counters("batches_total", "Batches to the store", &["outcome"])?,
-            batch_seconds: seconds("batch_seconds", "Time of a batch")?,
+            takeover_seconds: seconds(
+                "takeover_seconds",
+                "Time from a takeover to the first decision",
+            )?,
+            batches: counters("batches_total", "Batches written to the store", &["outcome"])?,
+            batch_seconds: seconds("batch_seconds", "Time to write a batch")?,
             worker_calls: counters("worker_calls_total", "Calls to workers", &["call", "outcome"])?,
-            start_seconds: seconds("start_seconds", "Time of an answered start")?,
+            start_seconds: seconds("start_seconds", "Time of an answered task start")?,
             advice_calls: counters("advice_calls_total", "Calls for advice", &["outcome"])?,
             config_version: gauge("config_version", "Version of the configuration")?,
             open_jobs: gauges("open_jobs", "Jobs that have not ended")?,
-            usable_workers: gauges("usable_workers", "Workers that may get tasks")?,
+            usable_workers: gauges("usable_workers", "Workers that can be assigned tasks")?,
             waiting_steps: gauges_by(
                 "waiting_steps",
-                "Steps that wait, by cause",
+                "Waiting steps, by cause",
                 &["partition", "cause"],
             )?,
             account_used_milli: gauges_by(
                 "account_used_milli",
-                "Thousandths of a core that an account holds",
+                "CPU in use by an account, in thousandths of a core",
                 &["partition", "account"],
             )?,
-            lost_permille: gauges("lost_answers_permille", "Workers' answers lost lately")?,
+            lost_permille: gauges(
+                "lost_answers_permille",
+                "Share of workers' answers lost recently, in thousandths",
+            )?,
             worker_crashes: counters(
                 "worker_crashes_total",
-                "Workers that came back under another id without having said that they leave",
+                "Workers that returned under another id without announcing that they leave",
                 &["partition"],
             )?,
             crashing_jobs: counters(
                 "crashing_jobs_total",
-                "Jobs given up since their tasks crash their workers",
+                "Jobs given up because their tasks crash their workers",
                 &["partition"],
             )?,
             log_dropped: counter("log_dropped_total", "Log lines dropped")?,
@@ -135,15 +140,15 @@
         })
     }
 
-    /// Brings the count of dropped log lines up to date.
+    /// Updates the count of dropped log lines.
     pub fn set_log_dropped(&self, dropped: u64) {
         self.log_dropped.inc_by(dropped.saturating_sub(self.log_dropped.get()));
     }
 
-    /// Writes all of them as text.
+    /// Returns all metrics in the Prometheus text format.
     ///
     /// # Errors
-    /// When a metric can't be written as text.
+    /// Returns an error if a metric can't be encoded.
     pub fn text(&self) -> Result<String, prometheus::Error> {
         let mut buf = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut buf)?;
--- a/crates/hollowford-node/src/node.rs
+++ b/crates/hollowford-node/src/node.rs
@@ -1,4 +1,4 @@
-//! Starts and stops the duties of a process.
+//! Starts and stops the tasks of a process.
 
 use crate::http_endpoints::{CallerEndpoint, MetricsEndpoint, ReadinessEndpoint};
 use crate::inbox::OwnerMsg;
@@ -22,16 +22,16 @@
 use tokio::sync::{oneshot, watch as channel};
 use tokio::time::{sleep, timeout};
 
-/// Idle channels of callers are closed after this time.
+/// Idle connections of callers are closed after this time.
 const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(75);
-/// A stopping owner waits so long for its hand-over.
+/// How long a stopping process waits for its owners to hand over.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(1_600);
-/// A stopping process takes new channels for so long: the balancer asks every second, and
-/// stops sending after two refusals.
+/// How long a stopping process still accepts connections. The load balancer probes every second and
+/// stops routing after two failed probes.
 const DRAIN_TIME: Duration = Duration::from_millis(2_600);
-/// How often it looks whether requests are open, and the time for the last bytes to leave.
+/// Interval of the checks for open requests, and time for the last bytes to be sent.
 const OPEN_CALLS_CHECK_INTERVAL: Duration = Duration::from_millis(40);
-/// Longest time for answers that are open when it stops taking channels.
+/// Maximum time for open requests once no more connections are accepted.
 const OPEN_CALLS_TIMEOUT: Duration = Duration::from_millis(2_600);
 
 /// Why a process can't run.
@@ -40,18 +40,18 @@
     /// An address can't be bound.
     #[error("{addr}: {error}")]
     Bind {
-        /// The address.
+        /// The address that can't be bound.
         addr: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         error: std::io::Error,
     },
-    /// Signals can't be waited for.
+    /// A signal handler can't be installed.
     #[error("signals: {0}")]
     Signal(std::io::Error),
-    /// No client of the store can be made.
+    /// The client of the store can't be created.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// No client of the service for advice, or of the workers, can be made.
+    /// The client of the advice service or of the workers can't be created.
     #[error(transparent)]
     Client(#[from] CallError),
     /// The metrics can't be registered.
@@ -59,19 +59,20 @@
     Metrics(#[from] prometheus::Error),
 }
 
-/// What is said on the command line.
+/// Options from the command line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeOptions {
-    /// Metrics are served on this port of the process's address, if one is given.
+    /// Port on which the metrics are served, on the IP address for peers. Not served if `None`.
     pub metrics_port: Option<u16>,
-    /// Workers of one partition, when the cell first starts.
+    /// Number of workers per partition, used to choose the number of partitions when the cell first
+    /// starts.
     pub workers_each: NonZeroUsize,
 }
 
-/// Runs a process until it is told to stop.
+/// Runs a process until it receives SIGTERM.
 ///
 /// # Errors
-/// When an address can't be bound, or a part can't be made.
+/// Returns an error if an address can't be bound or a client can't be created.
 pub async fn run(settings: NodeSettings, options: NodeOptions) -> Result<(), NodeError> {
     let mut term = signal(SignalKind::terminate()).map_err(NodeError::Signal)?;
     let hup = signal(SignalKind::hangup()).map_err(NodeError::Signal)?;
@@ -112,7 +113,7 @@
     Ok(())
 }
 
-/// Starts what runs until the process ends.
+/// Starts the tasks that run until the process ends.
 fn start_tasks(
     shared: &Arc<Shared>,
     workers_each: NonZeroUsize,
@@ -127,7 +128,7 @@
     tokio::spawn(reload::follow_settings(shared.clone(), hup));
 }
 
-/// Learns how many partitions there are, and joins or owns each from then on.
+/// Determines the number of partitions, then joins or owns each of them.
 async fn join_partitions(shared: Arc<Shared>, workers_each: NonZeroUsize) {
     shared.set_partitions(plan::learn(&shared, workers_each).await);
     for partition in shared.partitions() {
@@ -137,14 +138,14 @@
     watch::read_unless_told(&shared).await;
 }
 
-/// Ends the process's service without cutting a request.
+/// Stops serving without interrupting open requests.
 async fn shut_down(shared: &Shared, stop: &channel::Sender<bool>) {
     log::info!("process.stopping");
     shared.stopping.store(true, Ordering::Relaxed);
     let started_at = shared.clock.now();
     hand_over_partitions(shared).await;
     sleep(DRAIN_TIME.saturating_sub(shared.clock.now().since(started_at).duration())).await;
-    // No new channels from here on, and the channels that are idle are closed.
+    // From here on, no connections are accepted and idle ones are closed.
     let _ = stop.send(true);
     drain_open_calls(shared).await;
     log::info!("process.stopped");
@@ -166,7 +167,7 @@
     E: Endpoint<Output = poem::Response> + 'static,
 {
     let signal = async move {
-        // An error means that the process ends, too.
+        // An error means that the process is ending as well.
         let _ = stopped.wait_for(|&s| s).await;
     };
     poem::Server::new(PoemListener::bind(addr.to_string()))
@@ -176,7 +177,7 @@
         .map_err(|error| NodeError::Bind { addr, error })
 }
 
-/// Waits until all requests are answered, and the answers are on their way.
+/// Waits until all requests are answered and the answers are sent.
 async fn drain_open_calls(shared: &Shared) {
     let started_at = shared.clock.now();
     while shared.open_calls.load(Ordering::Relaxed) > 0
--- a/crates/hollowford-node/src/reload.rs
+++ b/crates/hollowford-node/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reads the settings file again, on SIGHUP and now and then.
+//! Reloads the settings file on SIGHUP and at regular intervals.
 
 use crate::shared::Shared;
 use hollowford_adapter::NodeSettings;
@@ -7,11 +7,11 @@
 use tokio::signal::unix::Signal;
 use tokio::time::timeout;
 
-/// The file may also change without a signal; it is read this often.
+/// Interval at which the settings file is read without a signal.
 const READ_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Follows the settings file. Addresses stay as they were at the start; the times for the
-/// decisions are put in force.
+/// Reads the settings file repeatedly and publishes changes. Addresses stay as they were at the
+/// start; the time limits for scheduling decisions take effect at once.
 pub async fn follow_settings(shared: Arc<Shared>, mut hup: Signal) {
     loop {
         let signalled = timeout(READ_INTERVAL, hup.recv()).await.is_ok();
--- a/crates/hollowford-node/src/shared.rs
+++ b/crates/hollowford-node/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the duties of a process share.
+//! State shared by the tasks of a process.
 
 use crate::homes::{home_of_account, home_of_job};
 use crate::members::ConfigKnown;
@@ -15,61 +15,58 @@
 use std::sync::{Arc, OnceLock};
 use tokio::sync::{Notify, broadcast, watch};
 
-/// Changes of the list of workers that wait to be taken in; an owner that is further behind reads
-/// the list itself.
+/// Maximum number of unprocessed changes of the list of workers. An owner that falls further behind
+/// reads the whole list.
 const WORKER_CHANGES_CAPACITY: usize = 16;
 
-/// Calls to the store that have failed for so long are an outage: what an owner had to write meanwhile
-/// may be lost with it.
+/// Minimum duration of failing store calls that counts as an outage. Changes that an owner could
+/// not write during an outage may be lost with the owner.
 const MIN_OUTAGE: Millis = Millis(500);
 
-/// Shared by all duties of a process.
+/// State shared by all tasks of a process.
 #[derive(Debug)]
 pub struct Shared {
-    /// The settings that it was started with.
+    /// The settings at the start of the process.
     pub settings: NodeSettings,
-    /// Its clock.
     pub clock: Clock,
-    /// Tells this life of the process from others at its address.
+    /// Random id of this process, which distinguishes it from others at the same address.
     pub boot: u64,
-    /// Client of the store.
     pub store: StoreClient,
-    /// Client of the service for advice.
+    /// Client of the advice service, if one is configured.
     pub advice: Option<AdviceClient>,
     /// Client of the workers, without a fence.
     pub workers: WorkerClient,
     /// The newest configuration.
     pub config: ArcSwapOption<Config>,
-    /// The row that the configuration was read from last.
+    /// The row from which the configuration was last read.
     config_row: ArcSwapOption<ConfigRow>,
-    /// Asks the watch to read the configuration at once.
+    /// Wakes the task that reads the configuration.
     pub config_wanted: Notify,
     /// The partitions, once their number is known.
     partitions: OnceLock<Vec<Arc<Partition>>>,
-    /// Told when the settings file has been read again.
+    /// Publishes the settings whenever the settings file has changed.
     pub settings_changed: watch::Sender<NodeSettings>,
-    /// The process is about to stop.
+    /// Whether the process is about to stop.
     pub stopping: AtomicBool,
-    /// Callers' requests that are not answered yet.
+    /// Number of callers' requests that are not answered yet.
     pub open_calls: AtomicUsize,
-    /// Reading of the clock when the store answered last.
+    /// Time of the store's last answer.
     store_answered_at: AtomicU64,
-    /// Reading of the clock when a call to the store failed last.
+    /// Time of the last failed store call.
     store_failed_at: AtomicU64,
-    /// Reading of the clock when calls to the store began to fail last.
+    /// Time of the first failed store call since the last answer.
     store_failing_since: AtomicU64,
-    /// Reading of the clock when the last outage of the store was over; 0: there was none.
+    /// End of the last store outage, or 0 if there was none.
     outage_ended_at: AtomicU64,
-    /// Reading of the clock when this process read the configuration last.
+    /// Time at which this process last read the configuration.
     config_read_at: AtomicU64,
-    /// Changes of the list of workers that the owner of another partition has told.
+    /// Changes of the list of workers sent by the owner of another partition.
     pub worker_changes: broadcast::Sender<Arc<WorkerChanges>>,
-    /// Its metrics.
     pub metrics: Metrics,
 }
 
 impl Shared {
-    /// Puts the parts together.
+    /// Creates the state of a process that has just started.
     pub fn new(
         settings: NodeSettings,
         store: StoreClient,
@@ -101,28 +98,29 @@
         }
     }
 
-    /// Returns the thousandths of a core that the process gets.
+    /// Returns the CPU share of the process, in thousandths of a core.
     pub fn cpu_milli(&self) -> u32 {
         (self.settings.cpu_share * 1_000.0) as u32
     }
 
-    /// Returns the address between processes.
+    /// Returns the address for links from other processes.
     pub fn address(&self) -> SocketAddr {
         self.settings.addresses.peers
     }
 
-    /// Returns the processes to ask while the store is away.
+    /// Returns the processes to ask while the store is unavailable.
     pub fn other_seeds(&self) -> impl Iterator<Item = SocketAddr> {
         let own = self.address();
         self.settings.seeds.iter().copied().filter(move |&seed| seed != own)
     }
 
-    /// Tells whether the process is about to stop.
+    /// Returns true if the process is about to stop.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Takes note that the store has answered.
+    /// Records an answer of the store. The end of a failure of at least [`MIN_OUTAGE`] is recorded
+    /// as the end of an outage.
     pub fn record_store_answer(&self) {
         let now = self.clock.now();
         if self.is_store_failing() {
@@ -134,13 +132,13 @@
         self.store_answered_at.store(now.0, Ordering::Relaxed);
     }
 
-    /// Tells whether the last call to the store has failed.
+    /// Returns true if the last store call failed.
     fn is_store_failing(&self) -> bool {
         self.store_failed_at.load(Ordering::Relaxed)
             > self.store_answered_at.load(Ordering::Relaxed)
     }
 
-    /// Takes note that a call to the store has failed.
+    /// Records a failed store call.
     pub fn record_store_failure(&self) {
         let now = self.clock.now().0;
         if !self.is_store_failing() {
@@ -149,39 +147,40 @@
         self.store_failed_at.store(now, Ordering::Relaxed);
     }
 
-    /// Tells whether the store has failed this process for `at_least`, up to its last call.
+    /// Returns true if the last store call failed and the store has not answered for `at_least`.
     pub fn is_store_away(&self, at_least: Millis) -> bool {
         self.is_store_failing() && self.store_age() >= at_least
     }
 
-    /// Tells whether an outage of the store was over within this time. Single calls that fail are none: who
-    /// made them makes them again.
+    /// Returns true if a store outage ended within the last `span`. Single failed calls don't count
+    /// because they are repeated.
     pub fn had_outage_within(&self, span: Millis) -> bool {
         let ended_at = self.outage_ended_at.load(Ordering::Relaxed);
         ended_at > 0 && self.clock.now().since(Millis(ended_at)) < span
     }
 
-    /// Returns the time since the store answered.
+    /// Returns the time since the store's last answer.
     pub fn store_age(&self) -> Millis {
         self.clock.now().since(Millis(self.store_answered_at.load(Ordering::Relaxed)))
     }
 
-    /// Sets how many partitions there are. The first call counts.
+    /// Sets the number of partitions. Calls after the first have no effect.
     pub fn set_partitions(&self, count: u32) {
         self.partitions.get_or_init(|| (0..count).map(|n| Arc::new(Partition::new(n))).collect());
     }
 
-    /// Returns the partitions; none before their number is known.
+    /// Returns the partitions. Empty until their number is known.
     pub fn partitions(&self) -> &[Arc<Partition>] {
         self.partitions.get().map_or(&[], Vec::as_slice)
     }
 
-    /// Returns how many partitions there are; 0: not known yet.
+    /// Returns the number of partitions, or 0 if it isn't known yet.
     pub fn partition_count(&self) -> u32 {
         self.partitions().len() as u32
     }
 
-    /// Returns the partition of a job of a client account, once the number of partitions is known.
+    /// Returns the partition of a client account's job, or `None` until the number of partitions is
+    /// known.
     pub fn partition_of(&self, account: &str, job: JobId) -> Option<&Arc<Partition>> {
         let partitions = self.partition_count();
         let home = match account {
@@ -191,36 +190,36 @@
         self.partitions().get(home as usize)
     }
 
-    /// Returns the longest time that the owner of a partition was not within reach.
+    /// Returns the longest time since any partition's owner was reached.
     pub fn max_owner_age(&self) -> Millis {
         let now = self.clock.now();
         let ages = self.partitions().iter().map(|p| p.owner_age(now));
         ages.max().unwrap_or(Millis::MAX)
     }
 
-    /// Returns how many partitions this process owns.
+    /// Returns the number of partitions that this process owns.
     pub fn owned_count(&self) -> u32 {
         self.partitions().iter().filter(|p| p.is_owned()).count() as u32
     }
 
-    /// Takes note that this process has read the configuration.
+    /// Records that this process has read the configuration.
     pub fn record_config_read(&self) {
         self.config_read_at.store(self.clock.now().0, Ordering::Relaxed);
     }
 
-    /// Returns the time since this process read the configuration, counted from its start before
-    /// it first has.
+    /// Returns the time since this process read the configuration, or since its start if it has
+    /// not.
     pub fn config_age(&self) -> Millis {
         self.clock.now().since(Millis(self.config_read_at.load(Ordering::Relaxed)))
     }
 
-    /// Returns what this process knows of the configuration.
+    /// Returns the version and age of the configuration that this process knows.
     pub fn config_known(&self) -> ConfigKnown {
         ConfigKnown { version: self.config_version(), age: self.config_age() }
     }
 
-    /// Tells whether an owner vouches for the configuration that this process knows. Owners read
-    /// it themselves.
+    /// Returns true if another process's heartbeats confirm that the known configuration is
+    /// current. Always false in an owner, which reads the configuration itself.
     pub fn is_config_confirmed(&self) -> bool {
         let now = self.clock.now();
         self.config_version() > 0
@@ -228,27 +227,29 @@
             && self.partitions().iter().any(|p| p.config_told().is_enough(now))
     }
 
-    /// Tells whether this process knows that there is a newer configuration than its own.
+    /// Returns true if this process knows that a newer configuration exists.
     pub fn config_is_behind(&self) -> bool {
         self.partitions().iter().any(|p| p.config_told().is_behind())
     }
 
-    /// Tells whether a row of the configuration is newer than what was read before.
+    /// Returns true if a configuration row of this version is newer than the last one read.
     pub fn is_new_config_row(&self, version: u64) -> bool {
         self.config_row.load().as_ref().is_none_or(|r| r.row_version < version)
     }
 
-    /// Returns the row that the configuration was read from last.
+    /// Returns true if an owner's heartbeats confirm that the known configuration is current.
+    /// Always false if this process owns a partition, since owners read the configuration
+    /// themselves.
     pub fn config_row(&self) -> Option<Arc<ConfigRow>> {
         self.config_row.load_full()
     }
 
-    /// Returns the version of the configuration that is known; 0: none.
+    /// Returns the version of the known configuration, or 0 if none is known.
     pub fn config_version(&self) -> u64 {
         self.config.load().as_ref().map_or(0, |c| c.version)
     }
 
-    /// Puts a configuration in force, unless a newer one is.
+    /// Puts a configuration in force. Returns false if the known one is at least as new.
     pub fn apply_config(&self, config: Config, row: ConfigRow) -> bool {
         self.config_row.store(Some(Arc::new(row)));
         if config.version <= self.config_version() {
--- a/crates/hollowford-node/src/shared_tests.rs
+++ b/crates/hollowford-node/src/shared_tests.rs
@@ -1,4 +1,4 @@
-//! What a process believes before it has heard anything.
+//! Initial state of a process, and detection of store outages.
 #![allow(clippy::expect_used)]
 
 use crate::metrics::Metrics;
@@ -8,12 +8,12 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Makes what the duties of a process share, from the example of the settings.
+/// Returns the shared state of a process with the example settings.
 pub fn shared() -> Shared {
     shared_with(None)
 }
 
-/// Makes the same with the store at another address.
+/// Returns the same with the store at another address.
 pub fn shared_with(store: Option<SocketAddr>) -> Shared {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../platform/examples/settings.toml");
     let settings = NodeSettings::from_file(file).expect("the example");
@@ -25,7 +25,7 @@
 #[test]
 fn a_process_that_has_just_started_has_reached_no_owner() {
     let shared = shared();
-    assert_eq!(shared.max_owner_age(), Millis::MAX, "the plan is not known");
+    assert_eq!(shared.max_owner_age(), Millis::MAX, "the number of partitions is not known");
     shared.set_partitions(2);
     assert_eq!(shared.max_owner_age(), Millis::MAX);
     shared.partitions()[0].note_owner(shared.clock.now());
@@ -34,7 +34,8 @@
     assert!(shared.max_owner_age() < Millis::MAX);
 }
 
-// What an owner had to write meanwhile is lost with it only if the store was away for a while.
+// Only an outage of some length can lose changes of the previous owner. A single failed call must
+// not count as one.
 #[test]
 fn single_calls_to_the_store_that_fail_are_no_outage() {
     let shift: &AtomicU64 = Box::leak(Box::new(AtomicU64::new(1_000)));
@@ -47,7 +48,7 @@
     shared.record_store_failure();
     pass(100);
     shared.record_store_answer();
-    assert!(!shared.had_outage_within(within), "one call");
+    assert!(!shared.had_outage_within(within), "a single failed call");
 
     pass(100);
     for _ in 0..5 {
@@ -57,5 +58,5 @@
     shared.record_store_answer();
     assert!(shared.had_outage_within(within));
     pass(2_500);
-    assert!(!shared.had_outage_within(within), "long ago");
+    assert!(!shared.had_outage_within(within), "the outage ended too long ago");
 }
--- a/crates/hollowford-node/src/wire.rs
+++ b/crates/hollowford-node/src/wire.rs
@@ -1,4 +1,4 @@
-//! Messages between the system's own processes.
+//! Messages between the processes of a cell.
 
 mod caller_calls;
 
@@ -10,63 +10,63 @@
 /// One frame on a link.
 #[derive(Clone, PartialEq, Message)]
 pub struct Frame {
-    /// What it says.
+    /// The message in the frame.
     #[prost(oneof = "Body", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17")]
     pub body: Option<Body>,
 }
 
-/// What a frame says.
+/// The messages that a frame can hold.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum Body {
-    /// A process opens a link to the owner.
+    /// Introduces a process that opens a link to the owner.
     #[prost(message, tag = "1")]
     Hello(Hello),
-    /// The owner is alive.
+    /// Heartbeat of the owner.
     #[prost(message, tag = "2")]
     Heartbeat(Heartbeat),
-    /// A member is alive.
+    /// Heartbeat of a member.
     #[prost(message, tag = "3")]
     MemberBeat(MemberBeat),
     /// A caller's request.
     #[prost(message, tag = "4")]
     Call(Call),
-    /// Its answer.
+    /// The answer to a caller's request.
     #[prost(message, tag = "5")]
     Answer(CallAnswer),
-    /// The owner wants a call for advice made.
+    /// Asks a member to call the advice service.
     #[prost(message, tag = "6")]
     Ask(Ask),
-    /// What came of that call.
+    /// The outcome of a call to the advice service.
     #[prost(message, tag = "7")]
     Advice(Advice),
-    /// Who owns the partition, as the sender knows it.
+    /// The owner of the partition, as far as the sender knows.
     #[prost(message, tag = "8")]
     Owner(OwnerInfo),
-    /// The receiver is to take the partition over.
+    /// Asks the receiver to take over the partition.
     #[prost(message, tag = "9")]
     HandOver(HandOver),
-    /// The sender wants to know who owns the partition.
+    /// Asks who owns a partition.
     #[prost(message, tag = "10")]
     WhoOwns(WhoOwns),
-    /// The newest configuration, for a member that lacks it.
+    /// The newest configuration, for a member that doesn't have it.
     #[prost(message, tag = "11")]
     Config(ConfigRow),
-    /// The sender wants to know how many partitions there are.
+    /// Asks how many partitions the cell has.
     #[prost(message, tag = "12")]
     WhatPlan(WhatPlan),
-    /// How many partitions there are.
+    /// The number of partitions.
     #[prost(message, tag = "13")]
     Plan(Plan),
-    /// Calls to workers that the member is to make.
+    /// Calls to workers that the member should make.
     #[prost(message, tag = "14")]
     Delegated(Delegated),
-    /// What came of them.
+    /// Outcomes of calls to workers.
     #[prost(message, tag = "15")]
     Outcomes(Outcomes),
-    /// Another frame, packed.
+    /// Another frame, compressed.
     #[prost(bytes, tag = "16")]
     Packed(Vec<u8>),
-    /// What a reading of the list of workers has changed.
+    /// Changes of the list of workers.
     #[prost(message, tag = "17")]
     Workers(WorkerChanges),
 }
@@ -74,78 +74,79 @@
 /// Asks who owns a partition.
 #[derive(Clone, PartialEq, Message)]
 pub struct WhoOwns {
-    /// Its number.
+    /// Number of the partition.
     #[prost(uint32, tag = "1")]
     pub partition: u32,
 }
 
-/// A question without content.
+/// Asks how many partitions the cell has.
 #[derive(Clone, PartialEq, Message)]
 pub struct WhatPlan {}
 
-/// What was decided once for the whole cell. Also a row of the store.
+/// The number of partitions, decided once for the whole cell. Also stored as a row.
 #[derive(Clone, PartialEq, Message)]
 pub struct Plan {
-    /// How many partitions there are; 0: the sender doesn't know.
+    /// Number of partitions, or 0 if the sender doesn't know.
     #[prost(uint32, tag = "1")]
     pub partitions: u32,
 }
 
-/// Names a process to the owner.
+/// Introduces a process to the owner.
 #[derive(Clone, PartialEq, Message)]
 pub struct Hello {
-    /// Where its peers reach it.
+    /// Address for links from other processes.
     #[prost(string, tag = "1")]
     pub address: String,
-    /// Thousandths of a core that it gets.
+    /// CPU share of the process, in thousandths of a core.
     #[prost(uint32, tag = "2")]
     pub cpu_milli: u32,
-    /// How long it has run, in milliseconds.
+    /// Time since the process started, in milliseconds.
     #[prost(uint64, tag = "3")]
     pub age_ms: u64,
-    /// The owner that it takes the receiver for.
+    /// The owner that the sender expects at the receiver.
     #[prost(message, optional, tag = "4")]
     pub owner: Option<OwnerInfo>,
-    /// Its availability zone.
+    /// Availability zone of the process.
     #[prost(string, tag = "5")]
     pub zone: String,
 }
 
-/// An owner, by its epoch.
+/// The owner of a partition in one epoch.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct OwnerInfo {
-    /// Its epoch; 0: none is known.
+    /// Epoch of the owner, or 0 if none is known.
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
-    /// Where its peers reach it.
+    /// Address for links from other processes.
     #[prost(string, tag = "2")]
     pub address: String,
-    /// Tells this life of the process from another at the same address.
+    /// Random id of the process, which distinguishes it from earlier processes at the same address.
     #[prost(uint64, tag = "3")]
     pub boot: u64,
-    /// Number of the partition that it owns.
+    /// Number of the partition.
     #[prost(uint32, tag = "4")]
     pub partition: u32,
-    /// Thousandths of a core that it gets.
+    /// CPU share of the process, in thousandths of a core.
     #[prost(uint32, tag = "5")]
     pub cpu_milli: u32,
 }
 
-/// The operator's configuration as it stands in the store.
+/// The operator's configuration as stored.
 #[derive(Clone, PartialEq, Message)]
 pub struct ConfigRow {
-    /// Version of its row.
+    /// Version of the row in the store.
     #[prost(uint64, tag = "1")]
     pub row_version: u64,
-    /// Its bytes, packed.
+    /// Compressed content of the row.
     #[prost(bytes = "vec", tag = "2")]
     pub packed: Vec<u8>,
 }
 
-/// An owner gives the partition to a member.
+/// Hands the partition over to a member.
 #[derive(Clone, PartialEq, Message)]
 pub struct HandOver {
-    /// Version of the owner row, if nothing more will be written by the owner; 0: read it.
+    /// Version of the owner row, or 0 if the owner may still change it; then the receiver has to
+    /// read it.
     #[prost(uint64, tag = "1")]
     pub rev: u64,
 }
@@ -153,22 +154,22 @@
 /// The owner's heartbeat.
 #[derive(Clone, PartialEq, Message)]
 pub struct Heartbeat {
-    /// Its epoch; 0: it is about to become the owner, and takes no calls yet.
+    /// Epoch of the owner, or 0 if the sender is taking over and accepts no calls yet.
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
-    /// Addresses of the members, in the order in which they take over; none: as told before.
+    /// Addresses of the members in the order in which they take over. Empty if unchanged.
     #[prost(string, repeated, tag = "2")]
     pub members: Vec<String>,
-    /// Version of the configuration that it knows.
+    /// Version of the configuration that the owner knows.
     #[prost(uint64, tag = "3")]
     pub config: u64,
-    /// The store doesn't answer it: members are to find out whether it answers them.
+    /// The store doesn't answer the owner; members should check whether it answers them.
     #[prost(bool, tag = "4")]
     pub store_lost: bool,
-    /// Time between two heartbeats, in milliseconds.
+    /// Interval of the owner's heartbeats, in milliseconds.
     #[prost(uint64, tag = "5")]
     pub every_ms: u64,
-    /// Time since it read the configuration in the store, in milliseconds.
+    /// Time since the owner read the configuration in the store, in milliseconds.
     #[prost(uint64, tag = "6")]
     pub config_age_ms: u64,
 }
@@ -176,53 +177,53 @@
 /// A member's heartbeat.
 #[derive(Clone, PartialEq, Message)]
 pub struct MemberBeat {
-    /// Newest epoch of an owner that it knows.
+    /// Newest epoch that the member knows.
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
-    /// Time since the store answered it last, in milliseconds.
+    /// Time since the store last answered the member, in milliseconds.
     #[prost(uint64, tag = "2")]
     pub store_age_ms: u64,
-    /// Version of the configuration that it knows.
+    /// Version of the configuration that the member knows.
     #[prost(uint64, tag = "3")]
     pub config: u64,
-    /// It is about to stop.
+    /// The process is about to stop.
     #[prost(bool, tag = "4")]
     pub stopping: bool,
-    /// How many partitions it owns.
+    /// Number of partitions that the process owns.
     #[prost(uint32, tag = "5")]
     pub owned: u32,
 }
 
-/// A call for advice to be made.
+/// A request to call the advice service.
 #[derive(Clone, PartialEq, Message)]
 pub struct Ask {
-    /// The step, as the service names it.
+    /// The step, as the advice service names it.
     #[prost(string, tag = "1")]
     pub step: String,
     /// Ids of the workers.
     #[prost(string, repeated, tag = "2")]
     pub workers: Vec<String>,
-    /// Longest time for it, in milliseconds.
+    /// Timeout of the call, in milliseconds.
     #[prost(uint64, tag = "3")]
     pub timeout_ms: u64,
 }
 
-/// What came of a call for advice.
+/// The outcome of a call to the advice service.
 #[derive(Clone, PartialEq, Message)]
 pub struct Advice {
-    /// The step.
+    /// The step, as the advice service names it.
     #[prost(string, tag = "1")]
     pub step: String,
     /// Whether the service answered.
     #[prost(bool, tag = "2")]
     pub answered: bool,
-    /// Ids of the workers that may run it.
+    /// Ids of the workers that may run the step.
     #[prost(string, repeated, tag = "3")]
     pub workers: Vec<String>,
-    /// Their tickets, in the same order.
+    /// Tickets of these workers, in the same order.
     #[prost(string, repeated, tag = "4")]
     pub tickets: Vec<String>,
-    /// How long the tickets hold, in milliseconds.
+    /// How long the tickets are valid, in milliseconds.
     #[prost(uint64, tag = "5")]
     pub validity_ms: u64,
 }
@@ -233,13 +234,13 @@
     }
 }
 
-/// The row that names the owner.
+/// Content of a lane's row in the store. The row of the first lane is the owner row.
 #[derive(Clone, PartialEq, Message)]
 pub struct OwnerRow {
-    /// Who owns the partition.
+    /// The owner of the partition.
     #[prost(message, optional, tag = "1")]
     pub owner: Option<OwnerInfo>,
-    /// Number of its last batch.
+    /// Number of the last batch committed in the lane, or 0 after a takeover.
     #[prost(uint64, tag = "2")]
     pub batch: u64,
 }
--- a/crates/hollowford-node/src/wire/caller_calls.rs
+++ b/crates/hollowford-node/src/wire/caller_calls.rs
@@ -1,23 +1,23 @@
-//! Callers' requests on their way to the owner, and its answers.
+//! Callers' requests to the owner, and its answers.
 
 use prost::Message;
 
-/// What a caller wants.
+/// An operation that a caller requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum Verb {
-    /// Hand in a job.
+    /// Submits a job.
     Submit = 0,
-    /// Cancel it.
+    /// Cancels a job.
     Cancel = 1,
-    /// Read its state.
+    /// Returns the state of a job.
     State = 2,
-    /// Count the queue's jobs that wait.
+    /// Counts the waiting jobs of a queue.
     Waiting = 3,
 }
 
 impl Verb {
-    /// Returns its name, for metrics.
+    /// Returns the name used in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             Verb::Submit => "submit",
@@ -28,87 +28,88 @@
     }
 }
 
-/// A caller's request on its way to the owner.
+/// A caller's request to the owner.
 #[derive(Clone, PartialEq, Message)]
 pub struct Call {
-    /// Matches the answer to the call, on one link.
+    /// Identifies the call in its answer; unique per link.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// What is wanted.
+    /// The requested operation.
     #[prost(enumeration = "Verb", tag = "2")]
     pub verb: i32,
-    /// The job.
+    /// Id of the job.
     #[prost(fixed64, tag = "3")]
     pub job: u64,
-    /// The queue.
+    /// Name of the queue.
     #[prost(string, tag = "4")]
     pub queue: String,
-    /// The job's specification, for `Submit`.
+    /// The encoded job specification, for `Submit`.
     #[prost(bytes = "vec", tag = "5")]
     pub spec: Vec<u8>,
-    /// Version of the configuration by which the queue was found.
+    /// Version of the configuration by which the entry process found the queue.
     #[prost(uint64, tag = "6")]
     pub config: u64,
-    /// How long the caller waits for the answer, in milliseconds; 0: not told.
+    /// Time limit for the answer in milliseconds, or 0 if the caller set none.
     #[prost(uint64, tag = "7")]
     pub limit_ms: u64,
-    /// The client account that the entry found; empty: none is needed.
+    /// The client account that the entry process found, or empty if none is needed.
     #[prost(string, tag = "8")]
     pub account: String,
-    /// Digest of the caller's key; empty: it bears none.
+    /// Digest of the caller's key, or empty if the request has none.
     #[prost(bytes = "vec", tag = "9")]
     pub credential: Vec<u8>,
-    /// The entry knows no account for the key, and knows that it is behind.
+    /// The entry process found no account for the key, but knows that its configuration is
+    /// outdated.
     #[prost(bool, tag = "10")]
     pub unknown_key: bool,
 }
 
-/// What the owner says to a call.
+/// The owner's answer to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum Said {
-    /// Done: the job is kept, or cancelled.
+    /// The job is stored or cancelled.
     Done = 0,
-    /// There is no such job.
+    /// The job doesn't exist.
     NoJob = 1,
     /// The owner doesn't know the queue yet.
     NoQueue = 2,
-    /// Nothing was done; come back later.
+    /// Nothing was done; the caller may retry later.
     Unavailable = 3,
-    /// The sender doesn't own the partition, or no longer: it has done nothing.
+    /// The sender doesn't own the partition and has done nothing.
     NotOwner = 4,
-    /// The state or count that was asked for.
+    /// The requested state or count.
     Value = 5,
-    /// It may take effect: the store has not answered.
+    /// The request may take effect; the store has not answered.
     Unsure = 6,
-    /// The sender owned the partition and no longer does: what it did may stand.
+    /// The sender lost the partition while the call was open; the request may take effect.
     Deposed = 7,
     /// The key is missing or unknown. Nothing was done.
     UnknownKey = 8,
-    /// The job is another account's. Nothing was done.
+    /// The job belongs to another account. Nothing was done.
     NotYours = 9,
-    /// The owner has done nothing, and didn't look what an earlier one may have: too much waits for
-    /// it, or it has not read the configuration for too long to vouch for any key.
+    /// The owner has done nothing, and has not checked whether an earlier attempt took effect: its
+    /// inbox is full, or its configuration is too old to accept any key.
     NotTaken = 10,
 }
 
 /// The owner's answer to a call.
 #[derive(Clone, PartialEq, Message)]
 pub struct CallAnswer {
-    /// The call's.
+    /// Id of the call.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// What came of it.
+    /// The outcome of the call.
     #[prost(enumeration = "Said", tag = "2")]
     pub said: i32,
-    /// The count, or the state's code.
+    /// The requested count, or the code of the requested state.
     #[prost(uint64, tag = "3")]
     pub value: u64,
 }
 
 impl CallAnswer {
-    /// Returns what came of the call. What a later version says and this one doesn't know may have
-    /// been done.
+    /// Returns the outcome of the call. An unknown value, sent by a newer version, counts as
+    /// [`Said::Unsure`].
     pub fn outcome(&self) -> Said {
         Said::try_from(self.said).unwrap_or(Said::Unsure)
     }
--- a/crates/hollowford-node/src/writer.rs
+++ b/crates/hollowford-node/src/writer.rs
@@ -37,7 +37,7 @@
     Refused,
     /// Another process owns the partition.
     Deposed(OwnerInfo),
-    /// The lane's row is missing or was not written by this owner's batches.
+    /// The lane's row is missing or in a state that this owner's batches can't have left.
     Inconsistent,
 }
 
--- a/crates/hollowford-node/src/writer_tests.rs
+++ b/crates/hollowford-node/src/writer_tests.rs
@@ -75,8 +75,8 @@
     BatchWrite { part: PART.to_owned(), owner: owner.clone(), lane, rev, batch, read_delay }
 }
 
-fn rev_of(outcome: &BatchOutcome) -> Version {
-    match outcome {
+fn rev_of(written: &BatchOutcome) -> Version {
+    match written {
         BatchOutcome::Made { rev, .. } => *rev,
         other => panic!("not committed: {other:?}"),
     }
@@ -102,8 +102,8 @@
     let revs = store.take_over(&me).await;
     store.take_over(&next).await;
     for (lane, rev) in revs.into_iter().enumerate() {
-        let outcome = store.write(batch_write(&me, lane, rev, 1)).await;
-        assert_eq!(outcome, BatchOutcome::Deposed(next.clone()), "lane {lane}");
+        let written = store.write(batch_write(&me, lane, rev, 1)).await;
+        assert_eq!(written, BatchOutcome::Deposed(next.clone()), "lane {lane}");
     }
     let (rows, _) = store.read().await;
     assert!(!rows.keys().any(|k| k.starts_with("batch/")), "{:?}", rows.keys());
@@ -128,8 +128,8 @@
     let revs = store.take_over(&me).await;
     store.platform.set_faults(Faults { mute_writes: true, ..Faults::default() });
     for (lane, rev) in revs.into_iter().enumerate() {
-        let outcome = store.write(batch_write(&me, lane, rev, 1));
-        rev_of(&timeout(TIMEOUT, outcome).await.expect("an outcome"));
+        let written = store.write(batch_write(&me, lane, rev, 1));
+        rev_of(&timeout(TIMEOUT, written).await.expect("an outcome"));
     }
 }
 
@@ -142,8 +142,8 @@
     let before = store.platform.served().writes;
     for number in 1..=4 {
         let both = (0..LANE_COUNT).map(|l| store.write(batch_write(&me, l, revs[l], number)));
-        let outcome = join_all(both).await;
-        revs = std::array::from_fn(|lane| rev_of(&outcome[lane]));
+        let outcomes = join_all(both).await;
+        revs = std::array::from_fn(|lane| rev_of(&outcomes[lane]));
     }
     let sent = store.platform.served().writes - before;
     assert!(sent < 2 * 4 * LANE_COUNT as u64, "{sent} transactions for {} batches", 4 * LANE_COUNT);
@@ -191,8 +191,8 @@
                     for b in &batches {
                         last.insert(format!("last/{}", b.lane), b.batch.number);
                     }
-                    let outcome = join_all(batches.into_iter().map(|b| store.write(b))).await;
-                    for (&lane, w) in used.iter().zip(&outcome) {
+                    let outcomes = join_all(batches.into_iter().map(|b| store.write(b))).await;
+                    for (&lane, w) in used.iter().zip(&outcomes) {
                         revs[lane] = rev_of(w);
                     }
                 }
