--- a/crates/hollowford-node/src/batches.rs
+++ b/crates/hollowford-node/src/batches.rs
@@ -56,8 +56,8 @@
     part: String,
     lanes: [Lane; LANE_COUNT],
     handle: OwnerHandle,
-    /// When the last batch was cut.
-    last_cut_at: Millis,
+    /// When the last batch was started.
+    last_started_at: Millis,
     /// When the last batch was committed.
     last_committed_at: Millis,
     /// Since when a batch has been pending without any batch being committed.
@@ -86,7 +86,7 @@
             part,
             lanes: lanes.map(|rev| Lane { rev, in_flight: None }),
             handle,
-            last_cut_at: Millis(0),
+            last_started_at: Millis(0),
             last_committed_at: Millis(0),
             uncommitted_since: None,
             last_refused_at: None,
@@ -95,16 +95,16 @@
         }
     }
 
-    /// Cuts the next batch if it is due, and starts writing it.
+    /// Starts writing the next batch if one is due.
     pub fn write_next(&mut self, engine: &mut Engine, now: Millis) {
         let min_interval =
             if engine.batch_is_urgent() { MIN_BATCH_INTERVAL } else { MIN_IDLE_BATCH_INTERVAL };
-        if now.since(self.last_cut_at) < min_interval {
+        if now.since(self.last_started_at) < min_interval {
             return;
         }
         let Some(lane) = self.free_lane(now) else { return };
         let Some(batch) = engine.cut_batch(now) else { return };
-        self.last_cut_at = now;
+        self.last_started_at = now;
         self.uncommitted_since.get_or_insert(now);
         self.lanes[lane].in_flight =
             Some(InFlightBatch { number: batch.number, rows: batch.rows.len(), started_at: now });
@@ -119,7 +119,7 @@
             return Some(free);
         }
         let store_answers = now.since(self.last_committed_at) < MAX_COMMIT_AGE_FOR_EXTRA_LANE;
-        let slow = now.since(self.last_cut_at) >= EXTRA_LANE_DELAY;
+        let slow = now.since(self.last_started_at) >= EXTRA_LANE_DELAY;
         (store_answers && slow).then_some(free)
     }
 
--- a/crates/hollowford-node/src/http_endpoints.rs
+++ b/crates/hollowford-node/src/http_endpoints.rs
@@ -270,7 +270,7 @@
 
     async fn call(&self, req: Request) -> poem::Result<Response> {
         let s = &self.shared;
-        let reached = s.max_owner_age() < OWNER_UNREACHABLE_TIMEOUT;
+        let reached = s.max_owner_contact_age() < OWNER_UNREACHABLE_TIMEOUT;
         let ready = s.config_version() > 0 && !s.is_stopping() && reached;
         let status = match req.uri().path() {
             READY_PATH if ready => StatusCode::OK,
--- a/crates/hollowford-node/src/inbox.rs
+++ b/crates/hollowford-node/src/inbox.rs
@@ -33,9 +33,9 @@
     /// Outcomes of calls to workers made by a member.
     Outcomes(LinkId, Outcomes),
     /// The outcome of a call to the advice service.
-    Advised {
-        /// The seat for which the call was made.
-        seat: Seat,
+    AdviceAnswered {
+        /// The advice channel that the call used.
+        channel: Seat,
         /// The step that asked for advice.
         step: StepKey,
         /// The workers that may run the step and how long the tickets are valid, or `None` if the
--- a/crates/hollowford-node/src/node.rs
+++ b/crates/hollowford-node/src/node.rs
@@ -66,7 +66,7 @@
     pub metrics_port: Option<u16>,
     /// Number of workers per partition, used to choose the number of partitions when the cell first
     /// starts.
-    pub workers_each: NonZeroUsize,
+    pub workers_per_partition: NonZeroUsize,
 }
 
 /// Runs a process until it receives SIGTERM.
@@ -99,7 +99,7 @@
         let addr = SocketAddr::new(addresses.peers.ip(), port);
         servers.spawn(serve(addr, MetricsEndpoint::new(shared.clone()), stopped));
     }
-    start_tasks(&shared, options.workers_each, listener, hup);
+    start_tasks(&shared, options.workers_per_partition, listener, hup);
     tokio::select! {
         _ = term.recv() => {}
         Some(ended) = servers.join_next() => {
@@ -116,7 +116,7 @@
 /// Starts the tasks that run until the process ends.
 fn start_tasks(
     shared: &Arc<Shared>,
-    workers_each: NonZeroUsize,
+    workers_per_partition: NonZeroUsize,
     listener: TcpListener,
     hup: Signal,
 ) {
@@ -124,13 +124,13 @@
     tokio::spawn(watch::read_config(shared.clone()));
     tokio::spawn(watch::follow_config(shared.clone()));
     tokio::spawn(announce::register(shared.clone()));
-    tokio::spawn(join_partitions(shared.clone(), workers_each));
+    tokio::spawn(join_partitions(shared.clone(), workers_per_partition));
     tokio::spawn(reload::follow_settings(shared.clone(), hup));
 }
 
 /// Determines the number of partitions, then joins or owns each of them.
-async fn join_partitions(shared: Arc<Shared>, workers_each: NonZeroUsize) {
-    shared.set_partitions(plan::learn(&shared, workers_each).await);
+async fn join_partitions(shared: Arc<Shared>, workers_per_partition: NonZeroUsize) {
+    shared.set_partitions(plan::learn(&shared, workers_per_partition).await);
     for partition in shared.partitions() {
         let cx = Cx { shared: shared.clone(), partition: partition.clone() };
         tokio::spawn(ownership::run(cx));
--- a/crates/hollowford-node/src/owner.rs
+++ b/crates/hollowford-node/src/owner.rs
@@ -82,7 +82,7 @@
     orders: Vec<Order>,
     decisions: DecisionLog,
     batches: Batches,
-    reach: Reach,
+    reachability: Reach,
     /// Version of the configuration that the engine uses.
     config_version: u64,
     settings: watch::Receiver<NodeSettings>,
@@ -90,7 +90,7 @@
     view_updated_at: Millis,
     /// Engine counters at the last update of the gauges.
     reported_stats: Stats,
-    giving_up: GivingUp,
+    step_down: GivingUp,
     end: Option<OwnerEnd>,
 }
 
@@ -99,13 +99,13 @@
     pub fn new(cx: Cx, state: RecoveredState, handle: OwnerHandle) -> Owner {
         let RecoveredState { info, lanes, engine, clock_offset } = state;
         let (shared, part) = (&cx.shared, cx.partition.part.clone());
-        let giving_up = GivingUp::new(shared.clone(), info.epoch);
+        let step_down = GivingUp::new(shared.clone(), info.epoch);
         let workers = shared.workers.with_fence(info.epoch);
         let delegation = Delegation::new(info.epoch, engine_time(shared, clock_offset));
         let batches = Batches::new(shared.clone(), info.clone(), part, lanes, handle.clone());
         Owner {
             members: Members::new(info.clone(), shared.partition_count()),
-            reach: Reach::new(shared.clone(), info.epoch),
+            reachability: Reach::new(shared.clone(), info.epoch),
             settings: shared.settings_changed.subscribe(),
             cx,
             info,
@@ -123,7 +123,7 @@
             config_version: 0,
             view_updated_at: Millis(0),
             reported_stats: Stats::default(),
-            giving_up,
+            step_down,
             end: None,
         }
     }
@@ -159,7 +159,7 @@
             }
         }
         self.waiters.fail_all();
-        self.giving_up.tell_ended();
+        self.step_down.tell_ended();
         self.end.unwrap_or(OwnerEnd::GaveUp)
     }
 
@@ -175,8 +175,8 @@
                     self.handle_worker_answer(outcome, now);
                 }
             }
-            OwnerMsg::Advised { seat, step, answer } => {
-                self.engine.advised(&seat, step, answer, now);
+            OwnerMsg::AdviceAnswered { channel, step, answer } => {
+                self.engine.advised(&channel, step, answer, now);
             }
             OwnerMsg::BatchFinished { batch, outcome } => {
                 self.handle_batch_outcome(batch, outcome, now)
@@ -190,7 +190,7 @@
                 let (address, age) = (&hello.address, hello.age_ms);
                 log::info!("member.joined link={link} address={address} age_ms={age}");
                 self.members.join(link, hello, outbox, self.cx.shared.clock.now());
-                self.members.greet(link, self.cx.shared.config_known());
+                self.members.greet(link, self.cx.shared.known_config());
                 self.members_changed = true;
             }
             OwnerMsg::Left(link) => {
@@ -200,7 +200,7 @@
                 self.members_changed = true;
             }
             OwnerMsg::HeartbeatReceived(link, beat) => self.handle_heartbeat(link, &beat),
-            OwnerMsg::Stop(done) => self.giving_up.stop(done),
+            OwnerMsg::Stop(done) => self.step_down.stop(done),
         }
     }
 
@@ -210,7 +210,7 @@
         let store_lost = self.batches.is_uncommitted_for(STORE_LOST_TIMEOUT, now);
         let shared = &self.cx.shared;
         let round_complete =
-            self.members.tick(shared.clock.now(), shared.config_known(), store_lost);
+            self.members.tick(shared.clock.now(), shared.known_config(), store_lost);
         let update_due = now.since(self.members_updated_at) >= MEMBER_UPDATE_INTERVAL;
         if round_complete || (self.members_changed && update_due) {
             self.members_changed = false;
@@ -222,7 +222,7 @@
 
     fn handle_heartbeat(&mut self, link: LinkId, beat: &MemberBeat) {
         let heard = self.cx.shared.clock.now();
-        self.reach.member_heard(heard);
+        self.reachability.member_heard(heard);
         self.members.beat(link, beat, heard);
         let version = self.cx.shared.config_version();
         if beat.config > version {
@@ -279,16 +279,16 @@
         self.delegation.send(now);
         self.decisions.write(&self.engine.take_notes(), now);
         self.refuse_unsent(now);
-        let last_sent = self.giving_up.since().is_some() && self.waiters.is_empty();
-        if !last_sent {
+        let all_answered = self.step_down.since().is_some() && self.waiters.is_empty();
+        if !all_answered {
             self.batches.write_next(&mut self.engine, now);
         }
         self.waiters.answer_expired(&mut self.engine, now);
-        if let Some(end) = self.reach.check(&self.batches, &self.members, now) {
+        if let Some(end) = self.reachability.check(&self.batches, &self.members, now) {
             self.end = Some(end);
         }
-        self.giving_up.check_size(&self.members);
-        let end = self.giving_up.hand_over_if_due(&self.batches, &self.waiters, &self.members);
+        self.step_down.check_size(&self.members);
+        let end = self.step_down.hand_over_if_due(&self.batches, &self.waiters, &self.members);
         if let Some(end) = end {
             self.end = Some(end);
         }
--- a/crates/hollowford-node/src/owner/caller_calls.rs
+++ b/crates/hollowford-node/src/owner/caller_calls.rs
@@ -16,7 +16,7 @@
         if call.config > self.cx.shared.config_version() {
             self.cx.shared.config_wanted.notify_one();
         }
-        if self.giving_up.since().is_some() {
+        if self.step_down.since().is_some() {
             reply.send(call.id, Said::NotOwner, 0);
             return;
         }
--- a/crates/hollowford-node/src/owner/worker_calls.rs
+++ b/crates/hollowford-node/src/owner/worker_calls.rs
@@ -48,7 +48,7 @@
     }
 
     /// Executes an order of the engine: starts a call to a worker, made by a member or by this
-    /// process, or a call for advice, made by the instance that holds the seat.
+    /// process, or a call for advice, made by the instance of its advice channel.
     pub(super) fn execute_order(&mut self, order: Order, now: Millis) {
         match order {
             Order::Worker { call, limit } => {
--- a/crates/hollowford-node/src/shared.rs
+++ b/crates/hollowford-node/src/shared.rs
@@ -191,7 +191,7 @@
     }
 
     /// Returns the longest time since any partition's owner was reached.
-    pub fn max_owner_age(&self) -> Millis {
+    pub fn max_owner_contact_age(&self) -> Millis {
         let now = self.clock.now();
         let ages = self.partitions().iter().map(|p| p.owner_age(now));
         ages.max().unwrap_or(Millis::MAX)
@@ -214,7 +214,7 @@
     }
 
     /// Returns the version and age of the configuration that this process knows.
-    pub fn config_known(&self) -> ConfigKnown {
+    pub fn known_config(&self) -> ConfigKnown {
         ConfigKnown { version: self.config_version(), age: self.config_age() }
     }
 
--- a/crates/hollowford-node/src/shared_tests.rs
+++ b/crates/hollowford-node/src/shared_tests.rs
@@ -25,13 +25,17 @@
 #[test]
 fn a_process_that_has_just_started_has_reached_no_owner() {
     let shared = shared();
-    assert_eq!(shared.max_owner_age(), Millis::MAX, "the number of partitions is not known");
+    assert_eq!(
+        shared.max_owner_contact_age(),
+        Millis::MAX,
+        "the number of partitions is not known"
+    );
     shared.set_partitions(2);
-    assert_eq!(shared.max_owner_age(), Millis::MAX);
+    assert_eq!(shared.max_owner_contact_age(), Millis::MAX);
     shared.partitions()[0].note_owner(shared.clock.now());
-    assert_eq!(shared.max_owner_age(), Millis::MAX, "one of two owners was never reached");
+    assert_eq!(shared.max_owner_contact_age(), Millis::MAX, "one of two owners was never reached");
     shared.partitions()[1].note_owner(shared.clock.now());
-    assert!(shared.max_owner_age() < Millis::MAX);
+    assert!(shared.max_owner_contact_age() < Millis::MAX);
 }
 
 // Only an outage of some length can lose changes of the previous owner. A single failed call must
--- a/crates/hollowford-node/src/suspension_tests.rs
+++ b/crates/hollowford-node/src/suspension_tests.rs
@@ -74,7 +74,7 @@
     shared.partitions()[0].note_owner(shared.clock.now());
     suspend(shift);
     assert!(shared.store_age() >= SUSPENDED);
-    assert!(shared.max_owner_age() >= SUSPENDED);
+    assert!(shared.max_owner_contact_age() >= SUSPENDED);
 }
 
 // It was paused itself, so it hears anew in place of deposing an owner that lives.
--- a/crates/hollowford/src/command/node.rs
+++ b/crates/hollowford/src/command/node.rs
@@ -44,8 +44,10 @@
         .enable_all()
         .build()
         .map_err(CliError::io("runtime"))?;
-    let options =
-        NodeOptions { metrics_port: metrics, workers_each: workers_each.unwrap_or(WORKERS_EACH) };
+    let options = NodeOptions {
+        metrics_port: metrics,
+        workers_per_partition: workers_each.unwrap_or(WORKERS_EACH),
+    };
     let run = hollowford_node::run(settings, options);
     runtime.block_on(run).map_err(|e| CliError::Run(e.to_string()))
 }
