--- a/crates/hollowford-node/src/delegation.rs
+++ b/crates/hollowford-node/src/delegation.rs
@@ -26,8 +26,8 @@
 /// Minimum number of workers for members to make the calls. With fewer workers, direct connections
 /// of the owner cost less than another hop.
 const MIN_WORKERS_TO_DELEGATE: usize = 100;
-/// Minimum number of members for delegation: the loss of a member loses its share of the calls in
-/// flight.
+/// Minimum number of members for delegation. A lost member takes its share of the calls in flight
+/// with it, so the shares must not be too large.
 const MIN_MEMBERS_TO_DELEGATE: usize = 3;
 /// Minimum time to wait for a member's report beyond the call's own time limit. It covers the round
 /// trip and some tens of milliseconds in which the member may be busy.
