--- a/crates/hollowford-node/src/mass_join_tests.rs
+++ b/crates/hollowford-node/src/mass_join_tests.rs
@@ -1,8 +1,9 @@
 //! Simulates a cell whose instances all join a new owner at once.
 //!
-//! Guards against owners that depose each other under load. Hundreds of links open while the owner
-//! claims its workers. Members that received nothing for half a second took the owner for dead, and
-//! the next owner started with the same load, until the cell happened to be quiet.
+//! Guards against live owners that depose each other under load. Hundreds of links open while the
+//! owner claims its workers. Members that received nothing for half a second took the owner for
+//! dead, the next owner started with the same load and was deposed in turn, until the cell happened
+//! to be quiet.
 #![allow(clippy::expect_used)]
 
 use crate::announce::{TOLD_AT_A_TIME, TOLD_EVERY};
@@ -29,7 +30,7 @@
 /// Workers of the partition per instance, and the CPU time to claim one.
 const WORKERS_PER_INSTANCE: i64 = 2;
 const CLAIM_US: i64 = 100;
-/// Simulated time by which all members have joined, in milliseconds.
+/// Duration after which all members have joined, in milliseconds.
 const SETTLE_MS: u64 = 8_000;
 /// Time within which the first candidates detect a silent owner, in milliseconds.
 const MAX_DETECTION_MS: u64 = 600;
@@ -48,10 +49,10 @@
 struct Follower {
     rx: Receiver<Frame>,
     outbox: Option<Outbox>,
-    hearing: Option<Hearing>,
+    detector: Option<Hearing>,
     /// `Some(false)` while a probe is unanswered, `Some(true)` once it is answered.
     probe_answered: Option<bool>,
-    beat_sent: u64,
+    heartbeat_sent_at: u64,
     /// When and why the follower left the owner.
     left: Option<(u64, Judged)>,
 }
@@ -77,9 +78,9 @@
             Follower {
                 rx,
                 outbox: Some(outbox),
-                hearing: None,
+                detector: None,
                 probe_answered: None,
-                beat_sent: 0,
+                heartbeat_sent_at: 0,
                 left: None,
             }
         };
@@ -107,15 +108,15 @@
 
     /// Opens the links of the followers that are notified of the owner in this step.
     fn open_links(&mut self) {
-        let told_every = TOLD_EVERY.as_millis() as u64;
+        let announce_interval = TOLD_EVERY.as_millis() as u64;
         let since = self.now - OWNER_START_MS - STEP_MS;
-        if !since.is_multiple_of(told_every) {
+        if !since.is_multiple_of(announce_interval) {
             return;
         }
-        let first = (since / told_every) as usize * TOLD_AT_A_TIME;
+        let first = (since / announce_interval) as usize * TOLD_AT_A_TIME;
         let end = (first + TOLD_AT_A_TIME).min(self.followers.len());
         for i in first..end {
-            self.followers[i].hearing = Some(Hearing::new(Millis(self.now)));
+            self.followers[i].detector = Some(Hearing::new(Millis(self.now)));
             self.work.push_back(OwnerWork::Join(i));
         }
     }
@@ -170,19 +171,19 @@
     fn follow(&mut self, i: usize) {
         let now = Millis(self.now);
         let f = &mut self.followers[i];
-        let Some(hearing) = f.hearing.as_mut().filter(|_| f.left.is_none()) else { return };
+        let Some(detector) = f.detector.as_mut().filter(|_| f.left.is_none()) else { return };
         while let Ok(frame) = f.rx.try_recv() {
-            hearing.note(now);
+            detector.note(now);
             f.probe_answered = None;
             if let Some(Body::Heartbeat(beat)) = frame.body {
-                hearing.set_pace(Millis(beat.every_ms));
+                detector.set_pace(Millis(beat.every_ms));
             }
         }
         // The followers' timers don't fire at the same time.
         if !(self.now + i as u64).is_multiple_of(BEAT.0) {
             return;
         }
-        match hearing.judge(now) {
+        match detector.judge(now) {
             Judged::Quiet if f.probe_answered.is_none() => {
                 f.probe_answered = Some(false);
                 self.work.push_back(OwnerWork::Probe(i));
@@ -190,8 +191,8 @@
             Judged::Silent => f.left = Some((self.now, Judged::Silent)),
             _ => {}
         }
-        if self.now - f.beat_sent >= hearing.pace().0 {
-            f.beat_sent = self.now;
+        if self.now - f.heartbeat_sent_at >= detector.pace().0 {
+            f.heartbeat_sent_at = self.now;
             self.work.push_back(OwnerWork::Beat(i));
         }
     }
--- a/crates/hollowford-node/src/owner.rs
+++ b/crates/hollowford-node/src/owner.rs
@@ -62,7 +62,7 @@
     pub clock_offset: i64,
 }
 
-/// Owner of one partition; see the module documentation.
+/// Owner of one partition. Holds the engine and everything that executes its orders.
 pub struct Owner {
     cx: Cx,
     info: OwnerInfo,
