--- a/crates/hollowford-node/src/batches.rs
+++ b/crates/hollowford-node/src/batches.rs
@@ -138,8 +138,8 @@
 
     /// Records the outcome of a batch.
     pub fn record_outcome(&mut self, batch: u64, outcome: &BatchOutcome, now: Millis) {
-        let of = |l: &Lane| l.in_flight.is_some_and(|u| u.number == batch);
-        let Some(at) = self.lanes.iter().position(of) else { return };
+        let writes_batch = |l: &Lane| l.in_flight.is_some_and(|u| u.number == batch);
+        let Some(at) = self.lanes.iter().position(writes_batch) else { return };
         let lane = &mut self.lanes[at];
         let Some(InFlightBatch { rows, started_at, .. }) = lane.in_flight.take() else { return };
         let took = now.since(started_at);
--- a/crates/hollowford-node/src/callers.rs
+++ b/crates/hollowford-node/src/callers.rs
@@ -137,7 +137,7 @@
     }
 
     /// Tells all waiting callers that this owner has lost the partition.
-    pub fn fail_all(&mut self) {
+    pub fn answer_deposed(&mut self) {
         for w in self.by_job.drain().flat_map(|(_, waiters)| waiters) {
             w.reply.send(w.id, Said::Deposed, 0);
         }
--- a/crates/hollowford-node/src/calls.rs
+++ b/crates/hollowford-node/src/calls.rs
@@ -139,13 +139,13 @@
 /// Calls the advice service from the owner's process and reports the outcome to the owner.
 pub async fn request_advice_locally(
     shared: Arc<Shared>,
-    channel: Seat,
+    advice_channel: Seat,
     step: StepKey,
     workers: Vec<String>,
     handle: OwnerHandle,
 ) {
     let answer = request_advice(&shared, &step.to_string(), &workers).await;
-    handle.send(OwnerMsg::AdviceAnswered { channel, step, answer }).await;
+    handle.send(OwnerMsg::AdviceAnswered { advice_channel, step, answer }).await;
 }
 
 /// Decodes a member's answer to a call for advice. Returns `None` if the service did not answer the
--- a/crates/hollowford-node/src/delegation.rs
+++ b/crates/hollowford-node/src/delegation.rs
@@ -104,7 +104,7 @@
     pending: FxHashMap<u64, PendingCall>,
     due: BTreeSet<(Millis, u64)>,
     /// Calls that have not been sent yet, by link.
-    frames: BTreeMap<LinkId, Delegated>,
+    unsent_frames: BTreeMap<LinkId, Delegated>,
     /// Response times of the members' reports.
     report_times: AnswerTimes,
 }
@@ -123,7 +123,7 @@
             next_call_id: 0,
             pending: FxHashMap::default(),
             due: BTreeSet::new(),
-            frames: BTreeMap::new(),
+            unsent_frames: BTreeMap::new(),
             report_times: AnswerTimes::default(),
         }
     }
@@ -146,13 +146,13 @@
     }
 
     /// Returns true if there are enough workers to delegate calls.
-    fn is_large(&self) -> bool {
+    fn has_enough_workers(&self) -> bool {
         self.zones.len() >= MIN_WORKERS_TO_DELEGATE
     }
 
     /// Returns true while calls should be held back for members that are still joining.
     pub fn awaits_members(&self, now: Millis) -> bool {
-        self.is_large()
+        self.has_enough_workers()
             && now.since(self.created_at) < MAX_JOIN_WAIT
             && (self.members.len() < MIN_MEMBERS_TO_DELEGATE
                 || now.since(self.last_joined_at) < JOIN_QUIET_TIME)
@@ -164,7 +164,7 @@
         let Some(link) = self.member_for(&call, now) else { return Some(call) };
         let id = self.next_call_id;
         self.next_call_id += 1;
-        let frame = self.frames.entry(link).or_insert_with(|| Delegated::new(self.epoch));
+        let frame = self.unsent_frames.entry(link).or_insert_with(|| Delegated::new(self.epoch));
         frame.add(id, &call, limit);
         let due = now + worker_wait(&call) + limit + self.report_grace();
         self.due.insert((due, id));
@@ -175,7 +175,7 @@
 
     /// Returns the link of the member that makes a call, or `None` if the owner makes it.
     fn member_for(&self, call: &WorkerCall, now: Millis) -> Option<LinkId> {
-        if !self.is_large() || self.members.len() < MIN_MEMBERS_TO_DELEGATE {
+        if !self.has_enough_workers() || self.members.len() < MIN_MEMBERS_TO_DELEGATE {
             return None;
         }
         let is_paused =
@@ -202,7 +202,7 @@
 
     /// Sends the calls that were assigned since the last time.
     pub fn send(&mut self, now: Millis) {
-        for (link, frame) in std::mem::take(&mut self.frames) {
+        for (link, frame) in std::mem::take(&mut self.unsent_frames) {
             let ids: Vec<u64> = frame.calls.iter().map(|c| c.id).collect();
             let member = self.members.iter().find(|m| m.link == link);
             let sent = member.is_some_and(|m| m.outbox.send(Body::Delegated(frame)));
--- a/crates/hollowford-node/src/inbox.rs
+++ b/crates/hollowford-node/src/inbox.rs
@@ -35,7 +35,7 @@
     /// The outcome of a call to the advice service.
     AdviceAnswered {
         /// The advice channel that the call used.
-        channel: Seat,
+        advice_channel: Seat,
         /// The step that asked for advice.
         step: StepKey,
         /// The workers that may run the step and how long the tickets are valid, or `None` if the
--- a/crates/hollowford-node/src/owner.rs
+++ b/crates/hollowford-node/src/owner.rs
@@ -158,7 +158,7 @@
                 reply.send(call.id, Said::NotOwner, 0);
             }
         }
-        self.waiters.fail_all();
+        self.waiters.answer_deposed();
         self.step_down.tell_ended();
         self.end.unwrap_or(OwnerEnd::GaveUp)
     }
@@ -175,8 +175,8 @@
                     self.handle_worker_answer(outcome, now);
                 }
             }
-            OwnerMsg::AdviceAnswered { channel, step, answer } => {
-                self.engine.advised(&channel, step, answer, now);
+            OwnerMsg::AdviceAnswered { advice_channel, step, answer } => {
+                self.engine.advised(&advice_channel, step, answer, now);
             }
             OwnerMsg::BatchFinished { batch, outcome } => {
                 self.handle_batch_outcome(batch, outcome, now)
@@ -278,7 +278,7 @@
         self.orders = orders;
         self.delegation.send(now);
         self.decisions.write(&self.engine.take_notes(), now);
-        self.refuse_unsent(now);
+        self.refuse_unsent_jobs(now);
         let all_answered = self.step_down.since().is_some() && self.waiters.is_empty();
         if !all_answered {
             self.batches.write_next(&mut self.engine, now);
--- a/crates/hollowford-node/src/owner/caller_calls.rs
+++ b/crates/hollowford-node/src/owner/caller_calls.rs
@@ -58,7 +58,7 @@
     }
 
     /// Refuses new jobs that wait behind a stalled batch and have not been sent to the store.
-    pub(super) fn refuse_unsent(&mut self, now: Millis) {
+    pub(super) fn refuse_unsent_jobs(&mut self, now: Millis) {
         if self.batches.is_stalled(now) {
             for job in self.engine.withdraw_unsent() {
                 self.waiters.refuse(job);
--- a/crates/hollowford-node/src/peers.rs
+++ b/crates/hollowford-node/src/peers.rs
@@ -135,9 +135,9 @@
             log::warn!("advice.malformed step={}", advice.step);
             return;
         };
-        let channel = Seat { address: self.address.clone() };
+        let advice_channel = Seat { address: self.address.clone() };
         let answer = decode_advice(advice);
-        self.owner.send(OwnerMsg::AdviceAnswered { channel, step, answer }).await;
+        self.owner.send(OwnerMsg::AdviceAnswered { advice_channel, step, answer }).await;
     }
 }
 
--- a/crates/hollowford-node/src/relay.rs
+++ b/crates/hollowford-node/src/relay.rs
@@ -93,7 +93,7 @@
         call.limit_ms = deadline.since(shared.clock.now()).0;
         let Some(rx) = send(&route.borrow_and_update(), &call) else {
             if !sent
-                && shared.is_store_away(NO_STORE)
+                && shared.is_store_unavailable(NO_STORE)
                 && p.owner_age(shared.clock.now()) >= NO_STORE
             {
                 return Relayed::NotSent;
--- a/crates/hollowford-node/src/retries.rs
+++ b/crates/hollowford-node/src/retries.rs
@@ -96,7 +96,7 @@
     }
 
     /// Returns how long to wait for answers before the next call.
-    pub fn wait(&self, store_age: Millis, now: Millis) -> Millis {
+    pub fn time_to_next_call(&self, store_age: Millis, now: Millis) -> Millis {
         let next_read_at = if self.read_in_flight {
             self.next_read_at + STORE_OUTAGE_TIMEOUT
         } else {
--- a/crates/hollowford-node/src/retries_tests.rs
+++ b/crates/hollowford-node/src/retries_tests.rs
@@ -16,7 +16,7 @@
 #[test]
 fn the_lane_row_is_read_before_a_batch_is_sent_again() {
     let retries = Retries::new(SENT, Millis(150));
-    let wait = retries.wait(JUST_NOW, SENT);
+    let wait = retries.time_to_next_call(JUST_NOW, SENT);
     assert!(!retries.attempt_is_due(JUST_NOW, SENT + wait));
 }
 
@@ -87,7 +87,7 @@
 fn a_lost_answer_of_a_fast_store_costs_less_than_a_tenth_of_a_second() {
     let after = read_delay(&answers(&[14, 28, 17, 22]));
     let mut retries = Retries::new(SENT, after);
-    let next_read_at = SENT + retries.wait(JUST_NOW, SENT);
+    let next_read_at = SENT + retries.time_to_next_call(JUST_NOW, SENT);
     retries.read_sent();
     retries.batch_not_found(Millis(12), next_read_at + Millis(12));
     let attempt = next_attempt(&retries, JUST_NOW);
--- a/crates/hollowford-node/src/shared.rs
+++ b/crates/hollowford-node/src/shared.rs
@@ -50,15 +50,15 @@
     pub stopping: AtomicBool,
     /// Number of callers' requests that are not answered yet.
     pub open_calls: AtomicUsize,
-    /// Time of the store's last answer.
+    /// Process time of the store's last answer, in milliseconds.
     store_answered_at: AtomicU64,
-    /// Time of the last failed store call.
+    /// Process time of the last failed store call, in milliseconds.
     store_failed_at: AtomicU64,
-    /// Time of the first failed store call since the last answer.
+    /// Process time of the first failed store call since the last answer, in milliseconds.
     store_failing_since: AtomicU64,
-    /// End of the last store outage, or 0 if there was none.
+    /// Process time of the end of the last store outage, in milliseconds, or 0 if there was none.
     outage_ended_at: AtomicU64,
-    /// Time at which this process last read the configuration.
+    /// Process time of the last read of the configuration, in milliseconds.
     config_read_at: AtomicU64,
     /// Changes of the list of workers sent by the owner of another partition.
     pub worker_changes: broadcast::Sender<Arc<WorkerChanges>>,
@@ -148,7 +148,7 @@
     }
 
     /// Returns true if the last store call failed and the store has not answered for `at_least`.
-    pub fn is_store_away(&self, at_least: Millis) -> bool {
+    pub fn is_store_unavailable(&self, at_least: Millis) -> bool {
         self.is_store_failing() && self.store_age() >= at_least
     }
 
--- a/crates/hollowford-node/src/writer.rs
+++ b/crates/hollowford-node/src/writer.rs
@@ -69,7 +69,7 @@
     calls.push(send_attempt(&shared, &batch_write, &tx).boxed());
     let mut retries = Retries::new(shared.clock.now(), batch_write.read_delay);
     loop {
-        let wait = retries.wait(shared.store_age(), shared.clock.now());
+        let wait = retries.time_to_next_call(shared.store_age(), shared.clock.now());
         let result = tokio::select! {
             Some(result) = calls.next() => result,
             () = sleep(wait.duration()) => {
