--- a/crates/hollowford-node/src/calls.rs
+++ b/crates/hollowford-node/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to workers and to the service for advice, each in a task of its own.
+//! Calls to workers and to the advice service, each in its own task.
 
 use crate::inbox::{OwnerHandle, OwnerMsg};
 use crate::shared::Shared;
@@ -10,59 +10,59 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Longest time for a call for advice. The slowest name a hundred workers.
+/// Timeout of a call for advice. Calls that name a hundred workers take the longest.
 const ADVICE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// A call is waited for so much longer than its time limit. It is made again meanwhile, but an
-/// answer that comes late still tells what runs and what has ended.
-const LATE: Millis = Millis(3_000);
+/// How long an answer is awaited after the call's time limit. The call is repeated in the meantime,
+/// but a late answer still says which tasks are running and which have ended.
+const LATE_ANSWER_TIMEOUT: Millis = Millis(3_000);
 
-/// When an answer has come.
+/// Whether an answer arrived within the call's time limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerAt {
-    /// Within the call's time limit; that there was none by then counts as well.
+pub enum AnswerTiming {
+    /// Within the time limit, or no answer by then.
     InTime,
-    /// After it, when it was already told that there was none.
+    /// After the time limit, when the call was already reported as unanswered.
     Late,
 }
 
-/// Calls a worker and tells what came of it: once the limit has passed that there was no answer,
-/// and the answer, if it still comes.
+/// Calls a worker and reports the outcome. If there is no answer within the limit, reports the call
+/// as unanswered, and reports the answer as well if it still arrives.
 pub async fn call_worker<F: Future<Output = ()>>(
     shared: &Shared,
     workers: &WorkerClient,
     call: &WorkerCall,
     limit: Millis,
-    tell: impl Fn(Called, AnswerAt) -> F,
+    report: impl Fn(Called, AnswerTiming) -> F,
 ) {
-    let began = shared.clock.now();
-    let waits = match call {
+    let started_at = shared.clock.now();
+    let worker_wait = match call {
         WorkerCall::Look { wait, .. } => *wait,
         _ => Millis(0),
     };
-    let mut answer = std::pin::pin!(workers.call(call, limit + LATE));
-    let in_time = timeout((waits + limit).duration(), &mut answer).await;
-    let (called, error, at) = match in_time {
-        Ok((called, error)) => (called, error, AnswerAt::InTime),
+    let mut answer = std::pin::pin!(workers.call(call, limit + LATE_ANSWER_TIMEOUT));
+    let in_time = timeout((worker_wait + limit).duration(), &mut answer).await;
+    let (called, error, timing) = match in_time {
+        Ok((called, error)) => (called, error, AnswerTiming::InTime),
         Err(_) => {
             let called = unanswered(call);
-            note(shared, &called, limit);
-            tell(called, AnswerAt::InTime).await;
+            record_metrics(shared, &called, limit);
+            report(called, AnswerTiming::InTime).await;
             let (called, error) = answer.await;
-            (called, error, AnswerAt::Late)
+            (called, error, AnswerTiming::Late)
         }
     };
     if let Some(e) = error {
         log::debug!("worker.unanswered call={} error=\"{e}\"", describe(call));
-        if at == AnswerAt::Late {
+        if timing == AnswerTiming::Late {
             return;
         }
     }
-    note(shared, &called, shared.clock.now().since(began));
-    tell(called, at).await;
+    record_metrics(shared, &called, shared.clock.now().since(started_at));
+    report(called, timing).await;
 }
 
-/// Returns what is told of a call without an answer.
+/// Returns the outcome that stands for a missing answer.
 pub fn unanswered(call: &WorkerCall) -> Called {
     match call {
         WorkerCall::Start { .. } => Called::Start(StartAnswer::Unanswered),
@@ -72,8 +72,8 @@
     }
 }
 
-/// Calls a worker from this process and tells its owner what came of it.
-pub async fn call_from_here(
+/// Calls a worker from the owner's process and reports the outcome to the owner.
+pub async fn call_worker_locally(
     shared: Arc<Shared>,
     workers: WorkerClient,
     call: WorkerCall,
@@ -81,14 +81,14 @@
     sent: Millis,
     owner: OwnerHandle,
 ) {
-    let tell = |called, at| {
-        let msg = OwnerMsg::Worker { call: call.clone(), called, sent, at };
+    let report = |called, timing| {
+        let msg = OwnerMsg::WorkerAnswer { call: call.clone(), called, sent, timing };
         owner.send(msg)
     };
-    call_worker(&shared, &workers, &call, limit, tell).await;
+    call_worker(&shared, &workers, &call, limit, report).await;
 }
 
-fn note(shared: &Shared, called: &Called, took: Millis) {
+fn record_metrics(shared: &Shared, called: &Called, took: Millis) {
     let (name, outcome) = match called {
         Called::Start(StartAnswer::Runs(_)) => {
             shared.metrics.start_seconds.observe(took.duration().as_secs_f64());
@@ -122,8 +122,13 @@
     }
 }
 
-/// Makes a call for advice from this instance.
-pub async fn advise(shared: &Shared, step: &str, workers: &[String]) -> Option<(Advised, Millis)> {
+/// Calls the advice service from this process. Returns `None` if the service isn't configured or
+/// the call fails.
+pub async fn request_advice(
+    shared: &Shared,
+    step: &str,
+    workers: &[String],
+) -> Option<(Advised, Millis)> {
     let client = shared.advice.as_ref()?;
     let answer = client.ask(step, workers, ADVICE_TIMEOUT).await;
     let outcome = if answer.is_ok() { "answered" } else { "failed" };
@@ -131,20 +136,21 @@
     answer.inspect_err(|e| log::info!("advice.failed step={step} error=\"{e}\"")).ok()
 }
 
-/// Makes a call for advice from this process and tells its owner what came of it.
-pub async fn advise_here(
+/// Calls the advice service from the owner's process and reports the outcome to the owner.
+pub async fn request_advice_locally(
     shared: Arc<Shared>,
-    seat: Seat,
+    advice_channel: Seat,
     step: StepKey,
     workers: Vec<String>,
     handle: OwnerHandle,
 ) {
-    let answer = advise(&shared, &step.to_string(), &workers).await;
-    handle.send(OwnerMsg::Advised { seat, step, answer }).await;
+    let answer = request_advice(&shared, &step.to_string(), &workers).await;
+    handle.send(OwnerMsg::AdviceAnswered { advice_channel, step, answer }).await;
 }
 
-/// Reads a member's answer to a call for advice.
-pub fn read_advice(msg: Advice) -> Option<(Advised, Millis)> {
+/// Decodes a member's answer to a call for advice. Returns `None` if the service did not answer the
+/// member.
+pub fn decode_advice(msg: Advice) -> Option<(Advised, Millis)> {
     let rows = msg.workers.iter().zip(&msg.tickets);
     let rows = rows.map(|(id, t)| (id.as_str().into(), t.as_str().into())).collect();
     msg.answered.then_some((rows, Millis(msg.validity_ms)))
--- a/crates/hollowford-node/src/owner/joining_tests.rs
+++ b/crates/hollowford-node/src/owner/joining_tests.rs
@@ -1,12 +1,13 @@
-//! What it costs an owner that hundreds of links open to it at once.
+//! Cost of many links that open or close at once.
 //!
-//! The pattern: a cell of some 600 instances in which a partition changes hands, so that every
-//! instance opens a link to the new owner within a few tenths of a second.
+//! Guards against an owner that sends every member a heartbeat each time another one joins. A
+//! partition of a cell with some 600 instances changes hands, and every instance opens a link to
+//! the new owner within a few tenths of a second.
 #![allow(clippy::expect_used)]
 
-use super::{Owner, Start};
+use super::{Owner, RecoveredState};
 use crate::inbox::{OwnerHandle, OwnerMsg};
-use crate::lane::LANES;
+use crate::lane::LANE_COUNT;
 use crate::link::Outbox;
 use crate::partition::Cx;
 use crate::shared_tests::shared;
@@ -25,16 +26,16 @@
     let cx = Cx { shared, partition };
     let info = cx.as_owner(EPOCH);
     let engine = Engine::new(EPOCH, cx.shared.settings.bounds, Millis(0));
-    let start = Start { info, lanes: [0; LANES], engine, offset: 0 };
+    let start = RecoveredState { info, lanes: [0; LANE_COUNT], engine, clock_offset: 0 };
     Owner::new(cx, start, OwnerHandle::new().0)
 }
 
-/// Has a member join, and returns what is sent to it.
+/// Lets a member join and returns the frames sent to it.
 fn join(owner: &mut Owner, link: u64) -> Receiver<Frame> {
     let (outbox, rx) = Outbox::to_test();
     let address = format!("10.0.{}.{}:7000", link / 250, link % 250);
     let hello = Hello { address, cpu_milli: 120, ..Hello::default() };
-    owner.take(OwnerMsg::Joined(link, hello, outbox));
+    owner.handle_message(OwnerMsg::Joined(link, hello, outbox));
     rx
 }
 
@@ -44,25 +45,25 @@
 }
 
 #[tokio::test]
-async fn a_link_that_opens_costs_as_much_however_many_there_are() {
+async fn opening_a_link_costs_the_same_with_any_number_of_links() {
     for instances in [147, 588, 1_176] {
         let mut owner = owner();
         let mut links: Vec<_> = (0..instances).map(|link| join(&mut owner, link)).collect();
-        let told: Vec<usize> = links.iter_mut().map(heartbeats).collect();
-        assert!(told.iter().all(|&n| n >= 1), "each is told at once who its owner is");
-        let most = told.iter().max().copied().unwrap_or(0);
-        assert!(most <= 2, "{instances} links: a member was told {most} times");
+        let received: Vec<usize> = links.iter_mut().map(heartbeats).collect();
+        assert!(received.iter().all(|&n| n >= 1), "each member gets a heartbeat at once");
+        let highest = received.iter().max().copied().unwrap_or(0);
+        assert!(highest <= 2, "{instances} links: a member got {highest} heartbeats");
     }
 }
 
 #[tokio::test]
-async fn links_that_end_together_cost_the_others_nothing() {
+async fn links_that_close_together_cause_no_extra_heartbeats() {
     let mut owner = owner();
     let mut links: Vec<_> = (0..588).map(|link| join(&mut owner, link)).collect();
     for rx in &mut links {
         heartbeats(rx);
     }
-    (0..300).for_each(|link| owner.take(OwnerMsg::Left(link)));
-    let told: usize = links[300..].iter_mut().map(heartbeats).sum();
-    assert!(told <= 288, "those that stay were told {told} times");
+    (0..300).for_each(|link| owner.handle_message(OwnerMsg::Left(link)));
+    let received: usize = links[300..].iter_mut().map(heartbeats).sum();
+    assert!(received <= 288, "the remaining members got {received} heartbeats");
 }
