--- a/crates/hollowford-node/src/lib.rs
+++ b/crates/hollowford-node/src/lib.rs
@@ -68,11 +68,11 @@
 mod shared;
 #[cfg(test)]
 mod shared_tests;
-mod succession;
-#[cfg(test)]
-mod succession_tests;
 #[cfg(test)]
 mod suspension_tests;
+mod takeover;
+#[cfg(test)]
+mod takeover_tests;
 mod watch;
 #[cfg(test)]
 mod watch_tests;
--- a/crates/hollowford-node/src/member.rs
+++ b/crates/hollowford-node/src/member.rs
@@ -7,7 +7,7 @@
 use crate::partition::{Cx, Route};
 use crate::relay::RemoteOwner;
 use crate::shared::Shared;
-use crate::succession::{BEAT, Hearing, Judged, Parted};
+use crate::takeover::{FailureDetector, HEARTBEAT_INTERVAL, LeaveReason, OwnerStatus};
 use crate::watch;
 use crate::wire::{Advice, Ask, Body, Heartbeat, Hello, MemberBeat, OwnerInfo, WhoOwns};
 use hollowford_core::Millis;
@@ -19,32 +19,32 @@
 /// Follows an owner until they part, over as many links as it takes: a link that is reset
 /// says nothing of the owner. `members` are those that take over, in their order, as an owner told
 /// last.
-pub async fn follow(cx: &Cx, info: &OwnerInfo, members: &mut Vec<String>) -> Parted {
+pub async fn follow(cx: &Cx, info: &OwnerInfo, members: &mut Vec<String>) -> LeaveReason {
     loop {
-        let parted = follow_once(cx, info, members).await;
-        if parted != Parted::Cut {
-            return parted;
+        let reason = follow_once(cx, info, members).await;
+        if reason != LeaveReason::Cut {
+            return reason;
         }
         log::info!("owner.link_cut partition={} epoch={}", info.partition, info.epoch);
     }
 }
 
-async fn follow_once(cx: &Cx, info: &OwnerInfo, members: &mut Vec<String>) -> Parted {
+async fn follow_once(cx: &Cx, info: &OwnerInfo, members: &mut Vec<String>) -> LeaveReason {
     let (mut reader, outbox) = match open(&cx.shared, info).await {
         Ok(link) => link,
-        Err(parted) => return parted,
+        Err(reason) => return reason,
     };
     let mut link = OwnerLink::new(cx, info, outbox, members);
-    let parted = link.serve(&mut reader).await;
+    let reason = link.serve(&mut reader).await;
     link.end();
-    parted
+    reason
 }
 
-async fn open(shared: &Shared, info: &OwnerInfo) -> Result<(Reader, Outbox), Parted> {
-    let Ok(addr) = info.address.parse() else { return Err(Parted::Gone) };
+async fn open(shared: &Shared, info: &OwnerInfo) -> Result<(Reader, Outbox), LeaveReason> {
+    let Ok(addr) = info.address.parse() else { return Err(LeaveReason::Gone) };
     let (reader, outbox) = link::connect(addr).await.map_err(|e| {
         let refused = matches!(e.kind(), ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset);
-        if refused { Parted::Gone } else { Parted::Silent }
+        if refused { LeaveReason::Gone } else { LeaveReason::Silent }
     })?;
     outbox.send(Body::Hello(Hello {
         address: shared.address().to_string(),
@@ -68,7 +68,7 @@
     delegated: bool,
     /// See [`follow`].
     members: &'a mut Vec<String>,
-    hearing: Hearing,
+    detector: FailureDetector,
     /// The owner is being asked whether it lives, and has answered once this is true.
     asked: Option<Arc<AtomicBool>>,
     /// When the last heartbeat was sent.
@@ -90,39 +90,39 @@
             following: false,
             delegated: false,
             members,
-            hearing: Hearing::new(cx.shared.clock.now()),
+            detector: FailureDetector::new(cx.shared.clock.now()),
             asked: None,
             sent: None,
         }
     }
 
     /// Serves the link until it has to end.
-    async fn serve(&mut self, reader: &mut Reader) -> Parted {
+    async fn serve(&mut self, reader: &mut Reader) -> LeaveReason {
         let mut newest = self.cx.partition.owner.subscribe();
-        let mut ticks = interval(BEAT.duration());
+        let mut ticks = interval(HEARTBEAT_INTERVAL.duration());
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            let parted = tokio::select! {
+            let reason = tokio::select! {
                 body = link::next(reader) => match body {
                     Some(body) => self.take_frame(body),
-                    None if self.following => Some(Parted::Cut),
-                    None => Some(Parted::Gone),
+                    None if self.following => Some(LeaveReason::Cut),
+                    None => Some(LeaveReason::Gone),
                 },
                 _ = ticks.tick() => self.tick(),
                 changed = newest.changed() => {
                     let newer = changed.is_ok() && newest.borrow().epoch > self.info.epoch;
-                    newer.then_some(Parted::Newer)
+                    newer.then_some(LeaveReason::Newer)
                 }
             };
-            if let Some(parted) = parted {
-                return parted;
+            if let Some(reason) = reason {
+                return reason;
             }
         }
     }
 
     /// Takes in what the owner says. Returns why the link ends by it, if it does.
-    fn take_frame(&mut self, body: Body) -> Option<Parted> {
-        self.hearing.note(self.cx.shared.clock.now());
+    fn take_frame(&mut self, body: Body) -> Option<LeaveReason> {
+        self.detector.record_message(self.cx.shared.clock.now());
         self.asked = None;
         match body {
             // Sent by a process that is just becoming the owner.
@@ -143,10 +143,10 @@
                 // A process that owns nothing by now has nobody who listens.
                 let _ = self.cx.shared.worker_changes.send(Arc::new(changes));
             }
-            Body::HandOver(h) => return Some(Parted::HandedOver { rev: h.rev }),
+            Body::HandOver(h) => return Some(LeaveReason::HandedOver { rev: h.rev }),
             Body::Owner(other) => {
                 let newer = self.cx.partition.note_owner_info(&other);
-                return Some(if newer { Parted::Newer } else { Parted::Gone });
+                return Some(if newer { LeaveReason::Newer } else { LeaveReason::Gone });
             }
             other => log::warn!("link.unexpected frame={other:?}"),
         }
@@ -165,7 +165,7 @@
         if self.cx.partition.probe_store.swap(lost, Ordering::Relaxed) != lost {
             self.cx.shared.config_wanted.notify_one();
         }
-        self.hearing.set_pace(Millis(beat.every_ms));
+        self.detector.set_interval(Millis(beat.every_ms));
         self.take_told(&beat);
         if !beat.members.is_empty() {
             *self.members = beat.members;
@@ -179,25 +179,25 @@
         let beat = Told {
             version: beat.config,
             age: Millis(beat.config_age_ms),
-            every: self.hearing.pace(),
+            every: self.detector.interval(),
         };
         told.note(beat, shared.config_version(), shared.clock.now());
         partition.set_config_told(told);
     }
 
     /// Tells the owner that this process is alive, unless the owner is silent itself.
-    fn tick(&mut self) -> Option<Parted> {
+    fn tick(&mut self) -> Option<LeaveReason> {
         let now = self.cx.shared.clock.now();
-        match self.hearing.judge(now) {
-            Judged::Heard => {}
-            Judged::Paused(time) => log::warn!("process.paused for_ms={}", time.0),
-            Judged::Quiet => self.ask_owner(),
-            Judged::Silent if self.has_answered() => return Some(Parted::Cut),
-            Judged::Silent => return Some(Parted::Silent),
+        match self.detector.check(now) {
+            OwnerStatus::Alive => {}
+            OwnerStatus::SelfPaused(time) => log::warn!("process.paused for_ms={}", time.0),
+            OwnerStatus::Suspected => self.ask_owner(),
+            OwnerStatus::Failed if self.has_answered() => return Some(LeaveReason::Cut),
+            OwnerStatus::Failed => return Some(LeaveReason::Silent),
         }
         // Half a tick early is in time: ticks come a little late.
-        let half = Millis(BEAT.0 / 2);
-        if self.sent.is_none_or(|at| now.since(at) + half >= self.hearing.pace()) {
+        let half = Millis(HEARTBEAT_INTERVAL.0 / 2);
+        if self.sent.is_none_or(|at| now.since(at) + half >= self.detector.interval()) {
             self.sent = Some(now);
             self.send_beat();
         }
@@ -210,7 +210,7 @@
         if self.asked.is_none() {
             let answered = Arc::new(AtomicBool::new(false));
             self.asked = Some(answered.clone());
-            let limit = self.hearing.answer_limit();
+            let limit = self.detector.probe_timeout();
             tokio::spawn(ask_whether_it_owns(self.info.clone(), limit, answered));
         }
     }
--- a/crates/hollowford-node/src/member_tests.rs
+++ b/crates/hollowford-node/src/member_tests.rs
@@ -6,7 +6,7 @@
 use crate::partition::Cx;
 use crate::peers;
 use crate::shared_tests::shared;
-use crate::succession::Parted;
+use crate::takeover::LeaveReason;
 use crate::wire::{Body, HandOver, Heartbeat, Hello, OwnerInfo};
 use std::sync::Arc;
 use std::time::Duration;
@@ -58,8 +58,8 @@
     }
     // This owner has nothing to say any more.
     drop(accept(&listener).await);
-    let (parted, members) = member.await.expect("its end");
-    assert_eq!(parted, Parted::Gone);
+    let (reason, members) = member.await.expect("its end");
+    assert_eq!(reason, LeaveReason::Gone);
     assert_eq!(members, ["a", "b"], "the order of takeover is still known");
 }
 
@@ -98,7 +98,7 @@
     // It opens another link to this owner.
     let (_reader, outbox) = accept(&listener).await;
     outbox.send(Body::HandOver(HandOver { rev: 7 }));
-    assert_eq!(member.await.expect("its end"), Parted::HandedOver { rev: 7 });
+    assert_eq!(member.await.expect("its end"), LeaveReason::HandedOver { rev: 7 });
 }
 
 /// The pattern: an owner frozen or without power, whose address takes links and says nothing.
@@ -111,6 +111,6 @@
     let member = tokio::spawn(async move { follow(&cx, &info, &mut Vec::new()).await });
     let (_silent, outbox) = accept(&listener).await;
     outbox.send(heartbeat(&["a"]));
-    let parted = timeout(PATIENCE, member).await.expect("it is missed").expect("its end");
-    assert_eq!(parted, Parted::Silent);
+    let reason = timeout(PATIENCE, member).await.expect("it is missed").expect("its end");
+    assert_eq!(reason, LeaveReason::Silent);
 }
--- a/crates/hollowford-node/src/owner_row.rs
+++ b/crates/hollowford-node/src/owner_row.rs
@@ -63,9 +63,11 @@
 
 /// Takes a partition that has never had an owner, unless another process does before its turn.
 async fn take_first(cx: &Cx) {
-    let wait = cx.standing().wait_for_first();
+    let wait = cx.candidate().first_owner_delay();
     // By then it may have come to own others.
-    if cx.is_outrun(0, wait).await || cx.is_outrun(0, cx.standing().wait_as_busy()).await {
+    if cx.is_outrun(0, wait).await
+        || cx.is_outrun(0, cx.candidate().first_owner_owned_partitions_delay()).await
+    {
         return;
     }
     // Most find that one has, and need no writing call to learn it.
--- a/crates/hollowford-node/src/ownership.rs
+++ b/crates/hollowford-node/src/ownership.rs
@@ -7,7 +7,7 @@
 use crate::owner::{Owner, OwnerEnd};
 use crate::owner_row::{RETRY, find_owner, take, unchanged_owner};
 use crate::partition::{Cx, Route};
-use crate::succession::{Changes, Parted};
+use crate::takeover::{LeaveReason, OwnerChanges};
 use crate::wire::OwnerInfo;
 use hollowford_adapter::Version;
 use std::time::Duration;
@@ -20,10 +20,10 @@
 pub async fn run(cx: Cx) {
     // Kept from one owner to the next, which may be gone before it names any.
     let mut members = Vec::new();
-    let mut changes = Changes::default();
+    let mut changes = OwnerChanges::default();
     loop {
         let info = cx.partition.owner.borrow().clone();
-        changes.note(info.epoch, cx.shared.clock.now());
+        changes.record(info.epoch, cx.shared.clock.now());
         if info.epoch == 0 || (info.boot == cx.shared.boot && cx.partition.has_given_up(info.epoch))
         {
             find_owner(&cx, info.epoch).await;
@@ -38,33 +38,33 @@
             note_owned(&cx, 0);
             continue;
         }
-        let parted = follow(&cx, &info, &mut members).await;
-        if parted != Parted::Newer {
-            log::info!("owner.parted epoch={} cause={parted:?}", info.epoch);
-            challenge(&cx, &info, parted, &members).await;
+        let reason = follow(&cx, &info, &mut members).await;
+        if reason != LeaveReason::Newer {
+            log::info!("owner.parted epoch={} cause={reason:?}", info.epoch);
+            challenge(&cx, &info, reason, &members).await;
         }
     }
 }
 
 /// Takes the partition over from an owner, unless another process does or it turns out to
 /// be alive.
-async fn challenge(cx: &Cx, info: &OwnerInfo, cause: Parted, members: &[String]) {
+async fn challenge(cx: &Cx, info: &OwnerInfo, cause: LeaveReason, members: &[String]) {
     if cx.shared.is_stopping() {
         sleep(RETRY).await;
         find_owner(cx, info.epoch).await;
         return;
     }
-    if let Parted::HandedOver { rev } = cause
+    if let LeaveReason::HandedOver { rev } = cause
         && rev > 0
     {
         return take(cx, rev, info.epoch + 1, cause.name()).await;
     }
-    let handed_over = matches!(cause, Parted::HandedOver { .. });
+    let handed_over = matches!(cause, LeaveReason::HandedOver { .. });
     if !handed_over && is_outrun(cx, info, members).await {
         return;
     }
     let Some(mut rev) = unchanged_owner(cx, info).await else { return };
-    if cause == Parted::Silent {
+    if cause == LeaveReason::Silent {
         let Some(again) = unchanged_silent_owner(cx, info, rev).await else { return };
         rev = again;
     }
@@ -75,7 +75,7 @@
 async fn is_outrun(cx: &Cx, info: &OwnerInfo, members: &[String]) -> bool {
     let me = cx.shared.address().to_string();
     let rank = members.iter().position(|m| *m == me);
-    let wait = cx.standing().wait_for_turn(rank, members.len(), info.cpu_milli);
+    let wait = cx.candidate().takeover_delay(rank, members.len(), info.cpu_milli);
     cx.is_outrun(info.epoch, wait).await
 }
 
@@ -92,10 +92,10 @@
 }
 
 /// Shows how often the partition has changed its owner lately.
-fn show_changes(cx: &Cx, changes: &Changes) {
+fn show_changes(cx: &Cx, changes: &OwnerChanges) {
     let (part, count) = (&cx.partition.part, changes.count());
     cx.shared.metrics.owner_changes.with_label_values(&[part.as_str()]).set(count as i64);
-    if changes.is_unsettled() {
+    if changes.is_flapping() {
         log::warn!("owner.unsettled partition={part} changes_in_a_minute={count}");
     }
 }
--- a/crates/hollowford-node/src/partition.rs
+++ b/crates/hollowford-node/src/partition.rs
@@ -5,7 +5,7 @@
 use crate::inbox::OwnerHandle;
 use crate::relay::RemoteOwner;
 use crate::shared::Shared;
-use crate::succession::Standing;
+use crate::takeover::Candidate;
 use crate::wire::OwnerInfo;
 use arc_swap::ArcSwap;
 use hollowford_core::Millis;
@@ -139,11 +139,11 @@
 
     /// Returns what decides how long this process leaves the partition to others. Each process
     /// begins with another partition, and comes to the next ones in turn.
-    pub fn standing(&self) -> Standing {
+    pub fn candidate(&self) -> Candidate {
         let partitions = self.shared.partition_count().max(1);
         let begins_with = preference(&self.shared.address().to_string(), 0);
         let slot = (begins_with + u64::from(self.partition.number)) % u64::from(partitions);
-        Standing {
+        Candidate {
             cpu_milli: self.shared.cpu_milli(),
             owned: self.shared.owned_count(),
             slot: slot as u32,
--- a/crates/hollowford-node/src/settling_tests.rs
+++ b/crates/hollowford-node/src/settling_tests.rs
@@ -8,7 +8,7 @@
 use crate::announce::{TOLD_AT_A_TIME, TOLD_EVERY};
 use crate::link::Outbox;
 use crate::members::{ConfigKnown, Members};
-use crate::succession::{BEAT, Hearing, Judged};
+use crate::takeover::{FailureDetector, HEARTBEAT_INTERVAL, OwnerStatus};
 use crate::wire::{Body, Frame, Hello, MemberBeat, OwnerInfo};
 use hollowford_core::Millis;
 use std::collections::VecDeque;
@@ -48,12 +48,12 @@
 struct Follower {
     rx: Receiver<Frame>,
     outbox: Option<Outbox>,
-    hearing: Option<Hearing>,
+    detector: Option<FailureDetector>,
     /// The owner is asked, and has answered once this is true.
     asked: Option<bool>,
     beat_sent: u64,
     /// When it has left the owner, and how.
-    parted: Option<(u64, Judged)>,
+    parted: Option<(u64, OwnerStatus)>,
 }
 
 struct Scene {
@@ -76,7 +76,7 @@
             Follower {
                 rx,
                 outbox: Some(outbox),
-                hearing: None,
+                detector: None,
                 asked: None,
                 beat_sent: 0,
                 parted: None,
@@ -114,7 +114,7 @@
         let first = (since / told_every) as usize * TOLD_AT_A_TIME;
         let end = (first + TOLD_AT_A_TIME).min(self.followers.len());
         for i in first..end {
-            self.followers[i].hearing = Some(Hearing::new(Millis(self.now)));
+            self.followers[i].detector = Some(FailureDetector::new(Millis(self.now)));
             self.work.push_back(Work::Join(i));
         }
     }
@@ -168,27 +168,27 @@
     fn follow(&mut self, i: usize) {
         let now = Millis(self.now);
         let f = &mut self.followers[i];
-        let Some(hearing) = f.hearing.as_mut().filter(|_| f.parted.is_none()) else { return };
+        let Some(detector) = f.detector.as_mut().filter(|_| f.parted.is_none()) else { return };
         while let Ok(frame) = f.rx.try_recv() {
-            hearing.note(now);
+            detector.record_message(now);
             f.asked = None;
             if let Some(Body::Heartbeat(beat)) = frame.body {
-                hearing.set_pace(Millis(beat.every_ms));
+                detector.set_interval(Millis(beat.every_ms));
             }
         }
         // Their timers come at times of their own.
-        if !(self.now + i as u64).is_multiple_of(BEAT.0) {
+        if !(self.now + i as u64).is_multiple_of(HEARTBEAT_INTERVAL.0) {
             return;
         }
-        match hearing.judge(now) {
-            Judged::Quiet if f.asked.is_none() => {
+        match detector.check(now) {
+            OwnerStatus::Suspected if f.asked.is_none() => {
                 f.asked = Some(false);
                 self.work.push_back(Work::Question(i));
             }
-            Judged::Silent => f.parted = Some((self.now, Judged::Silent)),
+            OwnerStatus::Failed => f.parted = Some((self.now, OwnerStatus::Failed)),
             _ => {}
         }
-        if self.now - f.beat_sent >= hearing.pace().0 {
+        if self.now - f.beat_sent >= detector.interval().0 {
             f.beat_sent = self.now;
             self.work.push_back(Work::Beat(i));
         }
--- a/crates/hollowford-node/src/suspension_tests.rs
+++ b/crates/hollowford-node/src/suspension_tests.rs
@@ -7,7 +7,7 @@
 use crate::config_told::{ConfigTold, Told};
 use crate::shared::Shared;
 use crate::shared_tests::shared;
-use crate::succession::{BEAT, Hearing, Judged};
+use crate::takeover::{FailureDetector, HEARTBEAT_INTERVAL, OwnerStatus};
 use crate::wire::ConfigRow;
 use hollowford_accounts::Credentials;
 use hollowford_adapter::{Config, Limits};
@@ -49,7 +49,7 @@
     shared.set_partitions(1);
     assert!(shared.take_config(config(), ConfigRow::default()));
     let mut told = ConfigTold::default();
-    let beat = Told { version: 1, age: Millis(0), every: BEAT };
+    let beat = Told { version: 1, age: Millis(0), every: HEARTBEAT_INTERVAL };
     told.note(beat, 1, shared.clock.now());
     shared.partitions()[0].set_config_told(told);
     assert!(shared.config_is_told());
@@ -81,8 +81,8 @@
 #[test]
 fn a_member_tells_its_own_pause_from_its_owners_silence() {
     let (shared, shift) = suspendable();
-    let mut hearing = Hearing::new(shared.clock.now());
+    let mut detector = FailureDetector::new(shared.clock.now());
     suspend(shift);
-    let judged = hearing.judge(shared.clock.now());
-    assert!(matches!(judged, Judged::Paused(time) if time >= SUSPENDED), "{judged:?}");
+    let status = detector.check(shared.clock.now());
+    assert!(matches!(status, OwnerStatus::SelfPaused(time) if time >= SUSPENDED), "{status:?}");
 }
