--- a/crates/hollowford-node/src/announce.rs
+++ b/crates/hollowford-node/src/announce.rs
@@ -1,7 +1,7 @@
 //! The list of processes in the store, and new owners that announce themselves to it.
 
 use crate::link;
-use crate::owner_row::{CALL_TIMEOUT, TABLE};
+use crate::owner_row::{STORE_CALL_TIMEOUT, SYSTEM_TABLE};
 use crate::shared::Shared;
 use crate::wire::{Body, OwnerInfo};
 use hollowford_adapter::{StoreError, Transaction};
@@ -31,7 +31,7 @@
 
 /// Tells every process that is known to the store who owns the partition.
 pub async fn announce(shared: Arc<Shared>, info: OwnerInfo) {
-    let nodes = match shared.store.read_all(TABLE, NODES, CALL_TIMEOUT).await {
+    let nodes = match shared.store.read_all(SYSTEM_TABLE, NODES, STORE_CALL_TIMEOUT).await {
         Ok(feed) => feed.rows,
         Err(e) => {
             log::info!("owner.announce failed error=\"{e}\"");
@@ -68,7 +68,7 @@
     let mut pauses = Pauses::default();
     loop {
         sleep(pauses.next(fastrand::f64())).await;
-        match shared.store.transact(TABLE, NODES, &tx, REGISTER_TIMEOUT).await {
+        match shared.store.transact(SYSTEM_TABLE, NODES, &tx, REGISTER_TIMEOUT).await {
             Ok(_) => return shared.note_store(),
             Err(StoreError::Malformed(e)) => {
                 log::error!("process.register failed error=\"{e}\"");
--- a/crates/hollowford-node/src/config_told.rs
+++ b/crates/hollowford-node/src/config_freshness.rs
@@ -8,45 +8,45 @@
 use hollowford_core::Millis;
 
 /// A heartbeat is late after two of its own times and this.
-const HEARTBEAT_SLACK: Millis = Millis(150);
+const HEARTBEAT_GRACE: Millis = Millis(150);
 /// The owner's last reading counts for so long. It reads every 0.65 s, and heartbeats come every
 /// 0.1 to 0.5 s.
-const READING_COUNTS: Millis = Millis(1_200);
+const MAX_OWNER_READ_AGE: Millis = Millis(1_200);
 /// A newer configuration has to arrive from the owner within this time.
-const ARRIVES_WITHIN: Millis = Millis(1_000);
+const NEWER_CONFIG_TIMEOUT: Millis = Millis(1_000);
 
 /// What a heartbeat says of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct ReportedConfig {
     /// Version that the owner knows.
     pub version: u64,
     /// Time since the owner read it in the store.
     pub age: Millis,
     /// Time between two heartbeats.
-    pub every: Millis,
+    pub interval: Millis,
 }
 
 /// What was told last.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ConfigTold {
-    heard: Millis,
-    every: Millis,
+pub struct ConfigFreshness {
+    last_heartbeat: Millis,
+    interval: Millis,
     /// When the owner read the configuration last.
-    read: Millis,
+    last_read: Millis,
     /// Since when the owner has known a newer one.
-    behind: Option<Millis>,
-    followed: bool,
+    behind_since: Option<Millis>,
+    has_reports: bool,
 }
 
-impl ConfigTold {
-    /// Takes in a heartbeat that came at `now`, when this process knows version `known`.
-    pub fn note(&mut self, told: Told, known: u64, now: Millis) {
-        self.followed = true;
-        self.heard = now;
-        self.every = told.every;
-        self.read = now - told.age;
-        self.behind = match self.behind {
-            _ if told.version <= known => None,
+impl ConfigFreshness {
+    /// Takes in a heartbeat that came at `now`, when this process knows version `own_version`.
+    pub fn record(&mut self, reported: ReportedConfig, own_version: u64, now: Millis) {
+        self.has_reports = true;
+        self.last_heartbeat = now;
+        self.interval = reported.interval;
+        self.last_read = now - reported.age;
+        self.behind_since = match self.behind_since {
+            _ if reported.version <= own_version => None,
             None => Some(now),
             since => since,
         };
@@ -54,17 +54,18 @@
 
     /// Tells whether the owner has told of a newer configuration that has not arrived.
     pub fn is_behind(&self) -> bool {
-        self.behind.is_some()
+        self.behind_since.is_some()
     }
 
     /// Tells whether the owner vouches at `now` for what this process knows, or is about to send
     /// what is newer.
-    pub fn is_enough(&self, now: Millis) -> bool {
-        let late = self.every + self.every + HEARTBEAT_SLACK;
-        let behind = self.behind.is_some_and(|since| now.since(since) >= ARRIVES_WITHIN);
-        self.followed
+    pub fn is_current(&self, now: Millis) -> bool {
+        let late = self.interval + self.interval + HEARTBEAT_GRACE;
+        let behind =
+            self.behind_since.is_some_and(|since| now.since(since) >= NEWER_CONFIG_TIMEOUT);
+        self.has_reports
             && !behind
-            && now.since(self.heard) < late
-            && now.since(self.read) < READING_COUNTS
+            && now.since(self.last_heartbeat) < late
+            && now.since(self.last_read) < MAX_OWNER_READ_AGE
     }
 }
--- a/crates/hollowford-node/src/lib.rs
+++ b/crates/hollowford-node/src/lib.rs
@@ -11,9 +11,9 @@
 mod batches;
 mod callers;
 mod calls;
-mod config_told;
+mod config_freshness;
 #[cfg(test)]
-mod config_told_tests;
+mod config_freshness_tests;
 mod delegate;
 mod delegate_wire;
 #[cfg(test)]
--- a/crates/hollowford-node/src/load.rs
+++ b/crates/hollowford-node/src/load.rs
@@ -2,8 +2,8 @@
 
 use crate::lane::lane_versions;
 use crate::owner::Start;
-use crate::owner_row::{OWNER_KEY, RETRY, TABLE, read_owner};
-use crate::partition::Cx;
+use crate::owner_row::{OWNER_KEY, RETRY_PAUSE, SYSTEM_TABLE, decode_owner};
+use crate::partition::PartitionContext;
 use crate::wire::OwnerInfo;
 use hollowford_adapter::Feed;
 use hollowford_core::Millis;
@@ -19,10 +19,10 @@
 const LOAD_PATIENCE: Millis = Millis(4_000);
 
 /// Reads what the store holds of the partition.
-pub async fn load(cx: &Cx, info: &OwnerInfo) -> Option<Start> {
+pub async fn load(cx: &PartitionContext, info: &OwnerInfo) -> Option<Start> {
     let began = cx.shared.clock.now();
     loop {
-        match cx.shared.store.read_all(TABLE, &cx.partition.part, LOAD_TIMEOUT).await {
+        match cx.shared.store.read_all(SYSTEM_TABLE, &cx.partition.part, LOAD_TIMEOUT).await {
             Ok(feed) => {
                 cx.shared.note_store();
                 return start_from(cx, info, feed);
@@ -32,16 +32,16 @@
         if cx.shared.clock.now().since(began) > LOAD_PATIENCE {
             return None;
         }
-        sleep(RETRY).await;
+        sleep(RETRY_PAUSE).await;
     }
 }
 
-fn start_from(cx: &Cx, info: &OwnerInfo, feed: Feed) -> Option<Start> {
+fn start_from(cx: &PartitionContext, info: &OwnerInfo, feed: Feed) -> Option<Start> {
     let owner = feed.rows.iter().find(|r| r.key == OWNER_KEY)?;
     let lanes = lane_versions(&feed.rows);
-    let holder = read_owner(owner)?.owner?;
+    let holder = decode_owner(owner)?.owner?;
     if holder != *info {
-        cx.partition.note_owner_info(&holder);
+        cx.partition.record_owner(&holder);
         return None;
     }
     let offset = feed.now.0 as i64 - cx.shared.clock.now().0 as i64;
--- a/crates/hollowford-node/src/member.rs
+++ b/crates/hollowford-node/src/member.rs
@@ -1,10 +1,10 @@
 //! A process that doesn't own the partition: its link to the owner.
 
 use crate::calls::advise;
-use crate::config_told::{ConfigTold, Told};
+use crate::config_freshness::{ConfigFreshness, ReportedConfig};
 use crate::delegate;
 use crate::link::{self, Outbox, Reader};
-use crate::partition::{Cx, Route};
+use crate::partition::{PartitionContext, Route};
 use crate::relay::RemoteOwner;
 use crate::shared::Shared;
 use crate::takeover::{FailureDetector, HEARTBEAT_INTERVAL, LeaveReason, OwnerStatus};
@@ -17,11 +17,15 @@
 use tokio::time::{MissedTickBehavior, interval};
 
 /// Follows an owner until they part, over as many links as it takes: a link that is reset
-/// says nothing of the owner. `members` are those that take over, in their order, as an owner told
+/// says nothing of the owner. `takeover_order` are those that take over, in their order, as an owner told
 /// last.
-pub async fn follow(cx: &Cx, info: &OwnerInfo, members: &mut Vec<String>) -> LeaveReason {
+pub async fn follow(
+    cx: &PartitionContext,
+    info: &OwnerInfo,
+    takeover_order: &mut Vec<String>,
+) -> LeaveReason {
     loop {
-        let reason = follow_once(cx, info, members).await;
+        let reason = follow_once(cx, info, takeover_order).await;
         if reason != LeaveReason::Cut {
             return reason;
         }
@@ -29,18 +33,25 @@
     }
 }
 
-async fn follow_once(cx: &Cx, info: &OwnerInfo, members: &mut Vec<String>) -> LeaveReason {
-    let (mut reader, outbox) = match open(&cx.shared, info).await {
+async fn follow_once(
+    cx: &PartitionContext,
+    info: &OwnerInfo,
+    takeover_order: &mut Vec<String>,
+) -> LeaveReason {
+    let (mut reader, outbox) = match open_owner_link(&cx.shared, info).await {
         Ok(link) => link,
         Err(reason) => return reason,
     };
-    let mut link = OwnerLink::new(cx, info, outbox, members);
+    let mut link = OwnerLink::new(cx, info, outbox, takeover_order);
     let reason = link.serve(&mut reader).await;
-    link.end();
+    link.close();
     reason
 }
 
-async fn open(shared: &Shared, info: &OwnerInfo) -> Result<(Reader, Outbox), LeaveReason> {
+async fn open_owner_link(
+    shared: &Shared,
+    info: &OwnerInfo,
+) -> Result<(Reader, Outbox), LeaveReason> {
     let Ok(addr) = info.address.parse() else { return Err(LeaveReason::Gone) };
     let (reader, outbox) = link::connect(addr).await.map_err(|e| {
         let refused = matches!(e.kind(), ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset);
@@ -58,41 +69,41 @@
 
 /// A member's link to its owner.
 struct OwnerLink<'a> {
-    cx: &'a Cx,
+    cx: &'a PartitionContext,
     info: &'a OwnerInfo,
     outbox: Outbox,
     remote: RemoteOwner,
     /// The owner has sent a heartbeat: callers' requests go to it.
-    following: bool,
+    joined: bool,
     /// The owner has had this process make calls to workers.
-    delegated: bool,
+    has_delegated: bool,
     /// See [`follow`].
-    members: &'a mut Vec<String>,
+    takeover_order: &'a mut Vec<String>,
     detector: FailureDetector,
     /// The owner is being asked whether it lives, and has answered once this is true.
-    asked: Option<Arc<AtomicBool>>,
+    probe: Option<Arc<AtomicBool>>,
     /// When the last heartbeat was sent.
-    sent: Option<Millis>,
+    heartbeat_sent_at: Option<Millis>,
 }
 
 impl OwnerLink<'_> {
     fn new<'a>(
-        cx: &'a Cx,
+        cx: &'a PartitionContext,
         info: &'a OwnerInfo,
         outbox: Outbox,
-        members: &'a mut Vec<String>,
+        takeover_order: &'a mut Vec<String>,
     ) -> OwnerLink<'a> {
         OwnerLink {
             cx,
             info,
             remote: RemoteOwner::new(outbox.clone()),
             outbox,
-            following: false,
-            delegated: false,
-            members,
+            joined: false,
+            has_delegated: false,
+            takeover_order,
             detector: FailureDetector::new(cx.shared.clock.now()),
-            asked: None,
-            sent: None,
+            probe: None,
+            heartbeat_sent_at: None,
         }
     }
 
@@ -104,8 +115,8 @@
         loop {
             let reason = tokio::select! {
                 body = link::next(reader) => match body {
-                    Some(body) => self.take_frame(body),
-                    None if self.following => Some(LeaveReason::Cut),
+                    Some(body) => self.handle_frame(body),
+                    None if self.joined => Some(LeaveReason::Cut),
                     None => Some(LeaveReason::Gone),
                 },
                 _ = ticks.tick() => self.tick(),
@@ -121,19 +132,23 @@
     }
 
     /// Takes in what the owner says. Returns why the link ends by it, if it does.
-    fn take_frame(&mut self, body: Body) -> Option<LeaveReason> {
+    fn handle_frame(&mut self, body: Body) -> Option<LeaveReason> {
         self.detector.record_message(self.cx.shared.clock.now());
-        self.asked = None;
+        self.probe = None;
         match body {
             // Sent by a process that is just becoming the owner.
             Body::Heartbeat(beat) if beat.epoch == 0 => {}
-            Body::Heartbeat(beat) => self.take_heartbeat(beat),
+            Body::Heartbeat(beat) => self.handle_heartbeat(beat),
             Body::Answer(answer) => self.remote.answered(answer),
             Body::Ask(ask) => {
-                tokio::spawn(answer_ask(self.cx.shared.clone(), ask, self.outbox.clone()));
+                tokio::spawn(answer_advice_request(
+                    self.cx.shared.clone(),
+                    ask,
+                    self.outbox.clone(),
+                ));
             }
             Body::Delegated(frame) => {
-                if !std::mem::replace(&mut self.delegated, true) {
+                if !std::mem::replace(&mut self.has_delegated, true) {
                     log::info!("delegate.first epoch={} calls={}", frame.epoch, frame.calls.len());
                 }
                 delegate::carry_out(&self.cx.shared, frame, &self.outbox);
@@ -145,7 +160,7 @@
             }
             Body::HandOver(h) => return Some(LeaveReason::HandedOver { rev: h.rev }),
             Body::Owner(other) => {
-                let newer = self.cx.partition.note_owner_info(&other);
+                let newer = self.cx.partition.record_owner(&other);
                 return Some(if newer { LeaveReason::Newer } else { LeaveReason::Gone });
             }
             other => log::warn!("link.unexpected frame={other:?}"),
@@ -153,36 +168,36 @@
         None
     }
 
-    fn take_heartbeat(&mut self, beat: Heartbeat) {
-        if !self.following {
-            self.following = true;
+    fn handle_heartbeat(&mut self, beat: Heartbeat) {
+        if !self.joined {
+            self.joined = true;
             let OwnerInfo { epoch, address, .. } = self.info;
             log::info!("owner.following epoch={epoch} address={address}");
             self.cx.partition.route.send_replace(Route::Remote(self.remote.clone()));
         }
-        self.cx.note_owner();
+        self.cx.record_owner_contact();
         let lost = beat.store_lost;
-        if self.cx.partition.probe_store.swap(lost, Ordering::Relaxed) != lost {
+        if self.cx.partition.store_probe_wanted.swap(lost, Ordering::Relaxed) != lost {
             self.cx.shared.config_wanted.notify_one();
         }
         self.detector.set_interval(Millis(beat.every_ms));
-        self.take_told(&beat);
+        self.record_reported_config(&beat);
         if !beat.members.is_empty() {
-            *self.members = beat.members;
+            *self.takeover_order = beat.members;
         }
     }
 
     /// Takes in what the owner knows of the configuration.
-    fn take_told(&self, beat: &Heartbeat) {
+    fn record_reported_config(&self, beat: &Heartbeat) {
         let (shared, partition) = (&self.cx.shared, &self.cx.partition);
-        let mut told = partition.config_told();
-        let beat = Told {
+        let mut freshness = partition.config_freshness();
+        let reported = ReportedConfig {
             version: beat.config,
             age: Millis(beat.config_age_ms),
-            every: self.detector.interval(),
+            interval: self.detector.interval(),
         };
-        told.note(beat, shared.config_version(), shared.clock.now());
-        partition.set_config_told(told);
+        freshness.record(reported, shared.config_version(), shared.clock.now());
+        partition.set_config_freshness(freshness);
     }
 
     /// Tells the owner that this process is alive, unless the owner is silent itself.
@@ -191,35 +206,36 @@
         match self.detector.check(now) {
             OwnerStatus::Alive => {}
             OwnerStatus::SelfPaused(time) => log::warn!("process.paused for_ms={}", time.0),
-            OwnerStatus::Suspected => self.ask_owner(),
-            OwnerStatus::Failed if self.has_answered() => return Some(LeaveReason::Cut),
+            OwnerStatus::Suspected => self.start_probe(),
+            OwnerStatus::Failed if self.probe_answered() => return Some(LeaveReason::Cut),
             OwnerStatus::Failed => return Some(LeaveReason::Silent),
         }
         // Half a tick early is in time: ticks come a little late.
         let half = Millis(HEARTBEAT_INTERVAL.0 / 2);
-        if self.sent.is_none_or(|at| now.since(at) + half >= self.detector.interval()) {
-            self.sent = Some(now);
-            self.send_beat();
+        if self.heartbeat_sent_at.is_none_or(|at| now.since(at) + half >= self.detector.interval())
+        {
+            self.heartbeat_sent_at = Some(now);
+            self.send_heartbeat();
         }
         None
     }
 
     /// Asks the owner over a new link whether it lives, once while it is quiet: this link may be
     /// dead without a sign, or the owner late with its heartbeats.
-    fn ask_owner(&mut self) {
-        if self.asked.is_none() {
+    fn start_probe(&mut self) {
+        if self.probe.is_none() {
             let answered = Arc::new(AtomicBool::new(false));
-            self.asked = Some(answered.clone());
+            self.probe = Some(answered.clone());
             let limit = self.detector.probe_timeout();
-            tokio::spawn(ask_whether_it_owns(self.info.clone(), limit, answered));
+            tokio::spawn(probe_owner(self.info.clone(), limit, answered));
         }
     }
 
-    fn has_answered(&self) -> bool {
-        self.asked.as_ref().is_some_and(|answered| answered.load(Ordering::Relaxed))
+    fn probe_answered(&self) -> bool {
+        self.probe.as_ref().is_some_and(|answered| answered.load(Ordering::Relaxed))
     }
 
-    fn send_beat(&self) {
+    fn send_heartbeat(&self) {
         self.outbox.send(Body::MemberBeat(MemberBeat {
             epoch: self.cx.partition.owner.borrow().epoch,
             store_age_ms: self.cx.shared.store_age().0,
@@ -230,17 +246,17 @@
     }
 
     /// Takes the owner off the way of callers' requests.
-    fn end(&self) {
+    fn close(&self) {
         self.cx.partition.route.send_replace(Route::None);
-        self.cx.partition.probe_store.store(false, Ordering::Relaxed);
-        self.cx.partition.set_config_told(ConfigTold::default());
+        self.cx.partition.store_probe_wanted.store(false, Ordering::Relaxed);
+        self.cx.partition.set_config_freshness(ConfigFreshness::default());
         // Whether the store answers decides what callers are told now.
         self.cx.shared.config_wanted.notify_one();
         self.remote.fail_all();
     }
 }
 
-async fn answer_ask(shared: Arc<Shared>, ask: Ask, outbox: Outbox) {
+async fn answer_advice_request(shared: Arc<Shared>, ask: Ask, outbox: Outbox) {
     let answer = advise(&shared, &ask.step, &ask.workers).await;
     let answered = answer.is_some();
     let (rows, validity) = answer.unwrap_or((Vec::new(), Millis(0)));
@@ -252,7 +268,7 @@
 
 /// Asks the process at an owner's address whether it still owns the partition, and notes it in
 /// `answered` if so.
-async fn ask_whether_it_owns(info: OwnerInfo, limit: Millis, answered: Arc<AtomicBool>) {
+async fn probe_owner(info: OwnerInfo, limit: Millis, answered: Arc<AtomicBool>) {
     let Ok(addr) = info.address.parse() else { return };
     let question = Body::WhoOwns(WhoOwns { partition: info.partition });
     if link::ask(addr, question, limit.duration()).await == Some(Body::Owner(info)) {
--- a/crates/hollowford-node/src/member_tests.rs
+++ b/crates/hollowford-node/src/member_tests.rs
@@ -3,7 +3,7 @@
 
 use crate::link::{self, Outbox, Reader};
 use crate::member::follow;
-use crate::partition::Cx;
+use crate::partition::PartitionContext;
 use crate::peers;
 use crate::shared_tests::shared;
 use crate::takeover::LeaveReason;
@@ -17,11 +17,11 @@
 /// Longest time for anything that the test waits for. Far above what it takes.
 const PATIENCE: Duration = Duration::from_secs(60);
 
-fn cx() -> Cx {
+fn cx() -> PartitionContext {
     let shared = Arc::new(shared());
     shared.set_partitions(1);
     let partition = shared.partitions()[0].clone();
-    Cx { shared, partition }
+    PartitionContext { shared, partition }
 }
 
 /// Accepts a link as the owner, whose opener says who it is.
@@ -68,9 +68,9 @@
 #[tokio::test]
 async fn a_process_that_has_given_the_partition_up_does_not_pass_for_one_that_is_about_to_own_it() {
     let cx = cx();
-    let info = cx.as_owner(EPOCH);
-    cx.partition.note_owner_info(&info);
-    cx.partition.give_up(EPOCH);
+    let info = cx.owner_info(EPOCH);
+    cx.partition.record_owner(&info);
+    cx.partition.release(EPOCH);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("its address");
     tokio::spawn(peers::accept(cx.shared.clone(), listener));
--- a/crates/hollowford-node/src/node.rs
+++ b/crates/hollowford-node/src/node.rs
@@ -3,7 +3,7 @@
 use crate::front::{Front, MetricsPage, Readiness};
 use crate::inbox::OwnerMsg;
 use crate::metrics::Metrics;
-use crate::partition::{Cx, Route};
+use crate::partition::{PartitionContext, Route};
 use crate::shared::Shared;
 use crate::{announce, ownership, peers, plan, reload, watch};
 use futures::future::join_all;
@@ -127,7 +127,7 @@
 async fn join_partitions(shared: Arc<Shared>, workers_each: NonZeroUsize) {
     shared.set_partitions(plan::learn(&shared, workers_each).await);
     for partition in shared.partitions() {
-        let cx = Cx { shared: shared.clone(), partition: partition.clone() };
+        let cx = PartitionContext { shared: shared.clone(), partition: partition.clone() };
         tokio::spawn(ownership::run(cx));
     }
     watch::read_unless_told(&shared).await;
--- a/crates/hollowford-node/src/owner.rs
+++ b/crates/hollowford-node/src/owner.rs
@@ -14,7 +14,7 @@
 use crate::lane::LANES;
 use crate::logs::DecisionLog;
 use crate::members::{LinkId, Members};
-use crate::partition::Cx;
+use crate::partition::PartitionContext;
 use crate::reach::Reach;
 use crate::registry;
 use crate::shared::Shared;
@@ -62,7 +62,7 @@
 
 /// The owner.
 pub struct Owner {
-    cx: Cx,
+    cx: PartitionContext,
     info: OwnerInfo,
     engine: Engine,
     /// The engine's time less the process's.
@@ -94,7 +94,7 @@
 
 impl Owner {
     /// Makes an owner.
-    pub fn new(cx: Cx, start: Start, handle: OwnerHandle) -> Owner {
+    pub fn new(cx: PartitionContext, start: Start, handle: OwnerHandle) -> Owner {
         let Start { info, lanes, engine, offset } = start;
         let (shared, part) = (&cx.shared, cx.partition.part.clone());
         let giving_up = GivingUp::new(shared.clone(), info.epoch);
@@ -245,7 +245,7 @@
                     by.epoch,
                     by.address
                 );
-                self.cx.partition.note_owner_info(&by);
+                self.cx.partition.record_owner(&by);
                 self.end = Some(OwnerEnd::Deposed);
             }
             Written::Refused => self.engine.batch_refused(batch),
@@ -258,7 +258,7 @@
     fn act(&mut self, heard_all: bool) {
         let now = self.now();
         self.take_config(now);
-        self.cx.note_owner();
+        self.cx.record_owner_contact();
         self.tend_members(now);
         for delivered in self.delegation.overdue(heard_all, now) {
             self.take_worker(delivered, now);
--- a/crates/hollowford-node/src/owner/joining_tests.rs
+++ b/crates/hollowford-node/src/owner/joining_tests.rs
@@ -8,7 +8,7 @@
 use crate::inbox::{OwnerHandle, OwnerMsg};
 use crate::lane::LANES;
 use crate::link::Outbox;
-use crate::partition::Cx;
+use crate::partition::PartitionContext;
 use crate::shared_tests::shared;
 use crate::wire::{Body, Frame, Hello};
 use hollowford_core::Millis;
@@ -22,8 +22,8 @@
     let shared = Arc::new(shared());
     shared.set_partitions(1);
     let partition = shared.partitions()[0].clone();
-    let cx = Cx { shared, partition };
-    let info = cx.as_owner(EPOCH);
+    let cx = PartitionContext { shared, partition };
+    let info = cx.owner_info(EPOCH);
     let engine = Engine::new(EPOCH, cx.shared.settings.bounds, Millis(0));
     let start = Start { info, lanes: [0; LANES], engine, offset: 0 };
     Owner::new(cx, start, OwnerHandle::new().0)
--- a/crates/hollowford-node/src/owner_row.rs
+++ b/crates/hollowford-node/src/owner_row.rs
@@ -2,7 +2,7 @@
 
 use crate::lane::taken_rows;
 use crate::link;
-use crate::partition::Cx;
+use crate::partition::PartitionContext;
 use crate::wire::{Body, OwnerInfo, OwnerRow, WhoOwns};
 use hollowford_adapter::{Expect, Row, StoreError, Transaction, TxOutcome, Version};
 use prost::Message;
@@ -10,19 +10,19 @@
 use tokio::time::sleep;
 
 /// Table of the system's rows.
-pub const TABLE: &str = "hollowford";
+pub const SYSTEM_TABLE: &str = "hollowford";
 /// Key of the row that names the owner.
 pub const OWNER_KEY: &str = "owner";
 /// Longest time for a call to the store that reads or writes few rows.
-pub const CALL_TIMEOUT: Duration = Duration::from_millis(800);
+pub const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(800);
 /// Longest time for the writing that takes the partition. A slow store takes 0.9 s; one that
 /// is given up may still be made, and others lose time by it.
-const TAKE_TIMEOUT: Duration = Duration::from_millis(1_500);
+const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Pause after a call that failed.
-pub const RETRY: Duration = Duration::from_millis(120);
+pub const RETRY_PAUSE: Duration = Duration::from_millis(120);
 
 /// Reads what the owner row says.
-pub fn read_owner(row: &Row) -> Option<OwnerRow> {
+pub fn decode_owner(row: &Row) -> Option<OwnerRow> {
     OwnerRow::decode(&row.value[..])
         .inspect_err(|e| log::error!("owner_row.malformed error=\"{e}\""))
         .ok()
@@ -33,50 +33,51 @@
     OwnerRow { owner: Some(owner.clone()), batch }.encode_to_vec()
 }
 
-async fn read_row(cx: &Cx) -> Result<Option<Row>, StoreError> {
-    let read = cx.shared.store.read(TABLE, &cx.partition.part, OWNER_KEY, CALL_TIMEOUT).await;
+async fn read_owner_row(cx: &PartitionContext) -> Result<Option<Row>, StoreError> {
+    let read =
+        cx.shared.store.read(SYSTEM_TABLE, &cx.partition.part, OWNER_KEY, STORE_CALL_TIMEOUT).await;
     read.map(|(row, _)| row)
 }
 
 /// Learns of an owner newer than `known`, from the store or from other processes; takes the
 /// partition when there has been none.
-pub async fn find_owner(cx: &Cx, known: u64) {
-    match read_row(cx).await {
+pub async fn find_owner(cx: &PartitionContext, known: u64) {
+    match read_owner_row(cx).await {
         Ok(Some(row)) => {
             cx.shared.note_store();
-            let owner = read_owner(&row).and_then(|r| r.owner);
-            if owner.is_none_or(|o| !cx.partition.note_owner_info(&o) && o.epoch <= known) {
-                sleep(RETRY).await;
+            let owner = decode_owner(&row).and_then(|r| r.owner);
+            if owner.is_none_or(|o| !cx.partition.record_owner(&o) && o.epoch <= known) {
+                sleep(RETRY_PAUSE).await;
             }
         }
         Ok(None) => {
             cx.shared.note_store();
-            take_first(cx).await;
+            take_unowned(cx).await;
         }
         Err(e) => {
             log::debug!("owner.find failed error=\"{e}\"");
             ask_seeds(cx).await;
-            sleep(RETRY).await;
+            sleep(RETRY_PAUSE).await;
         }
     }
 }
 
 /// Takes a partition that has never had an owner, unless another process does before its turn.
-async fn take_first(cx: &Cx) {
+async fn take_unowned(cx: &PartitionContext) {
     let wait = cx.candidate().first_owner_delay();
     // By then it may have come to own others.
-    if cx.is_outrun(0, wait).await
-        || cx.is_outrun(0, cx.candidate().first_owner_owned_partitions_delay()).await
+    if cx.newer_owner_within(0, wait).await
+        || cx.newer_owner_within(0, cx.candidate().first_owner_owned_partitions_delay()).await
     {
         return;
     }
     // Most find that one has, and need no writing call to learn it.
-    match read_row(cx).await {
-        Ok(None) => take(cx, 0, 1, "first").await,
+    match read_owner_row(cx).await {
+        Ok(None) => take_over(cx, 0, 1, "first").await,
         Ok(Some(row)) => {
-            let owner = read_owner(&row).and_then(|r| r.owner);
+            let owner = decode_owner(&row).and_then(|r| r.owner);
             if let Some(owner) = owner {
-                cx.partition.note_owner_info(&owner);
+                cx.partition.record_owner(&owner);
             }
         }
         Err(e) => log::debug!("owner.read failed error=\"{e}\""),
@@ -84,12 +85,12 @@
 }
 
 /// Asks the seeds who owns the partition.
-async fn ask_seeds(cx: &Cx) {
+async fn ask_seeds(cx: &PartitionContext) {
     for seed in cx.shared.other_seeds() {
         let question = WhoOwns { partition: cx.partition.number };
-        let answer = link::ask(seed, Body::WhoOwns(question), CALL_TIMEOUT).await;
+        let answer = link::ask(seed, Body::WhoOwns(question), STORE_CALL_TIMEOUT).await;
         if let Some(Body::Owner(info)) = answer
-            && cx.partition.note_owner_info(&info)
+            && cx.partition.record_owner(&info)
         {
             log::info!("owner.told epoch={} address={} by={seed}", info.epoch, info.address);
             return;
@@ -98,14 +99,14 @@
 }
 
 /// Returns the version of the owner row, unless it names an owner newer than `info`.
-pub async fn unchanged_owner(cx: &Cx, info: &OwnerInfo) -> Option<Version> {
-    match read_row(cx).await {
+pub async fn row_version_unless_newer(cx: &PartitionContext, info: &OwnerInfo) -> Option<Version> {
+    match read_owner_row(cx).await {
         Ok(row) => {
             cx.shared.note_store();
             let row = row?;
-            let owner = read_owner(&row)?.owner?;
+            let owner = decode_owner(&row)?.owner?;
             if owner.epoch > info.epoch {
-                cx.partition.note_owner_info(&owner);
+                cx.partition.record_owner(&owner);
                 return None;
             }
             Some(row.version)
@@ -113,7 +114,7 @@
         Err(e) => {
             log::debug!("owner.read failed error=\"{e}\"");
             ask_seeds(cx).await;
-            sleep(RETRY).await;
+            sleep(RETRY_PAUSE).await;
             None
         }
     }
@@ -121,43 +122,43 @@
 
 /// Writes this process into the owner row. A writing without an answer shows when the row
 /// is read next.
-pub async fn take(cx: &Cx, rev: Version, epoch: u64, cause: &str) {
-    let info = cx.as_owner(epoch);
+pub async fn take_over(cx: &PartitionContext, rev: Version, epoch: u64, cause: &str) {
+    let info = cx.owner_info(epoch);
     let tx = Transaction {
         expect: vec![Expect { key: OWNER_KEY.to_owned(), version: rev }],
         put: taken_rows(&info),
         remove: Vec::new(),
     };
-    match cx.shared.store.transact(TABLE, &cx.partition.part, &tx, TAKE_TIMEOUT).await {
+    match cx.shared.store.transact(SYSTEM_TABLE, &cx.partition.part, &tx, TAKEOVER_TIMEOUT).await {
         Ok(TxOutcome::Made(_)) => {
             cx.shared.note_store();
             log::info!("owner.taken partition={} epoch={epoch} cause={cause}", cx.partition.number);
             cx.shared.metrics.takeovers.with_label_values(&[cause]).inc();
-            cx.partition.note_owner_info(&info);
+            cx.partition.record_owner(&info);
         }
         Ok(TxOutcome::Conflict(rows)) => {
             cx.shared.note_store();
-            let owner = rows.iter().filter_map(read_owner).find_map(|r| r.owner);
+            let owner = rows.iter().filter_map(decode_owner).find_map(|r| r.owner);
             if let Some(owner) = owner {
-                cx.partition.note_owner_info(&owner);
+                cx.partition.record_owner(&owner);
             }
         }
         Err(e) => {
             log::info!("owner.take failed epoch={epoch} error=\"{e}\"");
-            sleep(RETRY).await;
-            find_owner_again(cx, epoch - 1).await;
+            sleep(RETRY_PAUSE).await;
+            reread_owner(cx, epoch - 1).await;
         }
     }
 }
 
 /// Reads the owner row after a writing without an answer.
-async fn find_owner_again(cx: &Cx, known: u64) {
-    match read_row(cx).await {
+async fn reread_owner(cx: &PartitionContext, known: u64) {
+    match read_owner_row(cx).await {
         Ok(row) => {
             cx.shared.note_store();
-            let owner = row.as_ref().and_then(read_owner).and_then(|r| r.owner);
+            let owner = row.as_ref().and_then(decode_owner).and_then(|r| r.owner);
             if let Some(owner) = owner.filter(|o| o.epoch > known) {
-                cx.partition.note_owner_info(&owner);
+                cx.partition.record_owner(&owner);
             }
         }
         Err(e) => log::debug!("owner.read failed error=\"{e}\""),
--- a/crates/hollowford-node/src/partition.rs
+++ b/crates/hollowford-node/src/partition.rs
@@ -1,6 +1,6 @@
 //! What a process knows of one partition: who owns it, and how the owner is reached.
 
-use crate::config_told::ConfigTold;
+use crate::config_freshness::ConfigFreshness;
 use crate::homes::preference;
 use crate::inbox::OwnerHandle;
 use crate::relay::RemoteOwner;
@@ -40,13 +40,13 @@
     /// How the owner is reached.
     pub route: watch::Sender<Route>,
     /// The newest epoch in which this process has owned it and no longer does; 0: none.
-    given_up: AtomicU64,
+    released_epoch: AtomicU64,
     /// The owner wants to know whether the store answers this process.
-    pub probe_store: AtomicBool,
+    pub store_probe_wanted: AtomicBool,
     /// Reading of the clock when the owner was last within reach.
-    owner_heard: AtomicU64,
+    last_owner_contact: AtomicU64,
     /// What the owner tells of the configuration.
-    config_told: ArcSwap<ConfigTold>,
+    config_freshness: ArcSwap<ConfigFreshness>,
 }
 
 impl Partition {
@@ -57,25 +57,25 @@
             part: number.to_string(),
             owner: watch::Sender::new(OwnerInfo::default()),
             route: watch::Sender::new(Route::None),
-            given_up: AtomicU64::new(0),
-            probe_store: AtomicBool::new(false),
-            owner_heard: AtomicU64::new(NEVER),
-            config_told: ArcSwap::default(),
+            released_epoch: AtomicU64::new(0),
+            store_probe_wanted: AtomicBool::new(false),
+            last_owner_contact: AtomicU64::new(NEVER),
+            config_freshness: ArcSwap::default(),
         }
     }
 
     /// Returns what the owner's heartbeats have told of the configuration.
-    pub fn config_told(&self) -> ConfigTold {
-        **self.config_told.load()
+    pub fn config_freshness(&self) -> ConfigFreshness {
+        **self.config_freshness.load()
     }
 
     /// Sets what they have told; only the task that follows the owner does.
-    pub fn set_config_told(&self, told: ConfigTold) {
-        self.config_told.store(Arc::new(told));
+    pub fn set_config_freshness(&self, told: ConfigFreshness) {
+        self.config_freshness.store(Arc::new(told));
     }
 
     /// Takes note of an owner, if it is newer than the one that is known.
-    pub fn note_owner_info(&self, info: &OwnerInfo) -> bool {
+    pub fn record_owner(&self, info: &OwnerInfo) -> bool {
         self.owner.send_if_modified(|known| {
             let newer = info.epoch > known.epoch;
             if newer {
@@ -86,14 +86,14 @@
     }
 
     /// Takes note that this process doesn't own the partition at `epoch` any more.
-    pub fn give_up(&self, epoch: u64) {
-        self.given_up.fetch_max(epoch, Ordering::Relaxed);
+    pub fn release(&self, epoch: u64) {
+        self.released_epoch.fetch_max(epoch, Ordering::Relaxed);
     }
 
     /// Tells whether this process has owned the partition at `epoch` or later, and doesn't any
     /// more.
-    pub fn has_given_up(&self, epoch: u64) -> bool {
-        epoch <= self.given_up.load(Ordering::Relaxed)
+    pub fn has_released(&self, epoch: u64) -> bool {
+        epoch <= self.released_epoch.load(Ordering::Relaxed)
     }
 
     /// Tells whether this process owns the partition.
@@ -102,13 +102,13 @@
     }
 
     /// Takes note that the owner was within reach at `now`.
-    pub fn note_owner(&self, now: Millis) {
-        self.owner_heard.store(now.0.max(NEVER + 1), Ordering::Relaxed);
+    pub fn record_owner_contact(&self, now: Millis) {
+        self.last_owner_contact.store(now.0.max(NEVER + 1), Ordering::Relaxed);
     }
 
     /// Returns the time since the owner was within reach; the longest if it never was.
-    pub fn owner_age(&self, now: Millis) -> Millis {
-        match self.owner_heard.load(Ordering::Relaxed) {
+    pub fn owner_contact_age(&self, now: Millis) -> Millis {
+        match self.last_owner_contact.load(Ordering::Relaxed) {
             NEVER => Millis::MAX,
             heard => now.since(Millis(heard)),
         }
@@ -117,21 +117,21 @@
 
 /// One partition, as a duty of the process sees it.
 #[derive(Clone, Debug)]
-pub struct Cx {
+pub struct PartitionContext {
     /// What all duties of the process share.
     pub shared: Arc<Shared>,
     /// The partition.
     pub partition: Arc<Partition>,
 }
 
-impl Cx {
+impl PartitionContext {
     /// Takes note that the owner was within reach.
-    pub fn note_owner(&self) {
-        self.partition.note_owner(self.shared.clock.now());
+    pub fn record_owner_contact(&self) {
+        self.partition.record_owner_contact(self.shared.clock.now());
     }
 
     /// Waits so long for an owner newer than `epoch`. Tells whether there is one.
-    pub async fn is_outrun(&self, epoch: u64, within: Millis) -> bool {
+    pub async fn newer_owner_within(&self, epoch: u64, within: Millis) -> bool {
         let mut newest = self.partition.owner.subscribe();
         let newer = newest.wait_for(|o| o.epoch > epoch);
         timeout(within.duration(), newer).await.is_ok()
@@ -151,7 +151,7 @@
     }
 
     /// Returns what this process is as an owner at `epoch`.
-    pub fn as_owner(&self, epoch: u64) -> OwnerInfo {
+    pub fn owner_info(&self, epoch: u64) -> OwnerInfo {
         OwnerInfo {
             epoch,
             address: self.shared.address().to_string(),
--- a/crates/hollowford-node/src/peers.rs
+++ b/crates/hollowford-node/src/peers.rs
@@ -47,7 +47,7 @@
         Body::Hello(hello) => serve_member(&shared, hello, reader, outbox).await,
         Body::Owner(info) => {
             let partition = partition_of(&shared, &info);
-            if partition.is_some_and(|p| p.note_owner_info(&info)) {
+            if partition.is_some_and(|p| p.record_owner(&info)) {
                 log::info!(
                     "owner.announced partition={} epoch={} address={}",
                     info.partition,
@@ -73,7 +73,7 @@
 /// doesn't name itself.
 fn owner_to_tell(shared: &Shared, partition: &Partition) -> OwnerInfo {
     let info = partition.owner.borrow().clone();
-    let given_up = info.boot == shared.boot && partition.has_given_up(info.epoch);
+    let given_up = info.boot == shared.boot && partition.has_released(info.epoch);
     if given_up { OwnerInfo::default() } else { info }
 }
 
@@ -95,7 +95,7 @@
     let member = MemberLink { owner, link, address, outbox };
     while !member.owner.is_closed() {
         let Ok(Some(body)) = timeout(MEMBER_SILENT, link::next(&mut reader)).await else { break };
-        member.take_frame(body).await;
+        member.handle_frame(body).await;
     }
     // The link ends with its last sender; the owner drops its own on hearing this.
     member.owner.send(OwnerMsg::Left(link)).await;
@@ -117,7 +117,7 @@
 
 impl MemberLink {
     /// Hands on what the member says.
-    async fn take_frame(&self, body: Body) {
+    async fn handle_frame(&self, body: Body) {
         match body {
             Body::Call(call) => self.owner.call_from(call, &self.outbox),
             Body::MemberBeat(beat) => self.owner.send(OwnerMsg::Beat(self.link, beat)).await,
@@ -156,7 +156,7 @@
         let known = partition.owner.borrow().clone();
         let superseded = known.boot != shared.boot && known.epoch >= meant.epoch;
         let waited = shared.clock.now().since(began).duration();
-        let was_owner = partition.has_given_up(meant.epoch);
+        let was_owner = partition.has_released(meant.epoch);
         if meant.boot != shared.boot || was_owner || superseded || waited >= OWNER_STARTS {
             return None;
         }
--- a/crates/hollowford-node/src/plan.rs
+++ b/crates/hollowford-node/src/plan.rs
@@ -3,7 +3,7 @@
 
 use crate::homes::count_partitions;
 use crate::link;
-use crate::owner_row::{CALL_TIMEOUT, RETRY, TABLE};
+use crate::owner_row::{RETRY_PAUSE, STORE_CALL_TIMEOUT, SYSTEM_TABLE};
 use crate::shared::Shared;
 use crate::wire::{Body, Plan, WhatPlan};
 use hollowford_adapter::{
@@ -60,7 +60,7 @@
                 if let Some(partitions) = ask_seeds(shared).await {
                     return partitions;
                 }
-                sleep(RETRY).await;
+                sleep(RETRY_PAUSE).await;
             }
         }
     }
@@ -102,7 +102,7 @@
         shared: &Shared,
         workers_each: NonZeroUsize,
     ) -> Result<Option<u32>, StoreError> {
-        let rows = shared.store.read_all(TABLE, PART, CALL_TIMEOUT).await?.rows;
+        let rows = shared.store.read_all(SYSTEM_TABLE, PART, STORE_CALL_TIMEOUT).await?.rows;
         shared.note_store();
         if let Some(row) = rows.iter().find(|r| r.key == PLAN_KEY) {
             return Ok(decode(row));
@@ -117,7 +117,7 @@
             put: vec![(PLAN_KEY.to_owned(), Plan { partitions }.encode_to_vec())],
             remove: Vec::new(),
         };
-        match shared.store.transact(TABLE, PART, &tx, CALL_TIMEOUT).await? {
+        match shared.store.transact(SYSTEM_TABLE, PART, &tx, STORE_CALL_TIMEOUT).await? {
             TxOutcome::Made(_) => {
                 log::info!("plan.made partitions={partitions} workers={workers}");
                 Ok(Some(partitions))
@@ -140,7 +140,7 @@
             put: vec![(COUNTING_KEY.to_owned(), own.to_vec())],
             remove: Vec::new(),
         };
-        let outcome = shared.store.transact(TABLE, PART, &tx, CALL_TIMEOUT).await?;
+        let outcome = shared.store.transact(SYSTEM_TABLE, PART, &tx, STORE_CALL_TIMEOUT).await?;
         Ok(matches!(outcome, TxOutcome::Made(_)))
     }
 
@@ -168,7 +168,7 @@
 async fn read_workers(shared: &Shared, began: Millis) -> Result<Vec<WorkerListing>, StoreError> {
     let (mut count, mut since) = (0, shared.clock.now());
     loop {
-        let feed = shared.store.read_all(REGISTRY_TABLE, "", CALL_TIMEOUT).await?;
+        let feed = shared.store.read_all(REGISTRY_TABLE, "", STORE_CALL_TIMEOUT).await?;
         let now = shared.clock.now();
         if feed.rows.len() != count {
             (count, since) = (feed.rows.len(), now);
@@ -200,7 +200,7 @@
 /// Asks the seeds, for a process that starts while the store is away.
 async fn ask_seeds(shared: &Shared) -> Option<u32> {
     for seed in shared.other_seeds() {
-        let answer = link::ask(seed, Body::WhatPlan(WhatPlan {}), CALL_TIMEOUT).await;
+        let answer = link::ask(seed, Body::WhatPlan(WhatPlan {}), STORE_CALL_TIMEOUT).await;
         if let Some(Body::Plan(plan)) = answer
             && plan.partitions > 0
         {
--- a/crates/hollowford-node/src/plan_tests.rs
+++ b/crates/hollowford-node/src/plan_tests.rs
@@ -1,7 +1,7 @@
 //! A cell that starts for the first time: many processes, and one has to count the workers.
 #![allow(clippy::expect_used)]
 
-use crate::owner_row::TABLE;
+use crate::owner_row::SYSTEM_TABLE;
 use crate::plan::{Learning, PART, Turn, WORKERS_EACH, learn};
 use crate::shared_tests::shared_with;
 use futures::future::join_all;
@@ -43,7 +43,7 @@
         put: vec![("counting".to_owned(), gone.boot.to_be_bytes().to_vec())],
         remove: Vec::new(),
     };
-    gone.store.transact(TABLE, PART, &tx, TIMEOUT).await.expect("an answer");
+    gone.store.transact(SYSTEM_TABLE, PART, &tx, TIMEOUT).await.expect("an answer");
     assert_eq!(learn_as_many(&platform, 2).await, [1; 2]);
 }
 
--- a/crates/hollowford-node/src/registry.rs
+++ b/crates/hollowford-node/src/registry.rs
@@ -2,7 +2,7 @@
 
 use crate::homes::home_of_worker;
 use crate::inbox::{OwnerHandle, OwnerMsg};
-use crate::partition::Cx;
+use crate::partition::PartitionContext;
 use crate::shared::Shared;
 use crate::worker_changes::{READER, WorkerChanges, WorkerRow};
 use hollowford_adapter::{REGISTRY_TABLE, Row, StoreError, Version, decode_listing};
@@ -67,7 +67,7 @@
 
 /// Follows the list until the owner ends.
 /// The owner is told of its own partition's workers only.
-pub async fn follow(cx: Cx, owner: OwnerHandle) {
+pub async fn follow(cx: PartitionContext, owner: OwnerHandle) {
     let shared = &cx.shared;
     let mut told = shared.worker_changes.subscribe();
     let mut list = Registry::new(shared.clock.now());
@@ -99,7 +99,7 @@
 }
 
 /// Tells the owners of other partitions what a reading has changed, if this one reads for all.
-async fn tell(cx: &Cx, owner: &OwnerHandle, changes: WorkerChanges) {
+async fn tell(cx: &PartitionContext, owner: &OwnerHandle, changes: WorkerChanges) {
     if cx.partition.number != READER || cx.shared.partition_count() < 2 || !changes.can_be_told() {
         return;
     }
@@ -133,7 +133,11 @@
 
     /// Waits for what the owner that reads for all tells; none when the list is to be read here. Tells
     /// whether something changed.
-    async fn wait(&mut self, cx: &Cx, told: &mut Receiver<Arc<WorkerChanges>>) -> Option<bool> {
+    async fn wait(
+        &mut self,
+        cx: &PartitionContext,
+        told: &mut Receiver<Arc<WorkerChanges>>,
+    ) -> Option<bool> {
         if self.version == 0 {
             // A new owner waits for its first list.
             return None;
--- a/crates/hollowford-node/src/relay.rs
+++ b/crates/hollowford-node/src/relay.rs
@@ -92,7 +92,10 @@
         }
         call.limit_ms = deadline.since(shared.clock.now()).0;
         let Some(rx) = send(&route.borrow_and_update(), &call) else {
-            if !sent && shared.store_away(NO_STORE) && p.owner_age(shared.clock.now()) >= NO_STORE {
+            if !sent
+                && shared.store_away(NO_STORE)
+                && p.owner_contact_age(shared.clock.now()) >= NO_STORE
+            {
                 return Relayed::NotSent;
             }
             next_owner(&mut route, left.min(NO_STORE)).await;
--- a/crates/hollowford-node/src/shared.rs
+++ b/crates/hollowford-node/src/shared.rs
@@ -193,7 +193,7 @@
     /// Returns the longest time that the owner of a partition was not within reach.
     pub fn owners_age(&self) -> Millis {
         let now = self.clock.now();
-        let ages = self.partitions().iter().map(|p| p.owner_age(now));
+        let ages = self.partitions().iter().map(|p| p.owner_contact_age(now));
         ages.max().unwrap_or(Millis::MAX)
     }
 
@@ -224,12 +224,12 @@
         let now = self.clock.now();
         self.config_version() > 0
             && self.owned_count() == 0
-            && self.partitions().iter().any(|p| p.config_told().is_enough(now))
+            && self.partitions().iter().any(|p| p.config_freshness().is_current(now))
     }
 
     /// Tells whether this process knows that there is a newer configuration than its own.
     pub fn config_is_behind(&self) -> bool {
-        self.partitions().iter().any(|p| p.config_told().is_behind())
+        self.partitions().iter().any(|p| p.config_freshness().is_behind())
     }
 
     /// Tells whether a row of the configuration is newer than what was read before.
--- a/crates/hollowford-node/src/shared_tests.rs
+++ b/crates/hollowford-node/src/shared_tests.rs
@@ -28,9 +28,9 @@
     assert_eq!(shared.owners_age(), Millis::MAX, "the plan is not known");
     shared.set_partitions(2);
     assert_eq!(shared.owners_age(), Millis::MAX);
-    shared.partitions()[0].note_owner(shared.clock.now());
+    shared.partitions()[0].record_owner_contact(shared.clock.now());
     assert_eq!(shared.owners_age(), Millis::MAX, "one of two owners was never reached");
-    shared.partitions()[1].note_owner(shared.clock.now());
+    shared.partitions()[1].record_owner_contact(shared.clock.now());
     assert!(shared.owners_age() < Millis::MAX);
 }
 
--- a/crates/hollowford-node/src/suspension_tests.rs
+++ b/crates/hollowford-node/src/suspension_tests.rs
@@ -4,7 +4,7 @@
 //! own clock counts one can't be shown here.
 
 use crate::access::VOUCHES_FOR;
-use crate::config_told::{ConfigTold, Told};
+use crate::config_freshness::{ConfigFreshness, ReportedConfig};
 use crate::shared::Shared;
 use crate::shared_tests::shared;
 use crate::takeover::{FailureDetector, HEARTBEAT_INTERVAL, OwnerStatus};
@@ -48,10 +48,10 @@
     let (shared, shift) = suspendable();
     shared.set_partitions(1);
     assert!(shared.take_config(config(), ConfigRow::default()));
-    let mut told = ConfigTold::default();
-    let beat = Told { version: 1, age: Millis(0), every: HEARTBEAT_INTERVAL };
-    told.note(beat, 1, shared.clock.now());
-    shared.partitions()[0].set_config_told(told);
+    let mut freshness = ConfigFreshness::default();
+    let reported = ReportedConfig { version: 1, age: Millis(0), interval: HEARTBEAT_INTERVAL };
+    freshness.record(reported, 1, shared.clock.now());
+    shared.partitions()[0].set_config_freshness(freshness);
     assert!(shared.config_is_told());
     suspend(shift);
     assert!(!shared.config_is_told());
@@ -71,7 +71,7 @@
     let (shared, shift) = suspendable();
     shared.set_partitions(1);
     shared.note_store();
-    shared.partitions()[0].note_owner(shared.clock.now());
+    shared.partitions()[0].record_owner_contact(shared.clock.now());
     suspend(shift);
     assert!(shared.store_age() >= SUSPENDED);
     assert!(shared.owners_age() >= SUSPENDED);
--- a/crates/hollowford-node/src/watch.rs
+++ b/crates/hollowford-node/src/watch.rs
@@ -1,7 +1,7 @@
 //! Keeps the configuration up to date: by the store's feed, and by reading it besides, since
 //! the feed may go silent. A member whose owner vouches for what it knows does neither.
 
-use crate::owner_row::{OWNER_KEY, TABLE};
+use crate::owner_row::{OWNER_KEY, SYSTEM_TABLE};
 use crate::packed::{pack, unpack};
 use crate::shared::Shared;
 use crate::wire::ConfigRow;
@@ -82,7 +82,9 @@
 /// answers: a store that was away doesn't have to send all members a large one as it returns.
 async fn ask(shared: &Shared, probe: bool) -> Result<(), StoreError> {
     match shared.partitions().first().filter(|_| probe) {
-        Some(p) => shared.store.read(TABLE, &p.part, OWNER_KEY, READ_TIMEOUT).await.map(drop),
+        Some(p) => {
+            shared.store.read(SYSTEM_TABLE, &p.part, OWNER_KEY, READ_TIMEOUT).await.map(drop)
+        }
         None => read_once(shared).await,
     }
 }
@@ -116,7 +118,7 @@
 
 /// Tells whether an owner wants to know whether the store answers this process.
 fn is_probed(shared: &Shared) -> bool {
-    shared.partitions().iter().any(|p| p.probe_store.load(Ordering::Relaxed))
+    shared.partitions().iter().any(|p| p.store_probe_wanted.load(Ordering::Relaxed))
 }
 
 /// Returns how long to wait before the next look at what is due.
--- a/crates/hollowford-node/src/writer.rs
+++ b/crates/hollowford-node/src/writer.rs
@@ -1,7 +1,7 @@
 //! Writes batches to the store, each exactly once.
 
 use crate::lane::lane_key;
-use crate::owner_row::{TABLE, encode_owner, read_owner};
+use crate::owner_row::{SYSTEM_TABLE, decode_owner, encode_owner};
 use crate::retries::Retries;
 use crate::shared::Shared;
 use crate::wire::OwnerInfo;
@@ -126,7 +126,7 @@
 /// Sends one copy.
 async fn copy(shared: &Shared, writing: &Writing, tx: &Transaction) -> Heard {
     let began = shared.clock.now();
-    let answer = shared.store.transact(TABLE, &writing.part, tx, COPY_TIMEOUT).await;
+    let answer = shared.store.transact(SYSTEM_TABLE, &writing.part, tx, COPY_TIMEOUT).await;
     Heard::Copy(answer, shared.clock.now().since(began))
 }
 
@@ -134,7 +134,7 @@
 async fn reading(shared: &Shared, writing: &Writing) -> Heard {
     let began = shared.clock.now();
     let key = lane_key(writing.lane);
-    let answer = shared.store.read(TABLE, &writing.part, &key, READ_TIMEOUT).await;
+    let answer = shared.store.read(SYSTEM_TABLE, &writing.part, &key, READ_TIMEOUT).await;
     Heard::Reading(answer.map(|(row, _)| row), shared.clock.now().since(began))
 }
 
@@ -155,7 +155,7 @@
 fn settle(shared: &Shared, writing: &Writing, rows: &[Row]) -> Written {
     let (number, key) = (writing.batch.number, lane_key(writing.lane));
     let row = rows.iter().find(|r| r.key == key);
-    let Some((found, version)) = row.and_then(|r| Some((read_owner(r)?, r.version))) else {
+    let Some((found, version)) = row.and_then(|r| Some((decode_owner(r)?, r.version))) else {
         log::error!("batch.conflict batch={number} row={key} missing");
         return Written::Inconsistent;
     };
--- a/crates/hollowford-node/src/writer_tests.rs
+++ b/crates/hollowford-node/src/writer_tests.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::expect_used)]
 
 use crate::lane::{LANES, lane_versions, taken_rows};
-use crate::owner_row::TABLE;
+use crate::owner_row::SYSTEM_TABLE;
 use crate::shared::Shared;
 use crate::shared_tests::shared_with;
 use crate::wire::OwnerInfo;
@@ -37,13 +37,13 @@
     }
 
     async fn transact(&self, tx: &Transaction) -> TxOutcome {
-        let made = self.shared.store.transact(TABLE, PART, tx, TIMEOUT).await;
+        let made = self.shared.store.transact(SYSTEM_TABLE, PART, tx, TIMEOUT).await;
         made.expect("an answer")
     }
 
     /// Reads all rows, and the version of each lane's row.
     async fn read(&self) -> (BTreeMap<String, Vec<u8>>, [Version; LANES]) {
-        let feed = self.shared.store.read_all(TABLE, PART, TIMEOUT).await.expect("rows");
+        let feed = self.shared.store.read_all(SYSTEM_TABLE, PART, TIMEOUT).await.expect("rows");
         let lanes = lane_versions(&feed.rows);
         (feed.rows.into_iter().map(|r| (r.key, r.value)).collect(), lanes)
     }
