--- a/crates/hollowford-node/src/announce.rs
+++ b/crates/hollowford-node/src/announce.rs
@@ -11,27 +11,27 @@
 use tokio::time::{sleep, timeout};
 
 /// So many processes are told at a time,
-pub(crate) const TOLD_AT_A_TIME: usize = 32;
+pub(crate) const ANNOUNCE_CHUNK_SIZE: usize = 32;
 /// and then the next ones after this time: each opens a link to the new owner at once, which has
 /// other work to do as well, and no room for hundreds of them that come together.
-pub(crate) const TOLD_EVERY: Duration = Duration::from_millis(16);
+pub(crate) const ANNOUNCE_CHUNK_INTERVAL: Duration = Duration::from_millis(16);
 /// A process enters itself into the list at some time within this one of its start. Nothing waits for
 /// that, and the store makes the writings of a part one after the other: hundreds of processes that
 /// start at once would keep it full, and each that is refused, or waits there for longer than it
 /// listens for the answer, would ask again.
-const REGISTER_WITHIN: Duration = Duration::from_millis(2_000);
+const INITIAL_REGISTER_SPREAD: Duration = Duration::from_millis(2_000);
 /// One that was refused tries again within twice the time, and so on up to this one.
-const REGISTER_WITHIN_MOST: Duration = Duration::from_millis(16_000);
+const MAX_REGISTER_SPREAD: Duration = Duration::from_millis(16_000);
 /// Longest time for that call: more than the second that the store lets writings wait.
 const REGISTER_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// Part of the table with a row for each process.
-const NODES: &str = "nodes";
+const NODES_PART: &str = "nodes";
 /// How long an announcement may take.
-const ANNOUNCE: Duration = Duration::from_millis(800);
+const ANNOUNCE_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Tells every process that is known to the store who owns the partition.
 pub async fn announce(shared: Arc<Shared>, info: OwnerInfo) {
-    let nodes = match shared.store.read_all(SYSTEM_TABLE, NODES, STORE_CALL_TIMEOUT).await {
+    let nodes = match shared.store.read_all(SYSTEM_TABLE, NODES_PART, STORE_CALL_TIMEOUT).await {
         Ok(feed) => feed.rows,
         Err(e) => {
             log::info!("owner.announce failed error=\"{e}\"");
@@ -40,20 +40,20 @@
     };
     let addresses = nodes.iter().filter_map(|r| r.key.parse::<SocketAddr>().ok());
     let others: Vec<_> = addresses.filter(|&a| a != shared.address()).collect();
-    for some in others.chunks(TOLD_AT_A_TIME) {
-        for &addr in some {
-            tokio::spawn(tell(addr, info.clone()));
+    for chunk in others.chunks(ANNOUNCE_CHUNK_SIZE) {
+        for &addr in chunk {
+            tokio::spawn(announce_to(addr, info.clone()));
         }
-        sleep(TOLD_EVERY).await;
+        sleep(ANNOUNCE_CHUNK_INTERVAL).await;
     }
 }
 
 /// Tells the process at an address who owns the partition.
-async fn tell(addr: SocketAddr, info: OwnerInfo) {
+async fn announce_to(addr: SocketAddr, info: OwnerInfo) {
     if let Ok((mut reader, outbox)) = link::connect(addr).await {
         outbox.send(Body::Owner(info));
         // The other side closes the link once it has read the announcement.
-        let _ = timeout(ANNOUNCE, link::next(&mut reader)).await;
+        let _ = timeout(ANNOUNCE_TIMEOUT, link::read_frame(&mut reader)).await;
     }
 }
 
@@ -65,10 +65,10 @@
         put: vec![(key, shared.boot.to_be_bytes().to_vec())],
         remove: Vec::new(),
     };
-    let mut pauses = Pauses::default();
+    let mut pauses = RegisterPauses::default();
     loop {
         sleep(pauses.next(fastrand::f64())).await;
-        match shared.store.transact(SYSTEM_TABLE, NODES, &tx, REGISTER_TIMEOUT).await {
+        match shared.store.transact(SYSTEM_TABLE, NODES_PART, &tx, REGISTER_TIMEOUT).await {
             Ok(_) => return shared.note_store(),
             Err(StoreError::Malformed(e)) => {
                 log::error!("process.register failed error=\"{e}\"");
@@ -81,21 +81,21 @@
 
 /// The pauses before the tries of a process to enter itself into the list.
 #[derive(Debug)]
-pub(crate) struct Pauses {
-    within: Duration,
+pub(crate) struct RegisterPauses {
+    spread: Duration,
 }
 
-impl Default for Pauses {
-    fn default() -> Pauses {
-        Pauses { within: REGISTER_WITHIN }
+impl Default for RegisterPauses {
+    fn default() -> RegisterPauses {
+        RegisterPauses { spread: INITIAL_REGISTER_SPREAD }
     }
 }
 
-impl Pauses {
-    /// Returns the next pause, at `share` (0 to 1) of the longest that it may be.
-    pub fn next(&mut self, share: f64) -> Duration {
-        let pause = self.within.mul_f64(share);
-        self.within = (self.within * 2).min(REGISTER_WITHIN_MOST);
+impl RegisterPauses {
+    /// Returns the next pause, at `fraction` (0 to 1) of the longest that it may be.
+    pub fn next(&mut self, fraction: f64) -> Duration {
+        let pause = self.spread.mul_f64(fraction);
+        self.spread = (self.spread * 2).min(MAX_REGISTER_SPREAD);
         pause
     }
 }
--- a/crates/hollowford-node/src/homes_tests.rs
+++ b/crates/hollowford-node/src/assignment_tests.rs
@@ -1,6 +1,8 @@
 //! Jobs and workers are dealt to partitions alike everywhere, and evenly.
 
-use crate::homes::{count_partitions, home_of_job, home_of_seat, home_of_worker};
+use crate::assignment::{
+    advice_partition, count_partitions, partition_of_job, partition_of_worker,
+};
 use crate::shared_tests::shared;
 use hollowford_core::{Millis, Resources};
 use hollowford_jobs::{JobId, WorkerListing};
@@ -19,24 +21,24 @@
     }
 }
 
-fn counts(homes: impl Iterator<Item = u32>, partitions: u32) -> Vec<usize> {
+fn counts(assigned: impl Iterator<Item = u32>, partitions: u32) -> Vec<usize> {
     let mut counts = vec![0; partitions as usize];
-    homes.for_each(|h| counts[h as usize] += 1);
+    assigned.for_each(|h| counts[h as usize] += 1);
     counts
 }
 
 #[test]
 fn one_partition_has_everything() {
-    assert_eq!(home_of_job(JobId(7), 1), 0);
-    assert_eq!(home_of_worker(&worker(&[], ""), 1), 0);
-    assert_eq!(home_of_seat("10.0.0.1:7000", 1), 0);
+    assert_eq!(partition_of_job(JobId(7), 1), 0);
+    assert_eq!(partition_of_worker(&worker(&[], ""), 1), 0);
+    assert_eq!(advice_partition("10.0.0.1:7000", 1), 0);
 }
 
 #[test]
 fn jobs_are_dealt_evenly_whatever_their_ids() {
     for step in [1, 16, 1 << 32, 0x1234_5678_9abc_def1] {
         let ids = (0..9_000_u64).map(|i| JobId(i.wrapping_mul(step)));
-        for n in counts(ids.map(|id| home_of_job(id, 9)), 9) {
+        for n in counts(ids.map(|id| partition_of_job(id, 9)), 9) {
             assert!((850..1_150).contains(&n), "step {step}: {n} of 1,000");
         }
     }
@@ -45,20 +47,20 @@
 #[test]
 fn racks_are_dealt_whole_and_evenly() {
     let racks = (1..=4).flat_map(|zone| (0..94).map(move |rack| format!("r{zone}-{rack}")));
-    let homes = racks.map(|rack| {
-        let first = home_of_worker(&worker(&["a", &rack], "10.0.0.1:1"), 7);
-        assert_eq!(home_of_worker(&worker(&[&rack, "b"], "10.0.9.9:2"), 7), first);
+    let assigned = racks.map(|rack| {
+        let first = partition_of_worker(&worker(&["a", &rack], "10.0.0.1:1"), 7);
+        assert_eq!(partition_of_worker(&worker(&[&rack, "b"], "10.0.9.9:2"), 7), first);
         first
     });
-    for n in counts(homes, 7) {
+    for n in counts(assigned, 7) {
         assert!((52..=56).contains(&n), "{n} of 376 racks");
     }
 }
 
 #[test]
 fn a_worker_without_a_rack_and_a_name_without_numbers_have_a_home() {
-    assert!(home_of_worker(&worker(&["a"], "10.0.0.1:1"), 7) < 7);
-    assert!(home_of_worker(&worker(&["rack-of-the-north"], "10.0.0.1:1"), 7) < 7);
+    assert!(partition_of_worker(&worker(&["a"], "10.0.0.1:1"), 7) < 7);
+    assert!(partition_of_worker(&worker(&["rack-of-the-north"], "10.0.0.1:1"), 7) < 7);
 }
 
 /// Returns `racks` racks of eight workers of a pool, every other one with the label `b`.
@@ -100,14 +102,14 @@
 fn an_account_has_one_home_whatever_its_jobs_ids_are_and_accounts_are_spread() {
     let shared = shared();
     shared.set_partitions(3);
-    let mut homes = [0; 3];
+    let mut assigned = [0; 3];
     for account in (0..60).map(|i| format!("account{i}")) {
-        let home = |job| shared.partition_of(&account, JobId(job)).map(|p| p.number);
-        let first = home(0);
-        assert!((1..200).all(|job| home(job * 0x9e37_79b9) == first));
-        homes[first.unwrap_or(0) as usize] += 1;
+        let partition = |job| shared.partition_of(&account, JobId(job)).map(|p| p.number);
+        let first = partition(0);
+        assert!((1..200).all(|job| partition(job * 0x9e37_79b9) == first));
+        assigned[first.unwrap_or(0) as usize] += 1;
     }
-    assert!(homes.iter().all(|&n| n >= 10), "{homes:?}");
+    assert!(assigned.iter().all(|&n| n >= 10), "{assigned:?}");
     let of_none = |job| shared.partition_of("", JobId(job)).map(|p| p.number);
     assert!((1..200).any(|job| of_none(job) != of_none(0)), "jobs of no account are spread by id");
 }
--- a/crates/hollowford-node/src/delegation_tests.rs
+++ b/crates/hollowford-node/src/delegation_tests.rs
@@ -23,7 +23,7 @@
         link,
         address: format!("10.0.{}.{link}:7000", link % ZONES).into(),
         zone: format!("z{}", link % ZONES).into(),
-        outbox: Outbox::to_nowhere(),
+        outbox: Outbox::disconnected(),
     };
     (0..count).map(member).collect()
 }
--- a/crates/hollowford-node/src/front.rs
+++ b/crates/hollowford-node/src/front.rs
@@ -1,7 +1,7 @@
 //! Callers' HTTP.
 
 use crate::access::{self, Access};
-use crate::relay::{Relayed, relay};
+use crate::relay::{RelayOutcome, relay};
 use crate::shared::Shared;
 use crate::wire::{Call, Said, Verb};
 use futures::future::join_all;
@@ -67,28 +67,28 @@
     }
 
     /// Sends a call to the owner of its job's partition, or a count to all owners.
-    async fn relay(&self, call: Call, limit: Millis) -> Relayed {
+    async fn relay(&self, call: Call, limit: Millis) -> RelayOutcome {
         if call.verb() == Verb::Waiting {
             return self.count(call, limit).await;
         }
         match self.shared.partition_of(&call.account, JobId(call.job)) {
             Some(partition) => relay(&self.shared, partition, call, limit).await,
-            None => Relayed::NotSent,
+            None => RelayOutcome::NotSent,
         }
     }
 
     /// Adds up the counts of all partitions; if one of them isn't told, none is.
-    async fn count(&self, call: Call, limit: Millis) -> Relayed {
+    async fn count(&self, call: Call, limit: Millis) -> RelayOutcome {
         let partitions = self.shared.partitions();
         let counts = partitions.iter().map(|p| relay(&self.shared, p, call.clone(), limit));
         let mut sum = None;
         for counted in join_all(counts).await {
             match counted {
-                Relayed::Said(Said::Value, n) => sum = Some(sum.unwrap_or(0) + n),
+                RelayOutcome::Said(Said::Value, n) => sum = Some(sum.unwrap_or(0) + n),
                 other => return other,
             }
         }
-        sum.map_or(Relayed::NotSent, |n| Relayed::Said(Said::Value, n))
+        sum.map_or(RelayOutcome::NotSent, |n| RelayOutcome::Said(Said::Value, n))
     }
 
     /// Reads what the caller wants of the owner, or the status that refuses it.
@@ -130,11 +130,11 @@
         Ok(call)
     }
 
-    fn respond(&self, verb: Verb, relayed: Relayed, began: Millis) -> Response {
+    fn respond(&self, verb: Verb, relayed: RelayOutcome, began: Millis) -> Response {
         let verb_name = verb.name();
         match relayed {
-            Relayed::Said(Said::Done, _) => self.plain(StatusCode::OK, verb_name, began),
-            Relayed::Said(Said::Value, value) => {
+            RelayOutcome::Said(Said::Done, _) => self.plain(StatusCode::OK, verb_name, began),
+            RelayOutcome::Said(Said::Value, value) => {
                 let body = if verb == Verb::State {
                     state_of(value).map(encode_state)
                 } else {
@@ -145,15 +145,17 @@
                     None => self.plain(StatusCode::INTERNAL_SERVER_ERROR, verb_name, began),
                 }
             }
-            Relayed::Said(Said::UnknownKey, _) => {
+            RelayOutcome::Said(Said::UnknownKey, _) => {
                 self.plain(StatusCode::UNAUTHORIZED, verb_name, began)
             }
-            Relayed::Said(Said::NotYours, _) => self.plain(StatusCode::CONFLICT, verb_name, began),
-            Relayed::Said(Said::NoJob, _) => self.plain(StatusCode::GONE, verb_name, began),
-            Relayed::Said(Said::Unavailable, _) | Relayed::NotSent => {
+            RelayOutcome::Said(Said::NotYours, _) => {
+                self.plain(StatusCode::CONFLICT, verb_name, began)
+            }
+            RelayOutcome::Said(Said::NoJob, _) => self.plain(StatusCode::GONE, verb_name, began),
+            RelayOutcome::Said(Said::Unavailable, _) | RelayOutcome::NotSent => {
                 self.plain(StatusCode::SERVICE_UNAVAILABLE, verb_name, began)
             }
-            Relayed::Said(..) | Relayed::Unsure => {
+            RelayOutcome::Said(..) | RelayOutcome::Unsure => {
                 self.plain(StatusCode::GATEWAY_TIMEOUT, verb_name, began)
             }
         }
--- a/crates/hollowford-node/src/lib.rs
+++ b/crates/hollowford-node/src/lib.rs
@@ -8,12 +8,18 @@
 mod announce;
 #[cfg(test)]
 mod announce_tests;
+mod assignment;
+#[cfg(test)]
+mod assignment_tests;
 mod batches;
 mod callers;
 mod calls;
 mod config_freshness;
 #[cfg(test)]
 mod config_freshness_tests;
+mod config_watch;
+#[cfg(test)]
+mod config_watch_tests;
 mod delegate;
 mod delegate_wire;
 #[cfg(test)]
@@ -22,10 +28,6 @@
 #[cfg(test)]
 mod delegation_tests;
 mod front;
-mod giving_up;
-mod homes;
-#[cfg(test)]
-mod homes_tests;
 mod inbox;
 mod lane;
 mod link;
@@ -52,7 +54,7 @@
 mod plan;
 #[cfg(test)]
 mod plan_tests;
-mod reach;
+mod reachability;
 mod registry;
 #[cfg(test)]
 mod registry_tests;
@@ -68,14 +70,12 @@
 mod shared;
 #[cfg(test)]
 mod shared_tests;
+mod step_down;
 #[cfg(test)]
 mod suspension_tests;
 mod takeover;
 #[cfg(test)]
 mod takeover_tests;
-mod watch;
-#[cfg(test)]
-mod watch_tests;
 mod wire;
 mod worker_changes;
 mod writer;
@@ -83,4 +83,4 @@
 mod writer_tests;
 
 pub use node::{NodeError, NodeOptions, run};
-pub use plan::WORKERS_EACH;
+pub use plan::DEFAULT_WORKERS_PER_PARTITION;
--- a/crates/hollowford-node/src/link.rs
+++ b/crates/hollowford-node/src/link.rs
@@ -20,22 +20,22 @@
 /// A link that hasn't opened after so long is tried once more beside it, and so on: a process to
 /// which hundreds open links at once has no room for some of them, and the system itself tries
 /// again only after a second.
-const TRY_AGAIN: Duration = Duration::from_millis(110);
+const ATTEMPT_INTERVAL: Duration = Duration::from_millis(110);
 /// Tries are apart by up to so much more, so that those which found no room don't come together
 /// again.
-const TRY_SPREAD: Duration = Duration::from_millis(60);
+const MAX_ATTEMPT_JITTER: Duration = Duration::from_millis(60);
 /// How often a link is tried within [`CONNECT_TIMEOUT`].
-const TRIES: u32 = 4;
+const MAX_ATTEMPTS: u32 = 4;
 /// Largest frame: a job's specification and some room.
-const FRAME_LIMIT: usize = 1 << 20;
+const MAX_FRAME_BYTES: usize = 1 << 20;
 /// A frame of so many bytes is packed, if that makes it smaller. Templates shrink to some two
 /// thirds; below this the packing's own bytes eat up what it saves.
-const PACK_FROM: usize = 256;
+const MIN_PACKED_BYTES: usize = 256;
 /// Frames that wait to be written; a link whose peer doesn't read that many is given up.
-const OUTBOX: usize = 4_096;
+const OUTBOX_CAPACITY: usize = 4_096;
 
 /// Reads frames.
-pub type Reader = FramedRead<OwnedReadHalf, LengthDelimitedCodec>;
+pub type FrameReader = FramedRead<OwnedReadHalf, LengthDelimitedCodec>;
 
 /// Sends frames to a peer without waiting.
 #[derive(Clone, Debug)]
@@ -46,14 +46,14 @@
 impl Outbox {
     /// Makes one whose frames nobody reads.
     #[cfg(test)]
-    pub fn to_nowhere() -> Outbox {
-        Outbox::to_test().0
+    pub fn disconnected() -> Outbox {
+        Outbox::for_test().0
     }
 
     /// Makes one whose frames a test reads.
     #[cfg(test)]
-    pub fn to_test() -> (Outbox, mpsc::Receiver<Frame>) {
-        let (tx, rx) = mpsc::channel(OUTBOX);
+    pub fn for_test() -> (Outbox, mpsc::Receiver<Frame>) {
+        let (tx, rx) = mpsc::channel(OUTBOX_CAPACITY);
         (Outbox { tx }, rx)
     }
 
@@ -67,25 +67,26 @@
 ///
 /// # Errors
 /// When the address doesn't answer in time, or refuses.
-pub async fn connect(addr: SocketAddr) -> io::Result<(Reader, Outbox)> {
-    split(open(|| TcpStream::connect(addr)).await?)
+pub async fn connect(addr: SocketAddr) -> io::Result<(FrameReader, Outbox)> {
+    split(open_with_retries(|| TcpStream::connect(addr)).await?)
 }
 
 /// Makes tries until the first one ends, well or not: one that is refused tells as much as another.
-pub(crate) async fn open<T, F>(try_once: impl Fn() -> F) -> io::Result<T>
+pub(crate) async fn open_with_retries<T, F>(attempt: impl Fn() -> F) -> io::Result<T>
 where
     F: Future<Output = io::Result<T>>,
 {
-    let wait = |n: u32| TRY_AGAIN * n + TRY_SPREAD.mul_f64(fastrand::f64()) * n.min(1);
-    let tries = (0..TRIES).map(|n| {
-        let (wait, try_once) = (wait(n), &try_once);
+    let wait =
+        |n: u32| ATTEMPT_INTERVAL * n + MAX_ATTEMPT_JITTER.mul_f64(fastrand::f64()) * n.min(1);
+    let attempts = (0..MAX_ATTEMPTS).map(|n| {
+        let (wait, attempt) = (wait(n), &attempt);
         async move {
             sleep(wait).await;
-            try_once().await
+            attempt().await
         }
     });
-    let mut tries: FuturesUnordered<_> = tries.collect();
-    match timeout(CONNECT_TIMEOUT, tries.next()).await? {
+    let mut attempts: FuturesUnordered<_> = attempts.collect();
+    match timeout(CONNECT_TIMEOUT, attempts.next()).await? {
         Some(ended) => ended,
         None => Err(ErrorKind::TimedOut.into()),
     }
@@ -93,21 +94,21 @@
 
 /// Asks the process at `addr` a question, on a link of its own; none without an answer within
 /// `limit`.
-pub async fn ask(addr: SocketAddr, question: Body, limit: Duration) -> Option<Body> {
+pub async fn request(addr: SocketAddr, body: Body, limit: Duration) -> Option<Body> {
     let (mut reader, outbox) = connect(addr).await.ok()?;
-    outbox.send(question);
-    timeout(limit, next(&mut reader)).await.ok().flatten()
+    outbox.send(body);
+    timeout(limit, read_frame(&mut reader)).await.ok().flatten()
 }
 
 /// Puts frames on a stream, and starts its writer.
 ///
 /// # Errors
 /// When the stream's options can't be set.
-pub fn split(stream: TcpStream) -> io::Result<(Reader, Outbox)> {
+pub fn split(stream: TcpStream) -> io::Result<(FrameReader, Outbox)> {
     stream.set_nodelay(true)?;
     let (read, write) = stream.into_split();
-    let codec = || LengthDelimitedCodec::builder().max_frame_length(FRAME_LIMIT).new_codec();
-    let (tx, rx) = mpsc::channel(OUTBOX);
+    let codec = || LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
+    let (tx, rx) = mpsc::channel(OUTBOX_CAPACITY);
     tokio::spawn(write_all(FramedWrite::new(write, codec()), rx));
     Ok((FramedRead::new(read, codec()), Outbox { tx }))
 }
@@ -117,9 +118,10 @@
 /// which send little, do without.
 pub(crate) fn encode(frame: &Frame) -> Bytes {
     let plain = frame.encode_to_vec();
-    let worth_it = plain.len() >= PACK_FROM && matches!(frame.body, Some(Body::Delegated(_)));
+    let may_shrink =
+        plain.len() >= MIN_PACKED_BYTES && matches!(frame.body, Some(Body::Delegated(_)));
     // A buffer in memory takes all that is written to it; if not, the frame goes as it is.
-    let packed = worth_it.then(|| pack(&plain)).and_then(Result::ok);
+    let packed = may_shrink.then(|| pack(&plain)).and_then(Result::ok);
     let packed = packed.map(|bytes| Frame::from(Body::Packed(bytes)).encode_to_vec());
     match packed.filter(|p| p.len() < plain.len()) {
         Some(packed) => packed.into(),
@@ -134,7 +136,7 @@
 pub(crate) fn decode(bytes: BytesMut) -> io::Result<Option<Body>> {
     match Frame::decode(bytes)?.body {
         Some(Body::Packed(packed)) => {
-            let plain = unpack(&packed, FRAME_LIMIT)?;
+            let plain = unpack(&packed, MAX_FRAME_BYTES)?;
             match Frame::decode(&plain[..])?.body {
                 Some(Body::Packed(_)) => {
                     Err(io::Error::new(ErrorKind::InvalidData, "packed twice"))
@@ -169,7 +171,7 @@
 }
 
 /// Reads the next frame; none when the link has ended or said what can't be read.
-pub async fn next(reader: &mut Reader) -> Option<Body> {
+pub async fn read_frame(reader: &mut FrameReader) -> Option<Body> {
     match reader.next().await? {
         Ok(bytes) => match decode(bytes) {
             Ok(body) => body,
--- a/crates/hollowford-node/src/link_tests.rs
+++ b/crates/hollowford-node/src/link_tests.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::expect_used)]
 
 use crate::delegate_wire::Delegated;
-use crate::link::{decode, encode, open};
+use crate::link::{decode, encode, open_with_retries};
 use crate::packed::pack;
 use crate::wire::{Body, ConfigRow, Frame, MemberBeat};
 use bytes::{Bytes, BytesMut};
@@ -57,7 +57,7 @@
 async fn tries(lost: u32, ended: io::Result<()>) -> (Result<(), ErrorKind>, u32) {
     let made = Cell::new(0);
     let ended = Cell::new(Some(ended));
-    let opened = open(|| {
+    let opened = open_with_retries(|| {
         made.set(made.get() + 1);
         let ended = if made.get() > lost { ended.take() } else { None };
         async move {
--- a/crates/hollowford-node/src/member.rs
+++ b/crates/hollowford-node/src/member.rs
@@ -2,13 +2,13 @@
 
 use crate::calls::advise;
 use crate::config_freshness::{ConfigFreshness, ReportedConfig};
+use crate::config_watch;
 use crate::delegate;
-use crate::link::{self, Outbox, Reader};
+use crate::link::{self, FrameReader, Outbox};
 use crate::partition::{PartitionContext, Route};
 use crate::relay::RemoteOwner;
 use crate::shared::Shared;
 use crate::takeover::{FailureDetector, HEARTBEAT_INTERVAL, LeaveReason, OwnerStatus};
-use crate::watch;
 use crate::wire::{Advice, Ask, Body, Heartbeat, Hello, MemberBeat, OwnerInfo, WhoOwns};
 use hollowford_core::Millis;
 use std::io::ErrorKind;
@@ -51,7 +51,7 @@
 async fn open_owner_link(
     shared: &Shared,
     info: &OwnerInfo,
-) -> Result<(Reader, Outbox), LeaveReason> {
+) -> Result<(FrameReader, Outbox), LeaveReason> {
     let Ok(addr) = info.address.parse() else { return Err(LeaveReason::Gone) };
     let (reader, outbox) = link::connect(addr).await.map_err(|e| {
         let refused = matches!(e.kind(), ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset);
@@ -108,13 +108,13 @@
     }
 
     /// Serves the link until it has to end.
-    async fn serve(&mut self, reader: &mut Reader) -> LeaveReason {
+    async fn serve(&mut self, reader: &mut FrameReader) -> LeaveReason {
         let mut newest = self.cx.partition.owner.subscribe();
         let mut ticks = interval(HEARTBEAT_INTERVAL.duration());
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             let reason = tokio::select! {
-                body = link::next(reader) => match body {
+                body = link::read_frame(reader) => match body {
                     Some(body) => self.handle_frame(body),
                     None if self.joined => Some(LeaveReason::Cut),
                     None => Some(LeaveReason::Gone),
@@ -139,7 +139,7 @@
             // Sent by a process that is just becoming the owner.
             Body::Heartbeat(beat) if beat.epoch == 0 => {}
             Body::Heartbeat(beat) => self.handle_heartbeat(beat),
-            Body::Answer(answer) => self.remote.answered(answer),
+            Body::Answer(answer) => self.remote.complete(answer),
             Body::Ask(ask) => {
                 tokio::spawn(answer_advice_request(
                     self.cx.shared.clone(),
@@ -153,7 +153,7 @@
                 }
                 delegate::carry_out(&self.cx.shared, frame, &self.outbox);
             }
-            Body::Config(row) => watch::take_packed(&self.cx.shared, row),
+            Body::Config(row) => config_watch::apply_packed(&self.cx.shared, row),
             Body::Workers(changes) => {
                 // A process that owns nothing by now has nobody who listens.
                 let _ = self.cx.shared.worker_changes.send(Arc::new(changes));
@@ -271,7 +271,7 @@
 async fn probe_owner(info: OwnerInfo, limit: Millis, answered: Arc<AtomicBool>) {
     let Ok(addr) = info.address.parse() else { return };
     let question = Body::WhoOwns(WhoOwns { partition: info.partition });
-    if link::ask(addr, question, limit.duration()).await == Some(Body::Owner(info)) {
+    if link::request(addr, question, limit.duration()).await == Some(Body::Owner(info)) {
         answered.store(true, Ordering::Relaxed);
     }
 }
--- a/crates/hollowford-node/src/member_tests.rs
+++ b/crates/hollowford-node/src/member_tests.rs
@@ -1,7 +1,7 @@
 //! A member that loses its link to the owner.
 #![allow(clippy::expect_used)]
 
-use crate::link::{self, Outbox, Reader};
+use crate::link::{self, FrameReader, Outbox};
 use crate::member::follow;
 use crate::partition::PartitionContext;
 use crate::peers;
@@ -15,7 +15,7 @@
 
 const EPOCH: u64 = 3;
 /// Longest time for anything that the test waits for. Far above what it takes.
-const PATIENCE: Duration = Duration::from_secs(60);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn cx() -> PartitionContext {
     let shared = Arc::new(shared());
@@ -25,11 +25,11 @@
 }
 
 /// Accepts a link as the owner, whose opener says who it is.
-async fn accept(listener: &TcpListener) -> (Reader, Outbox) {
-    let accepted = timeout(PATIENCE, listener.accept()).await;
+async fn accept(listener: &TcpListener) -> (FrameReader, Outbox) {
+    let accepted = timeout(WAIT_TIMEOUT, listener.accept()).await;
     let (stream, _) = accepted.expect("the member opens a link").expect("a link");
     let (mut reader, outbox) = link::split(stream).expect("its options");
-    let hello = link::next(&mut reader).await;
+    let hello = link::read_frame(&mut reader).await;
     assert!(matches!(hello, Some(Body::Hello(_))), "{hello:?}");
     (reader, outbox)
 }
@@ -53,7 +53,7 @@
         let (mut reader, outbox) = accept(&listener).await;
         outbox.send(heartbeat(&["a", "b"]));
         // Its own heartbeat shows that it has joined.
-        let beat = link::next(&mut reader).await;
+        let beat = link::read_frame(&mut reader).await;
         assert!(matches!(beat, Some(Body::MemberBeat(_))), "{beat:?}");
     }
     // This owner has nothing to say any more.
@@ -76,7 +76,7 @@
     tokio::spawn(peers::accept(cx.shared.clone(), listener));
     let (mut reader, outbox) = link::connect(address).await.expect("a link");
     outbox.send(Body::Hello(Hello { owner: Some(info.clone()), ..Hello::default() }));
-    let said = timeout(PATIENCE, link::next(&mut reader)).await.expect("an answer");
+    let said = timeout(WAIT_TIMEOUT, link::read_frame(&mut reader)).await.expect("an answer");
     assert_eq!(said, Some(Body::Owner(info)));
 }
 
@@ -91,9 +91,10 @@
     let member = tokio::spawn(async move { follow(&cx, &followed, &mut Vec::new()).await });
     let (_silent, outbox) = accept(&listener).await;
     outbox.send(heartbeat(&["a"]));
-    let (stream, _) = timeout(PATIENCE, listener.accept()).await.expect("a link").expect("a link");
+    let (stream, _) =
+        timeout(WAIT_TIMEOUT, listener.accept()).await.expect("a link").expect("a link");
     let (mut reader, question) = link::split(stream).expect("its options");
-    assert!(matches!(link::next(&mut reader).await, Some(Body::WhoOwns(_))));
+    assert!(matches!(link::read_frame(&mut reader).await, Some(Body::WhoOwns(_))));
     question.send(Body::Owner(info));
     // It opens another link to this owner.
     let (_reader, outbox) = accept(&listener).await;
@@ -111,6 +112,6 @@
     let member = tokio::spawn(async move { follow(&cx, &info, &mut Vec::new()).await });
     let (_silent, outbox) = accept(&listener).await;
     outbox.send(heartbeat(&["a"]));
-    let reason = timeout(PATIENCE, member).await.expect("it is missed").expect("its end");
+    let reason = timeout(WAIT_TIMEOUT, member).await.expect("it is missed").expect("its end");
     assert_eq!(reason, LeaveReason::Silent);
 }
--- a/crates/hollowford-node/src/node.rs
+++ b/crates/hollowford-node/src/node.rs
@@ -5,7 +5,7 @@
 use crate::metrics::Metrics;
 use crate::partition::{PartitionContext, Route};
 use crate::shared::Shared;
-use crate::{announce, ownership, peers, plan, reload, watch};
+use crate::{announce, config_watch, ownership, peers, plan, reload};
 use futures::future::join_all;
 use hollowford_adapter::{
     AdviceClient, CallError, NodeSettings, StoreClient, StoreError, WorkerClient,
@@ -116,8 +116,8 @@
     hup: Signal,
 ) {
     tokio::spawn(peers::accept(shared.clone(), listener));
-    tokio::spawn(watch::read_config(shared.clone()));
-    tokio::spawn(watch::follow_config(shared.clone()));
+    tokio::spawn(config_watch::poll_config(shared.clone()));
+    tokio::spawn(config_watch::follow_config(shared.clone()));
     tokio::spawn(announce::register(shared.clone()));
     tokio::spawn(join_partitions(shared.clone(), workers_each));
     tokio::spawn(reload::follow_settings(shared.clone(), hup));
@@ -130,7 +130,7 @@
         let cx = PartitionContext { shared: shared.clone(), partition: partition.clone() };
         tokio::spawn(ownership::run(cx));
     }
-    watch::read_unless_told(&shared).await;
+    config_watch::poll_unless_confirmed(&shared).await;
 }
 
 /// Ends the process's service without cutting a request.
--- a/crates/hollowford-node/src/owner.rs
+++ b/crates/hollowford-node/src/owner.rs
@@ -9,15 +9,15 @@
 use crate::batches::Batches;
 use crate::callers::Waiters;
 use crate::delegation::{Delegation, Delivered};
-use crate::giving_up::GivingUp;
 use crate::inbox::{OwnerHandle, OwnerMsg};
 use crate::lane::LANES;
 use crate::logs::DecisionLog;
 use crate::members::{LinkId, Members};
 use crate::partition::PartitionContext;
-use crate::reach::Reach;
+use crate::reachability::Reachability;
 use crate::registry;
 use crate::shared::Shared;
+use crate::step_down::StepDown;
 use crate::wire::{MemberBeat, OwnerInfo, Said};
 use crate::writer::Written;
 use hollowford_adapter::{Config, NodeSettings, Version, WorkerClient};
@@ -80,7 +80,7 @@
     orders: Vec<Order>,
     decisions: DecisionLog,
     batches: Batches,
-    reach: Reach,
+    reach: Reachability,
     /// Version of the configuration that the engine has.
     config: u64,
     settings: watch::Receiver<NodeSettings>,
@@ -88,7 +88,7 @@
     viewed: Millis,
     /// The engine's counters as they were then.
     shown: Stats,
-    giving_up: GivingUp,
+    giving_up: StepDown,
     end: Option<OwnerEnd>,
 }
 
@@ -97,13 +97,13 @@
     pub fn new(cx: PartitionContext, start: Start, handle: OwnerHandle) -> Owner {
         let Start { info, lanes, engine, offset } = start;
         let (shared, part) = (&cx.shared, cx.partition.part.clone());
-        let giving_up = GivingUp::new(shared.clone(), info.epoch);
+        let giving_up = StepDown::new(shared.clone(), info.epoch);
         let workers = shared.workers.with_fence(info.epoch);
         let delegation = Delegation::new(info.epoch, engine_time(shared, offset));
         let batches = Batches::new(shared.clone(), info.clone(), part, lanes, handle.clone());
         Owner {
             members: Members::new(info.clone(), shared.partition_count()),
-            reach: Reach::new(shared.clone(), info.epoch),
+            reach: Reachability::new(shared.clone(), info.epoch),
             settings: shared.settings_changed.subscribe(),
             cx,
             info,
@@ -157,7 +157,7 @@
             }
         }
         self.waiters.fail_all();
-        self.giving_up.tell_ended();
+        self.giving_up.report_ended();
         self.end.unwrap_or(OwnerEnd::GaveUp)
     }
 
@@ -181,12 +181,12 @@
                 self.delegation.set_workers(&list);
                 self.engine.list_workers(&list, now);
             }
-            OwnerMsg::WorkerChanges(changes) => self.members.send_workers(&changes),
+            OwnerMsg::WorkerChanges(changes) => self.members.send_worker_changes(&changes),
             OwnerMsg::Joined(link, hello, outbox) => {
                 let (address, age) = (&hello.address, hello.age_ms);
                 log::info!("member.joined link={link} address={address} age_ms={age}");
                 self.members.join(link, hello, outbox, self.cx.shared.clock.now());
-                self.members.greet(link, self.cx.shared.config_known());
+                self.members.send_first_heartbeat(link, self.cx.shared.config_known());
                 self.members_changed = true;
             }
             OwnerMsg::Left(link) => {
@@ -217,8 +217,8 @@
 
     fn take_beat(&mut self, link: LinkId, beat: &MemberBeat) {
         let heard = self.cx.shared.clock.now();
-        self.reach.member_heard(heard);
-        self.members.beat(link, beat, heard);
+        self.reach.record_member_heard(heard);
+        self.members.record_heartbeat(link, beat, heard);
         let version = self.cx.shared.config_version();
         if beat.config > version {
             self.cx.shared.config_wanted.notify_one();
@@ -282,7 +282,7 @@
         if let Some(end) = self.reach.check(&self.batches, &self.members, now) {
             self.end = Some(end);
         }
-        self.giving_up.check_size(&self.members);
+        self.giving_up.check_for_larger_member(&self.members);
         let end = self.giving_up.hand_over_if_due(&self.batches, &self.waiters, &self.members);
         if let Some(end) = end {
             self.end = Some(end);
--- a/crates/hollowford-node/src/owner/joining_tests.rs
+++ b/crates/hollowford-node/src/owner/joining_tests.rs
@@ -31,7 +31,7 @@
 
 /// Has a member join, and returns what is sent to it.
 fn join(owner: &mut Owner, link: u64) -> Receiver<Frame> {
-    let (outbox, rx) = Outbox::to_test();
+    let (outbox, rx) = Outbox::for_test();
     let address = format!("10.0.{}.{}:7000", link / 250, link % 250);
     let hello = Hello { address, cpu_milli: 120, ..Hello::default() };
     owner.take(OwnerMsg::Joined(link, hello, outbox));
--- a/crates/hollowford-node/src/owner/worker_calls.rs
+++ b/crates/hollowford-node/src/owner/worker_calls.rs
@@ -62,7 +62,7 @@
                 if seat.address.is_empty() {
                     let (shared, handle) = (self.cx.shared.clone(), self.handle.clone());
                     tokio::spawn(advise_here(shared, seat, step, ids, handle));
-                } else if !self.members.ask(&seat.address, step, ids) {
+                } else if !self.members.request_advice(&seat.address, step, ids) {
                     log::debug!("advice.not_sent seat={} step={step}", seat.address);
                 }
             }
--- a/crates/hollowford-node/src/owner_row.rs
+++ b/crates/hollowford-node/src/owner_row.rs
@@ -88,7 +88,7 @@
 async fn ask_seeds(cx: &PartitionContext) {
     for seed in cx.shared.other_seeds() {
         let question = WhoOwns { partition: cx.partition.number };
-        let answer = link::ask(seed, Body::WhoOwns(question), STORE_CALL_TIMEOUT).await;
+        let answer = link::request(seed, Body::WhoOwns(question), STORE_CALL_TIMEOUT).await;
         if let Some(Body::Owner(info)) = answer
             && cx.partition.record_owner(&info)
         {
--- a/crates/hollowford-node/src/partition.rs
+++ b/crates/hollowford-node/src/partition.rs
@@ -1,7 +1,7 @@
 //! What a process knows of one partition: who owns it, and how the owner is reached.
 
+use crate::assignment::process_order;
 use crate::config_freshness::ConfigFreshness;
-use crate::homes::preference;
 use crate::inbox::OwnerHandle;
 use crate::relay::RemoteOwner;
 use crate::shared::Shared;
@@ -141,7 +141,7 @@
     /// begins with another partition, and comes to the next ones in turn.
     pub fn candidate(&self) -> Candidate {
         let partitions = self.shared.partition_count().max(1);
-        let begins_with = preference(&self.shared.address().to_string(), 0);
+        let begins_with = process_order(&self.shared.address().to_string(), 0);
         let slot = (begins_with + u64::from(self.partition.number)) % u64::from(partitions);
         Candidate {
             cpu_milli: self.shared.cpu_milli(),
--- a/crates/hollowford-node/src/peers.rs
+++ b/crates/hollowford-node/src/peers.rs
@@ -2,7 +2,7 @@
 
 use crate::calls::read_advice;
 use crate::inbox::{OwnerHandle, OwnerMsg};
-use crate::link::{self, Outbox, Reader};
+use crate::link::{self, FrameReader, Outbox};
 use crate::members::LinkId;
 use crate::partition::{Partition, Route};
 use crate::shared::Shared;
@@ -16,14 +16,14 @@
 /// Pause after a link could not be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 /// A link whose opener says nothing for so long is closed.
-const FIRST_FRAME: Duration = Duration::from_millis(2_000);
+const FIRST_FRAME_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// A member that says nothing for so long is gone: three heartbeats where they are rarest.
-const MEMBER_SILENT: Duration = Duration::from_millis(1_500);
+const MEMBER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// How long a member waits for a process that is just becoming the owner. With a slow store
 /// its writing and its reading of the rows take seconds.
-const OWNER_STARTS: Duration = Duration::from_millis(5_000);
+const OWNER_START_TIMEOUT: Duration = Duration::from_millis(5_000);
 /// How often it is told meanwhile that the process is alive.
-const STARTING_BEAT: Duration = Duration::from_millis(100);
+const STARTING_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Accepts links for as long as the process runs.
 pub async fn accept(shared: Arc<Shared>, listener: TcpListener) {
@@ -42,7 +42,9 @@
 
 async fn serve(shared: Arc<Shared>, stream: TcpStream) {
     let Ok((mut reader, outbox)) = link::split(stream) else { return };
-    let Ok(Some(first)) = timeout(FIRST_FRAME, link::next(&mut reader)).await else { return };
+    let Ok(Some(first)) = timeout(FIRST_FRAME_TIMEOUT, link::read_frame(&mut reader)).await else {
+        return;
+    };
     match first {
         Body::Hello(hello) => serve_member(&shared, hello, reader, outbox).await,
         Body::Owner(info) => {
@@ -59,7 +61,7 @@
         Body::WhoOwns(who) => {
             let partition = shared.partitions().get(who.partition as usize);
             outbox.send(Body::Owner(
-                partition.map(|p| owner_to_tell(&shared, p)).unwrap_or_default(),
+                partition.map(|p| reported_owner(&shared, p)).unwrap_or_default(),
             ));
         }
         Body::WhatPlan(_) => {
@@ -71,20 +73,20 @@
 
 /// Returns the owner that a process which asks is told: a process that has given the partition up
 /// doesn't name itself.
-fn owner_to_tell(shared: &Shared, partition: &Partition) -> OwnerInfo {
+fn reported_owner(shared: &Shared, partition: &Partition) -> OwnerInfo {
     let info = partition.owner.borrow().clone();
     let given_up = info.boot == shared.boot && partition.has_released(info.epoch);
     if given_up { OwnerInfo::default() } else { info }
 }
 
 /// Serves a member for as long as this process owns the partition.
-async fn serve_member(shared: &Arc<Shared>, hello: Hello, mut reader: Reader, outbox: Outbox) {
-    let meant = hello.owner.clone().unwrap_or_default();
-    let Some(partition) = partition_of(shared, &meant) else {
+async fn serve_member(shared: &Arc<Shared>, hello: Hello, mut reader: FrameReader, outbox: Outbox) {
+    let expected = hello.owner.clone().unwrap_or_default();
+    let Some(partition) = partition_of(shared, &expected) else {
         outbox.send(Body::Owner(OwnerInfo::default()));
         return;
     };
-    let Some(owner) = local_owner(shared, partition, &meant, &outbox).await else {
+    let Some(owner) = wait_for_local_owner(shared, partition, &expected, &outbox).await else {
         let info: OwnerInfo = partition.owner.borrow().clone();
         outbox.send(Body::Owner(info));
         return;
@@ -94,7 +96,9 @@
     owner.send(OwnerMsg::Joined(link, hello, outbox.clone())).await;
     let member = MemberLink { owner, link, address, outbox };
     while !member.owner.is_closed() {
-        let Ok(Some(body)) = timeout(MEMBER_SILENT, link::next(&mut reader)).await else { break };
+        let Ok(Some(body)) = timeout(MEMBER_TIMEOUT, link::read_frame(&mut reader)).await else {
+            break;
+        };
         member.handle_frame(body).await;
     }
     // The link ends with its last sender; the owner drops its own on hearing this.
@@ -121,13 +125,13 @@
         match body {
             Body::Call(call) => self.owner.call_from(call, &self.outbox),
             Body::MemberBeat(beat) => self.owner.send(OwnerMsg::Beat(self.link, beat)).await,
-            Body::Advice(advice) => self.take_advice(advice).await,
+            Body::Advice(advice) => self.handle_advice(advice).await,
             Body::Outcomes(o) => self.owner.send(OwnerMsg::Outcomes(self.link, o)).await,
             other => log::warn!("link.unexpected frame={other:?}"),
         }
     }
 
-    async fn take_advice(&self, advice: Advice) {
+    async fn handle_advice(&self, advice: Advice) {
         let step = format!("{}.0", advice.step).parse::<TaskKey>().map(|t| t.step);
         let Ok(step) = step else {
             log::warn!("advice.malformed step={}", advice.step);
@@ -141,10 +145,10 @@
 
 /// Returns the owner if it is this process, or is just becoming so. The member may know of
 /// that earlier, by the owner row, than this process by the answer to its own writing.
-async fn local_owner(
+async fn wait_for_local_owner(
     shared: &Shared,
     partition: &Partition,
-    meant: &OwnerInfo,
+    expected: &OwnerInfo,
     outbox: &Outbox,
 ) -> Option<OwnerHandle> {
     let mut route = partition.route.subscribe();
@@ -154,16 +158,17 @@
             return Some(owner.clone());
         }
         let known = partition.owner.borrow().clone();
-        let superseded = known.boot != shared.boot && known.epoch >= meant.epoch;
+        let superseded = known.boot != shared.boot && known.epoch >= expected.epoch;
         let waited = shared.clock.now().since(began).duration();
-        let was_owner = partition.has_released(meant.epoch);
-        if meant.boot != shared.boot || was_owner || superseded || waited >= OWNER_STARTS {
+        let was_owner = partition.has_released(expected.epoch);
+        if expected.boot != shared.boot || was_owner || superseded || waited >= OWNER_START_TIMEOUT
+        {
             return None;
         }
         if !outbox.send(Body::Heartbeat(Heartbeat::default())) {
             return None;
         }
         // Woken when the owner starts, or to tell again that it is about to.
-        let _ = timeout(STARTING_BEAT, route.changed()).await;
+        let _ = timeout(STARTING_HEARTBEAT_INTERVAL, route.changed()).await;
     }
 }
--- a/crates/hollowford-node/src/plan_tests.rs
+++ b/crates/hollowford-node/src/plan_tests.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::expect_used)]
 
 use crate::owner_row::SYSTEM_TABLE;
-use crate::plan::{Learning, PART, Turn, WORKERS_EACH, learn};
+use crate::plan::{CountingRole, DEFAULT_WORKERS_PER_PARTITION, PLAN_PART, PlanLearner, learn};
 use crate::shared_tests::shared_with;
 use futures::future::join_all;
 use hollowford_adapter::{Row, Transaction};
@@ -13,12 +13,12 @@
 /// Far above what a call takes, since the machine may be busy.
 const TIMEOUT: Duration = Duration::from_secs(60);
 /// One process reads the list every 0.4 s for 6 s at most.
-const READS_OF_ONE: u64 = 16;
+const MAX_READS_OF_COUNTER: u64 = 16;
 
-async fn learn_as_many(platform: &Platform, processes: usize) -> Vec<u32> {
+async fn learn_in_processes(platform: &Platform, processes: usize) -> Vec<u32> {
     let learners = (0..processes).map(|_| async {
         let shared = shared_with(Some(platform.addr()));
-        learn(&shared, WORKERS_EACH).await
+        learn(&shared, DEFAULT_WORKERS_PER_PARTITION).await
     });
     join_all(learners).await
 }
@@ -28,9 +28,9 @@
 #[tokio::test]
 async fn one_process_counts_the_workers_and_the_others_wait_for_its_plan() {
     let platform = Platform::start(30).await.expect("the platform");
-    assert_eq!(learn_as_many(&platform, 12).await, [1; 12]);
+    assert_eq!(learn_in_processes(&platform, 12).await, [1; 12]);
     let read = platform.served().list_reads;
-    assert!(read <= READS_OF_ONE, "the list was read {read} times");
+    assert!(read <= MAX_READS_OF_COUNTER, "the list was read {read} times");
 }
 
 /// Pattern: the process that counts is killed. Nobody waits for it for ever.
@@ -43,35 +43,39 @@
         put: vec![("counting".to_owned(), gone.boot.to_be_bytes().to_vec())],
         remove: Vec::new(),
     };
-    gone.store.transact(SYSTEM_TABLE, PART, &tx, TIMEOUT).await.expect("an answer");
-    assert_eq!(learn_as_many(&platform, 2).await, [1; 2]);
+    gone.store.transact(SYSTEM_TABLE, PLAN_PART, &tx, TIMEOUT).await.expect("an answer");
+    assert_eq!(learn_in_processes(&platform, 2).await, [1; 2]);
 }
 
 /// Pattern: 588 processes look at once, and nobody counts yet. Each said that it counts, and the store
 /// refused two of three, since it takes 200 such writings a second.
 #[test]
 fn processes_that_start_together_do_not_all_say_that_they_count() {
-    let counting = |by: u64| Row {
+    let counter_row = |by: u64| Row {
         key: "counting".to_owned(),
         value: by.to_be_bytes().to_vec(),
         version: 3,
         removed: false,
     };
-    let began = Millis(100);
+    let started_at = Millis(100);
     // The store's answer takes some 20 ms. By then the row of the first is read.
-    let said = (0..588_u64)
+    let claims = (0..588_u64)
         .filter(|&i| {
-            let learning = Learning::new(began, i as f64 / 588.0);
+            let learner = PlanLearner::new(started_at, i as f64 / 588.0);
             let own = i.to_be_bytes();
-            assert_eq!(learning.turn_to_count(&[counting(i)], &own, began), Turn::Counts);
-            let early = learning.turn_to_count(&[], &own, began + Millis(20)) == Turn::SaysSo;
-            let late = learning.turn_to_count(&[counting(0)], &own, began + Millis(700));
-            assert!(i == 0 || late == Turn::Waits);
+            assert_eq!(
+                learner.counting_role(&[counter_row(i)], &own, started_at),
+                CountingRole::Counter
+            );
+            let early =
+                learner.counting_role(&[], &own, started_at + Millis(20)) == CountingRole::Claimant;
+            let late = learner.counting_role(&[counter_row(0)], &own, started_at + Millis(700));
+            assert!(i == 0 || late == CountingRole::Waiter);
             early
         })
         .count();
-    assert!(said <= 30, "{said} say that they count before the first one is read");
-    let learning = Learning::new(began, 1.0);
-    let gone = learning.turn_to_count(&[counting(0)], &[9], began + Millis(8_000));
-    assert_eq!(gone, Turn::Counts, "one that is gone is not waited for for ever");
+    assert!(claims <= 30, "{claims} say that they count before the first one is read");
+    let learner = PlanLearner::new(started_at, 1.0);
+    let gone = learner.counting_role(&[counter_row(0)], &[9], started_at + Millis(8_000));
+    assert_eq!(gone, CountingRole::Counter, "one that is gone is not waited for for ever");
 }
--- a/crates/hollowford-node/src/registry.rs
+++ b/crates/hollowford-node/src/registry.rs
@@ -1,10 +1,10 @@
 //! Keeps the list of workers up to date while this process owns the partition.
 
-use crate::homes::home_of_worker;
+use crate::assignment::partition_of_worker;
 use crate::inbox::{OwnerHandle, OwnerMsg};
 use crate::partition::PartitionContext;
 use crate::shared::Shared;
-use crate::worker_changes::{READER, WorkerChanges, WorkerRow};
+use crate::worker_changes::{READER_PARTITION, WorkerChanges, WorkerRow};
 use hollowford_adapter::{REGISTRY_TABLE, Row, StoreError, Version, decode_listing};
 use hollowford_core::Millis;
 use hollowford_jobs::WorkerListing;
@@ -16,26 +16,26 @@
 use tokio::time::{Instant, sleep, timeout_at};
 
 /// How long a call to the feed waits for a change. Kept short, since a feed may go silent.
-const FEED_WAIT: Duration = Duration::from_millis(200);
+const MAX_FEED_WAIT: Duration = Duration::from_millis(200);
 /// Pause between two calls. Entries change with each sign of life of a worker, so the feed
 /// answers at once, some thirty times a second, if it is asked as often.
-const PAUSE: Duration = Duration::from_millis(250);
+const FEED_PAUSE: Duration = Duration::from_millis(250);
 /// Longest time for a reading.
 const READ_TIMEOUT: Duration = Duration::from_millis(700);
 /// Pause after a failure.
-const RETRY: Duration = Duration::from_millis(200);
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// The list is read whole so often while workers are few: a feed may go silent.
-const READ_EVERY: Millis = Millis(2_000);
+const MIN_READ_INTERVAL: Millis = Millis(2_000);
 /// With many workers it is read more rarely, so that all owners together don't take megabytes
 /// a second. A feed whose history is lost says so.
-const READ_EVERY_FOR_EACH: Millis = Millis(4);
+const READ_INTERVAL_PER_WORKER: Millis = Millis(4);
 /// After the store was away, entries that lapsed meanwhile are back within 2 s.
-const TRUST_MISSING_AFTER: Millis = Millis(2_500);
+const MISSING_ENTRY_GRACE: Millis = Millis(2_500);
 /// The list is read here once nothing has been told for so long. The owner that reads for all tells
 /// of each reading, also of one that has changed nothing, some twice a second.
-const TOLD_WITHIN: Millis = Millis(1_000);
+const CHANGES_TIMEOUT: Millis = Millis(1_000);
 /// The store counts as having been away when it did not answer for so long.
-const AWAY: Millis = Millis(1_000);
+const MIN_STORE_OUTAGE: Millis = Millis(1_000);
 
 /// The list, and what the store's absence means for it.
 #[derive(Debug)]
@@ -45,22 +45,22 @@
     read_at: Millis,
     answered_at: Millis,
     /// Missing entries are not believed before.
-    believe_missing_at: Millis,
+    trust_missing_from: Millis,
     /// An entry may be missing that was not believed to be; a whole reading tells.
-    doubtful: bool,
+    has_unconfirmed_entries: bool,
     /// Rows that could not be read and have been logged.
     malformed: FxHashSet<String>,
     /// When the owner that reads for all has told something last that followed on what is known.
-    told_at: Option<Millis>,
+    changes_received_at: Option<Millis>,
 }
 
 /// What came of changes that another owner has told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Told {
+pub(crate) enum ChangesOutcome {
     /// They were taken in; tells whether one was new here.
-    Taken(bool),
+    Applied(bool),
     /// They are older than what is known here.
-    Old,
+    Outdated,
     /// They don't follow on what is known here.
     Gap,
 }
@@ -69,21 +69,21 @@
 /// The owner is told of its own partition's workers only.
 pub async fn follow(cx: PartitionContext, owner: OwnerHandle) {
     let shared = &cx.shared;
-    let mut told = shared.worker_changes.subscribe();
+    let mut changes_rx = shared.worker_changes.subscribe();
     let mut list = Registry::new(shared.clock.now());
     let mut config = 0;
     while !owner.is_closed() {
-        let changed = match list.wait(&cx, &mut told).await {
+        let changed = match list.next_changes(&cx, &mut changes_rx).await {
             Some(changed) => changed,
-            None => match list.next(shared).await {
+            None => match list.read_store(shared).await {
                 Ok(changes) => {
                     let changed = !changes.rows.is_empty();
-                    tell(&cx, &owner, changes).await;
+                    forward_changes(&cx, &owner, changes).await;
                     changed
                 }
                 Err(e) => {
                     log::debug!("workers.list failed error=\"{e}\"");
-                    sleep(RETRY).await;
+                    sleep(RETRY_PAUSE).await;
                     continue;
                 }
             },
@@ -91,7 +91,7 @@
         if changed || shared.config_version() != config {
             config = shared.config_version();
             let count = shared.partition_count();
-            let own = |l: &&WorkerListing| home_of_worker(l, count) == cx.partition.number;
+            let own = |l: &&WorkerListing| partition_of_worker(l, count) == cx.partition.number;
             let listings = list.workers(shared).filter(own).cloned().collect();
             owner.send(OwnerMsg::Listings(listings)).await;
         }
@@ -99,8 +99,11 @@
 }
 
 /// Tells the owners of other partitions what a reading has changed, if this one reads for all.
-async fn tell(cx: &PartitionContext, owner: &OwnerHandle, changes: WorkerChanges) {
-    if cx.partition.number != READER || cx.shared.partition_count() < 2 || !changes.can_be_told() {
+async fn forward_changes(cx: &PartitionContext, owner: &OwnerHandle, changes: WorkerChanges) {
+    if cx.partition.number != READER_PARTITION
+        || cx.shared.partition_count() < 2
+        || !changes.can_be_forwarded()
+    {
         return;
     }
     // This process may own others itself. Nobody listens if not.
@@ -116,10 +119,10 @@
             version: 0,
             read_at: Millis(0),
             answered_at: now,
-            believe_missing_at: now,
-            doubtful: false,
+            trust_missing_from: now,
+            has_unconfirmed_entries: false,
             malformed: FxHashSet::default(),
-            told_at: None,
+            changes_received_at: None,
         }
     }
 
@@ -133,64 +136,67 @@
 
     /// Waits for what the owner that reads for all tells; none when the list is to be read here. Tells
     /// whether something changed.
-    async fn wait(
+    async fn next_changes(
         &mut self,
         cx: &PartitionContext,
-        told: &mut Receiver<Arc<WorkerChanges>>,
+        changes_rx: &mut Receiver<Arc<WorkerChanges>>,
     ) -> Option<bool> {
         if self.version == 0 {
             // A new owner waits for its first list.
             return None;
         }
-        if cx.partition.number == READER {
-            sleep(PAUSE).await;
+        if cx.partition.number == READER_PARTITION {
+            sleep(FEED_PAUSE).await;
             return None;
         }
         let now = cx.shared.clock.now();
-        if self.doubtful && self.is_read_due(now) {
+        if self.has_unconfirmed_entries && self.is_read_due(now) {
             return None;
         }
-        let is_told = self.told_at.is_some_and(|at| now.since(at) < TOLD_WITHIN);
-        let patience = if is_told { TOLD_WITHIN.duration() } else { PAUSE };
+        let is_receiving =
+            self.changes_received_at.is_some_and(|at| now.since(at) < CHANGES_TIMEOUT);
+        let patience = if is_receiving { CHANGES_TIMEOUT.duration() } else { FEED_PAUSE };
         let deadline = Instant::now() + patience;
-        while let Ok(Ok(changes)) = timeout_at(deadline, told.recv()).await {
-            match self.take_told(&changes) {
-                Told::Taken(changed) => {
-                    self.note_told(cx.shared.clock.now());
+        while let Ok(Ok(changes)) = timeout_at(deadline, changes_rx.recv()).await {
+            match self.apply_changes(&changes) {
+                ChangesOutcome::Applied(changed) => {
+                    self.record_changes(cx.shared.clock.now());
                     return Some(changed);
                 }
-                Told::Old => {}
-                Told::Gap => break,
+                ChangesOutcome::Outdated => {}
+                ChangesOutcome::Gap => break,
             }
         }
-        self.told_at = None;
+        self.changes_received_at = None;
         None
     }
 
     /// Takes note that the owner that reads for all has told what follows on what is known here.
-    fn note_told(&mut self, now: Millis) {
-        self.note_answer(now);
-        self.told_at = Some(now);
-        if !self.doubtful {
+    fn record_changes(&mut self, now: Millis) {
+        self.record_answer(now);
+        self.changes_received_at = Some(now);
+        if !self.has_unconfirmed_entries {
             // It reads the whole list, too.
             self.read_at = now;
         }
     }
 
     /// Takes in what another owner has read.
-    pub fn take_told(&mut self, changes: &WorkerChanges) -> Told {
+    pub fn apply_changes(&mut self, changes: &WorkerChanges) -> ChangesOutcome {
         if changes.to < self.version {
-            return Told::Old;
+            return ChangesOutcome::Outdated;
         }
         if changes.from > self.version {
-            return Told::Gap;
+            return ChangesOutcome::Gap;
         }
         self.version = changes.to;
-        Told::Taken(changes.rows.iter().fold(false, |changed, r| self.apply_told(r) | changed))
+        ChangesOutcome::Applied(
+            changes.rows.iter().fold(false, |changed, r| self.apply_change(r) | changed),
+        )
     }
 
     /// Takes one row of it. Whether a missing entry is believed was the other owner's to judge.
-    fn apply_told(&mut self, row: &WorkerRow) -> bool {
+    fn apply_change(&mut self, row: &WorkerRow) -> bool {
         if row.removed {
             self.rows.remove(&row.key).is_some()
         } else {
@@ -199,24 +205,24 @@
     }
 
     /// Waits for a change, or reads the whole list. Returns what has changed.
-    async fn next(&mut self, shared: &Shared) -> Result<WorkerChanges, StoreError> {
+    async fn read_store(&mut self, shared: &Shared) -> Result<WorkerChanges, StoreError> {
         let now = shared.clock.now();
         let from = self.version;
         if self.version == 0 || self.is_read_due(now) {
             let feed = shared.store.read_all(REGISTRY_TABLE, "", READ_TIMEOUT).await?;
             shared.note_store();
-            self.note_answer(shared.clock.now());
+            self.record_answer(shared.clock.now());
             self.version = feed.version;
             self.read_at = shared.clock.now();
             let rows = self.replace(&feed.rows);
             return Ok(WorkerChanges { from, to: self.version, rows });
         }
-        match shared.store.feed(REGISTRY_TABLE, self.version, FEED_WAIT).await {
+        match shared.store.feed(REGISTRY_TABLE, self.version, MAX_FEED_WAIT).await {
             Ok(feed) => {
                 shared.note_store();
-                self.note_answer(shared.clock.now());
+                self.record_answer(shared.clock.now());
                 self.version = feed.version;
-                let changed = feed.rows.iter().filter(|r| self.apply(r));
+                let changed = feed.rows.iter().filter(|r| self.apply_row(r));
                 let rows = changed.map(WorkerRow::from).collect();
                 Ok(WorkerChanges { from, to: self.version, rows })
             }
@@ -231,14 +237,16 @@
 
     /// Tells whether the whole list is to be read again.
     fn is_read_due(&self, now: Millis) -> bool {
-        let every = READ_EVERY.max(Millis(READ_EVERY_FOR_EACH.0 * self.rows.len() as u64));
+        let every =
+            MIN_READ_INTERVAL.max(Millis(READ_INTERVAL_PER_WORKER.0 * self.rows.len() as u64));
         now.since(self.read_at) >= every
     }
 
     /// Takes note that the store has answered, here or to the owner that reads for all.
-    pub fn note_answer(&mut self, now: Millis) {
-        if now.since(self.answered_at) > AWAY + Millis(FEED_WAIT.as_millis() as u64) {
-            self.believe_missing_at = now + TRUST_MISSING_AFTER;
+    pub fn record_answer(&mut self, now: Millis) {
+        if now.since(self.answered_at) > MIN_STORE_OUTAGE + Millis(MAX_FEED_WAIT.as_millis() as u64)
+        {
+            self.trust_missing_from = now + MISSING_ENTRY_GRACE;
         }
         self.answered_at = now;
     }
@@ -246,35 +254,35 @@
     /// Takes the whole list. Returns the rows that have changed.
     pub fn replace(&mut self, rows: &[Row]) -> Vec<WorkerRow> {
         let mut changed = Vec::new();
-        self.doubtful = !self.believes_missing();
-        if !self.doubtful {
+        self.has_unconfirmed_entries = !self.trusts_missing();
+        if !self.has_unconfirmed_entries {
             let there: FxHashSet<&str> = rows.iter().map(|r| r.key.as_str()).collect();
             let gone = |key: String| WorkerRow { key, removed: true, ..WorkerRow::default() };
             let missing = self.rows.extract_if(.., |id, _| !there.contains(id.as_str()));
             changed.extend(missing.map(|(id, _)| gone(id)));
             self.malformed.retain(|id| there.contains(id.as_str()));
         }
-        changed.extend(rows.iter().filter(|r| self.apply(r)).map(WorkerRow::from));
+        changed.extend(rows.iter().filter(|r| self.apply_row(r)).map(WorkerRow::from));
         changed
     }
 
-    fn believes_missing(&self) -> bool {
-        self.answered_at >= self.believe_missing_at
+    fn trusts_missing(&self) -> bool {
+        self.answered_at >= self.trust_missing_from
     }
 
     /// Tells whether it may hold entries that are missing in the store: what others have read doesn't
     /// tell of those.
     #[cfg(test)]
-    pub fn is_doubtful(&self) -> bool {
-        self.doubtful
+    pub fn has_unconfirmed_entries(&self) -> bool {
+        self.has_unconfirmed_entries
     }
 
     /// Takes one row. One that can't be read names no worker: the one that it named before is not
     /// on the list any more, so nothing new is started there, and what runs goes on under its
     /// lease. Tells whether something changed.
-    pub fn apply(&mut self, row: &Row) -> bool {
-        if row.removed && !self.believes_missing() {
-            self.doubtful = true;
+    pub fn apply_row(&mut self, row: &Row) -> bool {
+        if row.removed && !self.trusts_missing() {
+            self.has_unconfirmed_entries = true;
             return false;
         }
         if row.removed {
--- a/crates/hollowford-node/src/registry_tests.rs
+++ b/crates/hollowford-node/src/registry_tests.rs
@@ -4,7 +4,7 @@
 //! isn't, or can't be read at all; it may be a new one, or take the place of a worker's own.
 #![allow(clippy::expect_used)]
 
-use crate::registry::{Registry, Told};
+use crate::registry::{ChangesOutcome, Registry};
 use crate::shared::Shared;
 use crate::shared_tests::shared;
 use crate::wire::ConfigRow;
@@ -61,10 +61,10 @@
     for junk in JUNK {
         let mut list = Registry::new(Millis(0));
         list.replace(&[good("w1"), good("w2")]);
-        assert!(list.apply(&row("w1", junk)));
+        assert!(list.apply_row(&row("w1", junk)));
         assert_eq!(ids(&list, &shared), ["w2"]);
-        assert!(!list.apply(&row("w1", junk)), "nothing new");
-        assert!(list.apply(&good("w1")));
+        assert!(!list.apply_row(&row("w1", junk)), "nothing new");
+        assert!(list.apply_row(&good("w1")));
         assert_eq!(ids(&list, &shared), ["w1", "w2"]);
         list.replace(&[row("w1", junk), good("w2")]);
         assert_eq!(ids(&list, &shared), ["w2"], "in a whole reading, too");
@@ -103,14 +103,14 @@
     let shared = process();
     let (mut reader, mut other) = (Registry::new(Millis(0)), Registry::new(Millis(0)));
     let first = changes(0, 10, reader.replace(&[good("w1"), good("w2"), row("bad", b"{}")]));
-    assert_eq!(other.take_told(&first), Told::Taken(true));
+    assert_eq!(other.apply_changes(&first), ChangesOutcome::Applied(true));
     // Signs of life change nothing, and are told without rows.
     let quiet = changes(10, 20, reader.replace(&[good("w1"), good("w2")]));
     assert!(quiet.rows.is_empty());
-    assert_eq!(other.take_told(&quiet), Told::Taken(false));
+    assert_eq!(other.apply_changes(&quiet), ChangesOutcome::Applied(false));
     for rows in [vec![good("w2"), good("w3")], vec![row("w2", b"7"), good("w3")], Vec::new()] {
-        let told = changes(20, 30, reader.replace(&rows));
-        other.take_told(&told);
+        let forwarded = changes(20, 30, reader.replace(&rows));
+        other.apply_changes(&forwarded);
         assert_eq!(ids(&other, &shared), ids(&reader, &shared));
     }
 }
@@ -120,11 +120,15 @@
     let shared = process();
     let mut list = Registry::new(Millis(0));
     let one = |id| vec![WorkerRow::from(&good(id))];
-    assert_eq!(list.take_told(&changes(0, 10, one("w1"))), Told::Taken(true));
-    assert_eq!(list.take_told(&changes(12, 14, one("w2"))), Told::Gap, "what came between is lost");
-    assert_eq!(list.take_told(&changes(4, 9, one("w3"))), Told::Old);
+    assert_eq!(list.apply_changes(&changes(0, 10, one("w1"))), ChangesOutcome::Applied(true));
+    assert_eq!(
+        list.apply_changes(&changes(12, 14, one("w2"))),
+        ChangesOutcome::Gap,
+        "what came between is lost"
+    );
+    assert_eq!(list.apply_changes(&changes(4, 9, one("w3"))), ChangesOutcome::Outdated);
     assert_eq!(ids(&list, &shared), ["w1"]);
-    assert_eq!(list.take_told(&changes(8, 14, one("w2"))), Told::Taken(true));
+    assert_eq!(list.apply_changes(&changes(8, 14, one("w2"))), ChangesOutcome::Applied(true));
     assert_eq!(ids(&list, &shared), ["w1", "w2"]);
 }
 
@@ -134,8 +138,8 @@
 fn a_whole_list_is_not_told() {
     let rows: Vec<WorkerRow> =
         (0..6_000).map(|i| WorkerRow::from(&good(&format!("w{i}")))).collect();
-    assert!(!changes(0, 10, rows).can_be_told());
-    assert!(changes(0, 10, vec![WorkerRow::from(&good("w1"))]).can_be_told());
+    assert!(!changes(0, 10, rows).can_be_forwarded());
+    assert!(changes(0, 10, vec![WorkerRow::from(&good("w1"))]).can_be_forwarded());
 }
 
 /// Pattern: the store was away, and an entry that is missing afterwards may come back. The owner that
@@ -145,18 +149,18 @@
     let shared = process();
     let mut list = Registry::new(Millis(0));
     list.replace(&[good("w1"), good("w2")]);
-    list.note_answer(Millis(60_000));
+    list.record_answer(Millis(60_000));
     let missing = Row { removed: true, ..good("w2") };
-    assert!(!list.apply(&missing));
-    assert!(list.is_doubtful());
-    assert_eq!(list.take_told(&changes(0, 10, Vec::new())), Told::Taken(false));
-    assert!(list.is_doubtful(), "only a whole reading tells");
+    assert!(!list.apply_row(&missing));
+    assert!(list.has_unconfirmed_entries());
+    assert_eq!(list.apply_changes(&changes(0, 10, Vec::new())), ChangesOutcome::Applied(false));
+    assert!(list.has_unconfirmed_entries(), "only a whole reading tells");
     list.replace(&[good("w1")]);
     assert_eq!(ids(&list, &shared), ["w1", "w2"], "too early");
-    list.note_answer(Millis(61_000));
-    list.note_answer(Millis(62_000));
-    list.note_answer(Millis(62_600));
+    list.record_answer(Millis(61_000));
+    list.record_answer(Millis(62_000));
+    list.record_answer(Millis(62_600));
     list.replace(&[good("w1")]);
     assert_eq!(ids(&list, &shared), ["w1"]);
-    assert!(!list.is_doubtful());
+    assert!(!list.has_unconfirmed_entries());
 }
--- a/crates/hollowford-node/src/relay.rs
+++ b/crates/hollowford-node/src/relay.rs
@@ -12,17 +12,17 @@
 use tokio::time::{sleep, timeout};
 
 /// Pause before a call is sent again to an owner that can't serve it yet.
-const AGAIN: Millis = Millis(30);
+const RETRY_PAUSE: Millis = Millis(30);
 /// A call that no owner has taken for so long is refused as not done. A takeover or a hand-over
 /// is mostly faster.
-const UNSENT_WITHIN: Millis = Millis(1_200);
+const UNSENT_TIMEOUT: Millis = Millis(1_200);
 /// Without an owner, and with a store that has not answered for so long, nobody can take over
 /// now: the call is refused at once.
-const NO_STORE: Millis = Millis(900);
+const MIN_STORE_OUTAGE: Millis = Millis(900);
 
 /// What came of relaying a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Relayed {
+pub enum RelayOutcome {
     /// The owner's answer, with the value that was asked for.
     Said(Said, u64),
     /// No owner could be reached: nothing was done.
@@ -38,13 +38,13 @@
 pub struct RemoteOwner {
     outbox: Outbox,
     pending: Pending,
-    next: Arc<AtomicU64>,
+    next_id: Arc<AtomicU64>,
 }
 
 impl RemoteOwner {
     /// Makes the owner's end of a link.
     pub fn new(outbox: Outbox) -> RemoteOwner {
-        RemoteOwner { outbox, pending: Arc::default(), next: Arc::default() }
+        RemoteOwner { outbox, pending: Arc::default(), next_id: Arc::default() }
     }
 
     fn pending(&self) -> std::sync::MutexGuard<'_, HashMap<u64, oneshot::Sender<CallAnswer>>> {
@@ -53,7 +53,7 @@
 
     /// Sends a call; the receiver fails when the link ends before the answer.
     fn call(&self, call: &Call) -> Option<oneshot::Receiver<CallAnswer>> {
-        let id = self.next.fetch_add(1, Ordering::Relaxed);
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let (tx, rx) = oneshot::channel();
         self.pending().insert(id, tx);
         let sent = self.outbox.send(Body::Call(Call { id, ..call.clone() }));
@@ -64,7 +64,7 @@
     }
 
     /// Hands an answer to the call that waits for it.
-    pub fn answered(&self, answer: CallAnswer) {
+    pub fn complete(&self, answer: CallAnswer) {
         if let Some(tx) = self.pending().remove(&answer.id) {
             // The caller may have given up.
             let _ = tx.send(answer);
@@ -79,47 +79,54 @@
 
 /// Sends a call to the owner, and again to the next one while that is safe, until `deadline`.
 /// Every call is safe to send again: a job's id makes it one job.
-pub async fn relay(shared: &Shared, p: &Partition, mut call: Call, deadline: Millis) -> Relayed {
-    let mut route = p.route.subscribe();
+pub async fn relay(
+    shared: &Shared,
+    partition: &Partition,
+    mut call: Call,
+    deadline: Millis,
+) -> RelayOutcome {
+    let mut route = partition.route.subscribe();
     // A refusal that comes early lets the caller come back while its work is still wanted.
-    let unsent_until = deadline.min(shared.clock.now() + UNSENT_WITHIN);
+    let unsent_until = deadline.min(shared.clock.now() + UNSENT_TIMEOUT);
     let mut sent = false;
     loop {
         let until = if sent { deadline } else { unsent_until };
         let left = until.since(shared.clock.now());
         if left == Millis(0) {
-            return if sent { Relayed::Unsure } else { Relayed::NotSent };
+            return if sent { RelayOutcome::Unsure } else { RelayOutcome::NotSent };
         }
         call.limit_ms = deadline.since(shared.clock.now()).0;
         let Some(rx) = send(&route.borrow_and_update(), &call) else {
             if !sent
-                && shared.store_away(NO_STORE)
-                && p.owner_contact_age(shared.clock.now()) >= NO_STORE
+                && shared.store_away(MIN_STORE_OUTAGE)
+                && partition.owner_contact_age(shared.clock.now()) >= MIN_STORE_OUTAGE
             {
-                return Relayed::NotSent;
+                return RelayOutcome::NotSent;
             }
-            next_owner(&mut route, left.min(NO_STORE)).await;
+            wait_for_route_change(&mut route, left.min(MIN_STORE_OUTAGE)).await;
             continue;
         };
-        let answered = deadline.since(shared.clock.now());
-        let Ok(answer) = timeout(answered.duration(), rx).await else { return Relayed::Unsure };
+        let until_deadline = deadline.since(shared.clock.now());
+        let Ok(answer) = timeout(until_deadline.duration(), rx).await else {
+            return RelayOutcome::Unsure;
+        };
         let Ok(answer) = answer else {
             // The link has ended before the answer.
             sent = true;
-            next_owner(&mut route, left.min(AGAIN)).await;
+            wait_for_route_change(&mut route, left.min(RETRY_PAUSE)).await;
             continue;
         };
         match answer.outcome() {
-            Said::NotOwner => next_owner(&mut route, left.min(AGAIN)).await,
+            Said::NotOwner => wait_for_route_change(&mut route, left.min(RETRY_PAUSE)).await,
             Said::Deposed => {
                 sent = true;
-                next_owner(&mut route, left.min(AGAIN)).await;
+                wait_for_route_change(&mut route, left.min(RETRY_PAUSE)).await;
             }
-            Said::NoQueue => sleep(AGAIN.duration()).await,
+            Said::NoQueue => sleep(RETRY_PAUSE.duration()).await,
             // Neither says what an earlier owner, which had taken the call, has done.
-            Said::UnknownKey | Said::NotTaken if sent => return Relayed::Unsure,
-            Said::NotTaken => return Relayed::NotSent,
-            said => return Relayed::Said(said, answer.value),
+            Said::UnknownKey | Said::NotTaken if sent => return RelayOutcome::Unsure,
+            Said::NotTaken => return RelayOutcome::NotSent,
+            said => return RelayOutcome::Said(said, answer.value),
         }
         shared.metrics.relayed_again.inc();
     }
@@ -135,7 +142,7 @@
 }
 
 /// Waits for the next owner, for `limit` at most.
-async fn next_owner(route: &mut watch::Receiver<Route>, limit: Millis) {
+async fn wait_for_route_change(route: &mut watch::Receiver<Route>, limit: Millis) {
     // Both ways of waking are good: the route is read again either way.
     let _ = timeout(limit.duration(), route.changed()).await;
 }
--- a/crates/hollowford-node/src/settling_tests.rs
+++ b/crates/hollowford-node/src/settling_tests.rs
@@ -5,9 +5,9 @@
 //! deposed each other until the cell happened to be quiet.
 #![allow(clippy::expect_used)]
 
-use crate::announce::{TOLD_AT_A_TIME, TOLD_EVERY};
+use crate::announce::{ANNOUNCE_CHUNK_INTERVAL, ANNOUNCE_CHUNK_SIZE};
 use crate::link::Outbox;
-use crate::members::{ConfigKnown, Members};
+use crate::members::{KnownConfig, Members};
 use crate::takeover::{FailureDetector, HEARTBEAT_INTERVAL, OwnerStatus};
 use crate::wire::{Body, Frame, Hello, MemberBeat, OwnerInfo};
 use hollowford_core::Millis;
@@ -67,12 +67,12 @@
     stopped: bool,
 }
 
-const KNOWN: ConfigKnown = ConfigKnown { version: 1, age: Millis(0) };
+const KNOWN: KnownConfig = KnownConfig { version: 1, age: Millis(0) };
 
 impl Scene {
     fn new(instances: usize) -> Scene {
         let follower = |_| {
-            let (outbox, rx) = Outbox::to_test();
+            let (outbox, rx) = Outbox::for_test();
             Follower {
                 rx,
                 outbox: Some(outbox),
@@ -106,13 +106,13 @@
 
     /// Those that are told now open their links.
     fn connect(&mut self) {
-        let told_every = TOLD_EVERY.as_millis() as u64;
+        let told_every = ANNOUNCE_CHUNK_INTERVAL.as_millis() as u64;
         let since = self.now - BEGAN - STEP;
         if !since.is_multiple_of(told_every) {
             return;
         }
-        let first = (since / told_every) as usize * TOLD_AT_A_TIME;
-        let end = (first + TOLD_AT_A_TIME).min(self.followers.len());
+        let first = (since / told_every) as usize * ANNOUNCE_CHUNK_SIZE;
+        let end = (first + ANNOUNCE_CHUNK_SIZE).min(self.followers.len());
         for i in first..end {
             self.followers[i].detector = Some(FailureDetector::new(Millis(self.now)));
             self.work.push_back(Work::Join(i));
@@ -146,11 +146,11 @@
                 let hello = Hello { address, cpu_milli: 1_000, age_ms: 1, ..Hello::default() };
                 let before = self.sent();
                 self.members.join(i as u64, hello, outbox, Millis(self.now));
-                self.members.greet(i as u64, KNOWN);
+                self.members.send_first_heartbeat(i as u64, KNOWN);
                 LINK_US + (self.sent() - before) as i64 * FRAME_US
             }
             Work::Beat(i) => {
-                self.members.beat(i as u64, &MemberBeat::default(), Millis(self.now));
+                self.members.record_heartbeat(i as u64, &MemberBeat::default(), Millis(self.now));
                 FRAME_US
             }
             Work::Question(i) => {
--- a/crates/hollowford-node/src/shared.rs
+++ b/crates/hollowford-node/src/shared.rs
@@ -1,7 +1,7 @@
 //! What the duties of a process share.
 
-use crate::homes::{home_of_account, home_of_job};
-use crate::members::ConfigKnown;
+use crate::assignment::{partition_of_account, partition_of_job};
+use crate::members::KnownConfig;
 use crate::metrics::Metrics;
 use crate::partition::Partition;
 use crate::wire::ConfigRow;
@@ -184,8 +184,8 @@
     pub fn partition_of(&self, account: &str, job: JobId) -> Option<&Arc<Partition>> {
         let partitions = self.partition_count();
         let home = match account {
-            NO_ACCOUNT => home_of_job(job, partitions),
-            account => home_of_account(account, partitions),
+            NO_ACCOUNT => partition_of_job(job, partitions),
+            account => partition_of_account(account, partitions),
         };
         self.partitions().get(home as usize)
     }
@@ -214,8 +214,8 @@
     }
 
     /// Returns what this process knows of the configuration.
-    pub fn config_known(&self) -> ConfigKnown {
-        ConfigKnown { version: self.config_version(), age: self.config_age() }
+    pub fn config_known(&self) -> KnownConfig {
+        KnownConfig { version: self.config_version(), age: self.config_age() }
     }
 
     /// Tells whether an owner vouches for the configuration that this process knows. Owners read
--- a/crates/hollowford-node/src/giving_up.rs
+++ b/crates/hollowford-node/src/step_down.rs
@@ -10,51 +10,51 @@
 use tokio::sync::oneshot;
 
 /// Members have joined a new owner after this time.
-const MEMBERS_JOIN: Millis = Millis(400);
+const MEMBERS_JOIN_TIME: Millis = Millis(400);
 /// How long a stopping owner waits for its last batch: without it the next one has to read the
 /// owner row first, and callers are told less. A slow store takes 0.9 s.
-const FLUSH: Millis = Millis(1_200);
+const FLUSH_TIMEOUT: Millis = Millis(1_200);
 
 /// Whether the owner gives its partition up. All times are by the process's clock.
 #[derive(Debug)]
-pub struct GivingUp {
+pub struct StepDown {
     shared: Arc<Shared>,
     epoch: u64,
     /// When this owner began.
-    began: Millis,
+    started_at: Millis,
     /// Who waits for the partition to be handed over, and since when.
-    stop: Option<(oneshot::Sender<()>, Millis)>,
+    stop_requested: Option<(oneshot::Sender<()>, Millis)>,
     /// Since when the partition is being given to a larger instance.
-    moving: Option<Millis>,
+    moving_since: Option<Millis>,
 }
 
-impl GivingUp {
+impl StepDown {
     /// Starts with an owner that keeps its partition, and begins just now.
-    pub fn new(shared: Arc<Shared>, epoch: u64) -> GivingUp {
-        let began = shared.clock.now();
-        GivingUp { shared, epoch, began, stop: None, moving: None }
+    pub fn new(shared: Arc<Shared>, epoch: u64) -> StepDown {
+        let started_at = shared.clock.now();
+        StepDown { shared, epoch, started_at, stop_requested: None, moving_since: None }
     }
 
     /// Begins to give the partition up, since the process stops; `done` is told afterwards.
     pub fn stop(&mut self, done: oneshot::Sender<()>) {
         log::info!("owner.stopping epoch={}", self.epoch);
-        self.stop = Some((done, self.shared.clock.now()));
+        self.stop_requested = Some((done, self.shared.clock.now()));
     }
 
     /// Returns since when the partition is being given up.
     pub fn since(&self) -> Option<Millis> {
-        self.stop.as_ref().map(|(_, since)| *since).or(self.moving)
+        self.stop_requested.as_ref().map(|(_, since)| *since).or(self.moving_since)
     }
 
     /// Gives the partition to a much larger instance, where there is one: the first that
     /// comes may be too small for the owner's work.
-    pub fn check_size(&mut self, members: &Members) {
+    pub fn check_for_larger_member(&mut self, members: &Members) {
         let now = self.shared.clock.now();
-        let joined = now.since(self.began) >= MEMBERS_JOIN;
-        let own = self.shared.cpu_milli() / self.shared.owned_count().max(1);
-        if self.since().is_none() && joined && members.any_larger_than(own) {
-            log::info!("owner.moving epoch={} cause=larger_member share={own}", self.epoch);
-            self.moving = Some(now);
+        let joined = now.since(self.started_at) >= MEMBERS_JOIN_TIME;
+        let own_share = self.shared.cpu_milli() / self.shared.owned_count().max(1);
+        if self.since().is_none() && joined && members.any_larger_than(own_share) {
+            log::info!("owner.moving epoch={} cause=larger_member share={own_share}", self.epoch);
+            self.moving_since = Some(now);
         }
     }
 
@@ -67,18 +67,18 @@
     ) -> Option<OwnerEnd> {
         let waited = self.shared.clock.now().since(self.since()?);
         let flushed = batches.is_idle() && waiters.is_empty();
-        if !flushed && waited < FLUSH {
+        if !flushed && waited < FLUSH_TIMEOUT {
             return None;
         }
         let rev = batches.settled_rev().unwrap_or(0);
-        let to = members.hand_over(rev, self.moving.is_some());
+        let to = members.hand_over(rev, self.moving_since.is_some());
         log::info!("owner.handed_over epoch={} to={to:?} flushed={flushed}", self.epoch);
         Some(OwnerEnd::HandedOver)
     }
 
     /// Tells the stopping process that the owner has ended.
-    pub fn tell_ended(&mut self) {
-        if let Some((done, _)) = self.stop.take() {
+    pub fn report_ended(&mut self) {
+        if let Some((done, _)) = self.stop_requested.take() {
             // The stopping process may have given up waiting.
             let _ = done.send(());
         }
--- a/crates/hollowford-node/src/worker_changes.rs
+++ b/crates/hollowford-node/src/worker_changes.rs
@@ -1,7 +1,7 @@
 //! Changes of the list of workers, as one owner tells them to the others.
 //!
 //! Each owner would follow the whole list for its own part of it, so the store would send every
-//! sign of life of every worker once for each partition. The owner of [`READER`] follows it for all:
+//! sign of life of every worker once for each partition. The owner of [`READER_PARTITION`] follows it for all:
 //! it tells the others what each of its readings has changed. They read for themselves while
 //! nothing comes that follows on what they know.
 
@@ -9,10 +9,10 @@
 use prost::Message;
 
 /// Number of the partition whose owner reads the list for all.
-pub const READER: u32 = 0;
+pub const READER_PARTITION: u32 = 0;
 /// Changes of more bytes aren't told: it is the whole list, or what has gathered while the store was
 /// away, and each owner reads that for itself.
-const MOST_BYTES: usize = 256 << 10;
+const MAX_FORWARDED_BYTES: usize = 256 << 10;
 
 /// What one reading of the list has changed.
 #[derive(Clone, PartialEq, Message)]
@@ -44,8 +44,8 @@
 
 impl WorkerChanges {
     /// Tells whether they are few enough to be told.
-    pub fn can_be_told(&self) -> bool {
-        self.encoded_len() <= MOST_BYTES
+    pub fn can_be_forwarded(&self) -> bool {
+        self.encoded_len() <= MAX_FORWARDED_BYTES
     }
 }
 
--- a/crates/hollowford/src/command/node.rs
+++ b/crates/hollowford/src/command/node.rs
@@ -4,7 +4,7 @@
 use crate::client::finish;
 use crate::error::CliError;
 use hollowford_adapter::NodeSettings;
-use hollowford_node::{NodeOptions, WORKERS_EACH};
+use hollowford_node::{DEFAULT_WORKERS_PER_PARTITION, NodeOptions};
 use pico_args::Arguments;
 use std::num::NonZeroUsize;
 
@@ -44,8 +44,10 @@
         .enable_all()
         .build()
         .map_err(CliError::io("runtime"))?;
-    let options =
-        NodeOptions { metrics_port: metrics, workers_each: workers_each.unwrap_or(WORKERS_EACH) };
+    let options = NodeOptions {
+        metrics_port: metrics,
+        workers_each: workers_each.unwrap_or(DEFAULT_WORKERS_PER_PARTITION),
+    };
     let run = hollowford_node::run(settings, options);
     runtime.block_on(run).map_err(|e| CliError::Run(e.to_string()))
 }
