--- a/crates/hollowford-node/src/lib.rs
+++ b/crates/hollowford-node/src/lib.rs
@@ -1,6 +1,7 @@
-//! A process on the users' platform: entry for callers, adviser, and owner in its turn.
+//! The hollowford node process: it serves callers, requests advice, and owns partitions.
 //!
-//! Its duties are tasks of one thread, joined by bounded channels; see docs/PLATFORM.md.
+//! Its duties run as tasks on one thread and communicate through bounded channels; see
+//! docs/PLATFORM.md.
 
 mod access;
 #[cfg(test)]
--- a/crates/hollowford-node/src/member.rs
+++ b/crates/hollowford-node/src/member.rs
@@ -1,4 +1,4 @@
-//! A process that doesn't own the partition: its link to the owner.
+//! A member: a process that doesn't own the partition, and its link to the owner.
 
 use crate::calls::advise;
 use crate::config_freshness::{ConfigFreshness, ReportedConfig};
@@ -16,9 +16,9 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use tokio::time::{MissedTickBehavior, interval};
 
-/// Follows an owner until they part, over as many links as it takes: a link that is reset
-/// says nothing of the owner. `takeover_order` are those that take over, in their order, as an owner told
-/// last.
+/// Follows an owner until this process leaves it. A link that is reset says nothing about the
+/// owner, so it is opened again. `takeover_order` is set to the members that the owner names to
+/// take over.
 pub async fn follow(
     cx: &PartitionContext,
     info: &OwnerInfo,
@@ -73,14 +73,14 @@
     info: &'a OwnerInfo,
     outbox: Outbox,
     remote: RemoteOwner,
-    /// The owner has sent a heartbeat: callers' requests go to it.
+    /// The owner has sent a heartbeat, so callers' requests are routed to it.
     joined: bool,
-    /// The owner has had this process make calls to workers.
+    /// The owner has delegated calls to workers to this process.
     has_delegated: bool,
     /// See [`follow`].
     takeover_order: &'a mut Vec<String>,
     detector: FailureDetector,
-    /// The owner is being asked whether it lives, and has answered once this is true.
+    /// Set while the owner is being probed; becomes true once it has answered.
     probe: Option<Arc<AtomicBool>>,
     /// When the last heartbeat was sent.
     heartbeat_sent_at: Option<Millis>,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Serves the link until it has to end.
+    /// Serves the link until this process leaves the owner.
     async fn serve(&mut self, reader: &mut FrameReader) -> LeaveReason {
         let mut newest = self.cx.partition.owner.subscribe();
         let mut ticks = interval(HEARTBEAT_INTERVAL.duration());
@@ -131,12 +131,12 @@
         }
     }
 
-    /// Takes in what the owner says. Returns why the link ends by it, if it does.
+    /// Handles a frame from the owner. Returns a reason if the member has to leave the owner.
     fn handle_frame(&mut self, body: Body) -> Option<LeaveReason> {
         self.detector.record_message(self.cx.shared.clock.now());
         self.probe = None;
         match body {
-            // Sent by a process that is just becoming the owner.
+            // Sent by a process that is about to become the owner.
             Body::Heartbeat(beat) if beat.epoch == 0 => {}
             Body::Heartbeat(beat) => self.handle_heartbeat(beat),
             Body::Answer(answer) => self.remote.complete(answer),
@@ -155,7 +155,7 @@
             }
             Body::Config(row) => config_watch::apply_packed(&self.cx.shared, row),
             Body::Workers(changes) => {
-                // A process that owns nothing by now has nobody who listens.
+                // Nobody listens if this process owns no partition any more.
                 let _ = self.cx.shared.worker_changes.send(Arc::new(changes));
             }
             Body::HandOver(h) => return Some(LeaveReason::HandedOver { rev: h.rev }),
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Takes in what the owner knows of the configuration.
+    /// Records what the owner reports about the configuration.
     fn record_reported_config(&self, beat: &Heartbeat) {
         let (shared, partition) = (&self.cx.shared, &self.cx.partition);
         let mut freshness = partition.config_freshness();
@@ -200,7 +200,8 @@
         partition.set_config_freshness(freshness);
     }
 
-    /// Tells the owner that this process is alive, unless the owner is silent itself.
+    /// Checks on the owner, and sends it a heartbeat when one is due. Returns a reason if the
+    /// member has to leave the owner.
     fn tick(&mut self) -> Option<LeaveReason> {
         let now = self.cx.shared.clock.now();
         match self.detector.check(now) {
@@ -210,7 +211,7 @@
             OwnerStatus::Failed if self.probe_answered() => return Some(LeaveReason::Cut),
             OwnerStatus::Failed => return Some(LeaveReason::Silent),
         }
-        // Half a tick early is in time: ticks come a little late.
+        // Ticks may come late, so a heartbeat may be sent up to half a tick early.
         let half = Millis(HEARTBEAT_INTERVAL.0 / 2);
         if self.heartbeat_sent_at.is_none_or(|at| now.since(at) + half >= self.detector.interval())
         {
@@ -220,8 +221,8 @@
         None
     }
 
-    /// Asks the owner over a new link whether it lives, once while it is quiet: this link may be
-    /// dead without a sign, or the owner late with its heartbeats.
+    /// Probes a suspected owner over a new link, once until it is heard again. The current link may
+    /// be dead without an error, or the owner may be late with its heartbeats.
     fn start_probe(&mut self) {
         if self.probe.is_none() {
             let answered = Arc::new(AtomicBool::new(false));
@@ -245,12 +246,12 @@
         }));
     }
 
-    /// Takes the owner off the way of callers' requests.
+    /// Stops routing callers' requests to the owner.
     fn close(&self) {
         self.cx.partition.route.send_replace(Route::None);
         self.cx.partition.store_probe_wanted.store(false, Ordering::Relaxed);
         self.cx.partition.set_config_freshness(ConfigFreshness::default());
-        // Whether the store answers decides what callers are told now.
+        // From now on the answers to callers depend on whether the store answers this process.
         self.cx.shared.config_wanted.notify_one();
         self.remote.fail_all();
     }
@@ -266,8 +267,8 @@
     outbox.send(Body::Advice(Advice { step: ask.step, answered, workers, tickets, validity_ms }));
 }
 
-/// Asks the process at an owner's address whether it still owns the partition, and notes it in
-/// `answered` if so.
+/// Asks the process at the owner's address whether it still owns the partition, and sets `answered`
+/// if so.
 async fn probe_owner(info: OwnerInfo, limit: Millis, answered: Arc<AtomicBool>) {
     let Ok(addr) = info.address.parse() else { return };
     let question = Body::WhoOwns(WhoOwns { partition: info.partition });
--- a/crates/hollowford-node/src/member_tests.rs
+++ b/crates/hollowford-node/src/member_tests.rs
@@ -14,7 +14,7 @@
 use tokio::time::timeout;
 
 const EPOCH: u64 = 3;
-/// Longest time for anything that the test waits for. Far above what it takes.
+/// Time limit of each wait, far above what it takes.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn cx() -> PartitionContext {
@@ -24,11 +24,11 @@
     PartitionContext { shared, partition }
 }
 
-/// Accepts a link as the owner, whose opener says who it is.
+/// Accepts a link as the owner and reads the member's hello.
 async fn accept(listener: &TcpListener) -> (FrameReader, Outbox) {
     let accepted = timeout(WAIT_TIMEOUT, listener.accept()).await;
     let (stream, _) = accepted.expect("the member opens a link").expect("a link");
-    let (mut reader, outbox) = link::split(stream).expect("its options");
+    let (mut reader, outbox) = link::split(stream).expect("socket options");
     let hello = link::read_frame(&mut reader).await;
     assert!(matches!(hello, Some(Body::Hello(_))), "{hello:?}");
     (reader, outbox)
@@ -40,9 +40,9 @@
 }
 
 #[tokio::test]
-async fn a_member_whose_link_is_cut_opens_another_before_it_takes_the_owner_for_gone() {
+async fn a_member_whose_link_is_cut_reconnects_before_it_leaves_the_owner() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("its address").to_string();
+    let address = listener.local_addr().expect("a local address").to_string();
     let cx = cx();
     let info = OwnerInfo { epoch: EPOCH, address, boot: 9, ..OwnerInfo::default() };
     let member = tokio::spawn(async move {
@@ -52,27 +52,27 @@
     for _ in 0..3 {
         let (mut reader, outbox) = accept(&listener).await;
         outbox.send(heartbeat(&["a", "b"]));
-        // Its own heartbeat shows that it has joined.
+        // The member sends heartbeats once it has joined.
         let beat = link::read_frame(&mut reader).await;
         assert!(matches!(beat, Some(Body::MemberBeat(_))), "{beat:?}");
     }
-    // This owner has nothing to say any more.
+    // The owner closes the last link without sending a heartbeat.
     drop(accept(&listener).await);
-    let (reason, members) = member.await.expect("its end");
+    let (reason, members) = member.await.expect("the member task");
     assert_eq!(reason, LeaveReason::Gone);
-    assert_eq!(members, ["a", "b"], "the order of takeover is still known");
+    assert_eq!(members, ["a", "b"], "the takeover order is kept");
 }
 
-/// A process that stops goes on with its last answers for a while after it has given the
-/// partition up.
+/// A stopping process keeps answering for a while after it has released the partition. A member
+/// that then connects must not wait for it to become the owner.
 #[tokio::test]
-async fn a_process_that_has_given_the_partition_up_does_not_pass_for_one_that_is_about_to_own_it() {
+async fn a_process_that_has_released_the_partition_does_not_claim_to_become_its_owner() {
     let cx = cx();
     let info = cx.owner_info(EPOCH);
     cx.partition.record_owner(&info);
     cx.partition.release(EPOCH);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("its address");
+    let address = listener.local_addr().expect("a local address");
     tokio::spawn(peers::accept(cx.shared.clone(), listener));
     let (mut reader, outbox) = link::connect(address).await.expect("a link");
     outbox.send(Body::Hello(Hello { owner: Some(info.clone()), ..Hello::default() }));
@@ -80,11 +80,12 @@
     assert_eq!(said, Some(Body::Owner(info)));
 }
 
-/// A link may go silent without a reset while new ones work: the owner lives all the same.
+/// A link may go silent without a reset while new links work. The owner is alive then and must not
+/// be replaced.
 #[tokio::test]
-async fn an_owner_that_answers_over_a_new_link_is_not_taken_for_silent() {
+async fn an_owner_that_answers_a_probe_over_a_new_link_is_not_silent() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("its address").to_string();
+    let address = listener.local_addr().expect("a local address").to_string();
     let cx = cx();
     let info = OwnerInfo { epoch: EPOCH, address, boot: 9, ..OwnerInfo::default() };
     let followed = info.clone();
@@ -92,26 +93,29 @@
     let (_silent, outbox) = accept(&listener).await;
     outbox.send(heartbeat(&["a"]));
     let (stream, _) =
-        timeout(WAIT_TIMEOUT, listener.accept()).await.expect("a link").expect("a link");
-    let (mut reader, question) = link::split(stream).expect("its options");
+        timeout(WAIT_TIMEOUT, listener.accept()).await.expect("the member probes").expect("a link");
+    let (mut reader, question) = link::split(stream).expect("socket options");
     assert!(matches!(link::read_frame(&mut reader).await, Some(Body::WhoOwns(_))));
     question.send(Body::Owner(info));
-    // It opens another link to this owner.
+    // The member opens another link to the same owner.
     let (_reader, outbox) = accept(&listener).await;
     outbox.send(Body::HandOver(HandOver { rev: 7 }));
-    assert_eq!(member.await.expect("its end"), LeaveReason::HandedOver { rev: 7 });
+    assert_eq!(member.await.expect("the member task"), LeaveReason::HandedOver { rev: 7 });
 }
 
-/// The pattern: an owner frozen or without power, whose address takes links and says nothing.
+/// The owner is frozen or has lost power: its address accepts links and sends nothing.
 #[tokio::test]
-async fn an_owner_that_does_not_answer_either_is_silent() {
+async fn an_owner_that_does_not_answer_the_probe_is_silent() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("its address").to_string();
+    let address = listener.local_addr().expect("a local address").to_string();
     let cx = cx();
     let info = OwnerInfo { epoch: EPOCH, address, boot: 9, ..OwnerInfo::default() };
     let member = tokio::spawn(async move { follow(&cx, &info, &mut Vec::new()).await });
     let (_silent, outbox) = accept(&listener).await;
     outbox.send(heartbeat(&["a"]));
-    let reason = timeout(WAIT_TIMEOUT, member).await.expect("it is missed").expect("its end");
+    let reason = timeout(WAIT_TIMEOUT, member)
+        .await
+        .expect("the owner is declared failed")
+        .expect("the member task");
     assert_eq!(reason, LeaveReason::Silent);
 }
--- a/crates/hollowford-node/src/owner_row.rs
+++ b/crates/hollowford-node/src/owner_row.rs
@@ -1,4 +1,4 @@
-//! The row that names the owner: reading it, and writing this process into it.
+//! Reads and writes the store row that names a partition's owner.
 
 use crate::lane::taken_rows;
 use crate::link;
@@ -9,26 +9,26 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Table of the system's rows.
+/// Store table with hollowford's own rows.
 pub const SYSTEM_TABLE: &str = "hollowford";
-/// Key of the row that names the owner.
+/// Key of the owner row.
 pub const OWNER_KEY: &str = "owner";
-/// Longest time for a call to the store that reads or writes few rows.
+/// Time limit of a store call that reads or writes a few rows.
 pub const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(800);
-/// Longest time for the writing that takes the partition. A slow store takes 0.9 s; one that
-/// is given up may still be made, and others lose time by it.
+/// Time limit of the transaction that takes a partition over. A slow store takes 0.9 s. A
+/// transaction that times out here may still be committed, which delays the other candidates.
 const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Pause after a call that failed.
+/// Pause after a failed call.
 pub const RETRY_PAUSE: Duration = Duration::from_millis(120);
 
-/// Reads what the owner row says.
+/// Decodes an owner row. Logs an error and returns none if it is malformed.
 pub fn decode_owner(row: &Row) -> Option<OwnerRow> {
     OwnerRow::decode(&row.value[..])
         .inspect_err(|e| log::error!("owner_row.malformed error=\"{e}\""))
         .ok()
 }
 
-/// Returns the value of the owner row or of another lane's, as a batch or a takeover writes it.
+/// Encodes the owner row, or the row of another lane, for a batch or a takeover.
 pub fn encode_owner(owner: &OwnerInfo, batch: u64) -> Vec<u8> {
     OwnerRow { owner: Some(owner.clone()), batch }.encode_to_vec()
 }
@@ -39,8 +39,8 @@
     read.map(|(row, _)| row)
 }
 
-/// Learns of an owner newer than `known`, from the store or from other processes; takes the
-/// partition when there has been none.
+/// Looks for an owner newer than `known` in the store or, if the store doesn't answer, among the
+/// seeds. Takes the partition over if it has never had an owner.
 pub async fn find_owner(cx: &PartitionContext, known: u64) {
     match read_owner_row(cx).await {
         Ok(Some(row)) => {
@@ -62,16 +62,17 @@
     }
 }
 
-/// Takes a partition that has never had an owner, unless another process does before its turn.
+/// Takes over a partition that has never had an owner, unless another process does so before this
+/// one's turn.
 async fn take_unowned(cx: &PartitionContext) {
     let wait = cx.candidate().first_owner_delay();
-    // By then it may have come to own others.
+    // This process may have become the owner of other partitions in the meantime.
     if cx.newer_owner_within(0, wait).await
         || cx.newer_owner_within(0, cx.candidate().first_owner_owned_partitions_delay()).await
     {
         return;
     }
-    // Most find that one has, and need no writing call to learn it.
+    // Most processes find an owner here, without the cost of a write.
     match read_owner_row(cx).await {
         Ok(None) => take_over(cx, 0, 1, "first").await,
         Ok(Some(row)) => {
@@ -98,7 +99,8 @@
     }
 }
 
-/// Returns the version of the owner row, unless it names an owner newer than `info`.
+/// Returns the version of the owner row. Returns none if the row can't be read, or names an owner
+/// newer than `info`, which is then recorded.
 pub async fn row_version_unless_newer(cx: &PartitionContext, info: &OwnerInfo) -> Option<Version> {
     match read_owner_row(cx).await {
         Ok(row) => {
@@ -120,8 +122,8 @@
     }
 }
 
-/// Writes this process into the owner row. A writing without an answer shows when the row
-/// is read next.
+/// Writes this process into the owner row if the row's version is still `rev`. If the store doesn't
+/// answer, the outcome shows when the row is next read.
 pub async fn take_over(cx: &PartitionContext, rev: Version, epoch: u64, cause: &str) {
     let info = cx.owner_info(epoch);
     let tx = Transaction {
@@ -151,7 +153,7 @@
     }
 }
 
-/// Reads the owner row after a writing without an answer.
+/// Reads the owner row after a write that was not answered.
 async fn reread_owner(cx: &PartitionContext, known: u64) {
     match read_owner_row(cx).await {
         Ok(row) => {
--- a/crates/hollowford-node/src/ownership.rs
+++ b/crates/hollowford-node/src/ownership.rs
@@ -1,4 +1,4 @@
-//! Who owns the partition: following an owner, taking over from it, being it.
+//! Ownership of one partition: following its owner, taking over from it, or being the owner.
 
 use crate::announce::announce;
 use crate::inbox::OwnerHandle;
@@ -13,12 +13,12 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Between two looks at the row of a silent owner that may be alive.
+/// Time between two reads of the row of a silent owner that may still be alive.
 const RECHECK_DELAY: Duration = Duration::from_millis(120);
 
-/// Keeps this process joined to the owner, or makes it the owner, until it ends.
+/// Follows the partition's owner, or makes this process the owner, for as long as the process runs.
 pub async fn run(cx: PartitionContext) {
-    // Kept from one owner to the next, which may be gone before it names any.
+    // Kept across owners: a new owner may fail before it names any members.
     let mut takeover_order = Vec::new();
     let mut changes = OwnerChanges::default();
     loop {
@@ -46,8 +46,8 @@
     }
 }
 
-/// Takes the partition over from an owner, unless another process does or it turns out to
-/// be alive.
+/// Takes the partition over, unless another process does so first or the owner turns out to be
+/// alive.
 async fn try_takeover(
     cx: &PartitionContext,
     info: &OwnerInfo,
@@ -76,7 +76,7 @@
     take_over(cx, rev, info.epoch + 1, cause.name()).await;
 }
 
-/// Waits for this member's turn to take over. Tells whether another was faster.
+/// Waits for this member's turn to take over. Returns true if a newer owner appeared first.
 async fn newer_owner_before_turn(
     cx: &PartitionContext,
     info: &OwnerInfo,
@@ -88,7 +88,8 @@
     cx.newer_owner_within(info.epoch, wait).await
 }
 
-/// Looks at the owner row again after version `rev`; none when the owner goes on writing it.
+/// Reads the owner row again after a delay. Returns its version if it is still `rev`, and none if
+/// the owner has written the row since.
 async fn row_version_if_unchanged(
     cx: &PartitionContext,
     info: &OwnerInfo,
@@ -97,14 +98,14 @@
     sleep(RECHECK_DELAY).await;
     let rechecked = row_version_unless_newer(cx, info).await?;
     if rechecked != rev {
-        log::info!("owner.alive epoch={} though silent here", info.epoch);
+        log::info!("owner.alive epoch={} but silent on its link to this process", info.epoch);
         sleep(RETRY_PAUSE).await;
         return None;
     }
     Some(rechecked)
 }
 
-/// Shows how often the partition has changed its owner lately.
+/// Exports the number of recent changes of owner as a metric, and warns if ownership is flapping.
 fn report_owner_changes(cx: &PartitionContext, changes: &OwnerChanges) {
     let (part, count) = (&cx.partition.part, changes.count());
     cx.shared.metrics.owner_changes.with_label_values(&[part.as_str()]).set(count as i64);
@@ -113,16 +114,16 @@
     }
 }
 
-/// Takes note of the epoch that this process owns the partition in; 0: it doesn't.
+/// Sets the metric of the epoch at which this process owns the partition; 0 if it doesn't.
 fn set_owned_epoch(cx: &PartitionContext, epoch: u64) {
     let gauge = cx.shared.metrics.owned_epoch.with_label_values(&[cx.partition.part.as_str()]);
     gauge.set(epoch as i64);
 }
 
-/// Owns the partition until it is lost or given up.
+/// Runs the owner until it loses the partition or steps down.
 async fn run_owner(cx: &PartitionContext, info: &OwnerInfo) -> OwnerEnd {
     let began = cx.shared.clock.now();
-    // Members go by what their owner has read.
+    // Members rely on the configuration that their owner has read, so the owner reads it now.
     cx.shared.config_wanted.notify_one();
     tokio::spawn(announce(cx.shared.clone(), info.clone()));
     let Some(start) = load(cx, info).await else { return OwnerEnd::GaveUp };
--- a/crates/hollowford-node/src/takeover.rs
+++ b/crates/hollowford-node/src/takeover.rs
@@ -1,118 +1,122 @@
-//! When an owner is gone, and who comes next: the rules, without I/O.
+//! Rules for detecting that an owner has failed and for choosing its successor. No I/O.
 //!
-//! Promise: an owner whose process has ended is replaced at once, one that says nothing after half
-//! a second and the time for a few calls to the store; one that lives is not deposed for being
-//! busy; and where a larger instance lives, a much smaller one doesn't own.
+//! An owner whose process has ended is replaced at once. An owner that falls silent is replaced
+//! after half a second plus the time for a few store calls. A live owner is not deposed for being
+//! busy, and a much smaller instance doesn't own a partition while a larger one is alive.
 //!
-//! 1. Each member judges its owner by what it hears on its own link ([`FailureDetector`], used by
-//!    `member`). An owner that is quiet is asked over a new link before it is taken for silent.
-//!    How it ends is [`LeaveReason`].
-//! 2. A member whose owner is gone waits its turn ([`Candidate`], used by `ownership`): those that
-//!    the owner has named go first, then larger ones, then those that own less.
-//! 3. The owner row decides (`owner_row`): it is written only as it was read, and an owner that
-//!    goes on writing it is alive.
+//! 1. Each member monitors its owner with a [`FailureDetector`] fed by the link to the owner (see
+//!    `member`). A suspected owner is probed over a new link before it is declared failed.
+//!    [`LeaveReason`] says how the member left it.
+//! 2. A member without an owner waits according to its rank as a [`Candidate`] (see `ownership`):
+//!    members named by the last owner go first, then larger instances, then those that own fewer
+//!    partitions.
+//! 3. The owner row decides (see `owner_row`): it is written conditionally on the version that was
+//!    read, and an owner that still writes it is alive.
 
 use hollowford_adapter::Version;
 use hollowford_core::Millis;
 use std::collections::VecDeque;
 
-/// How often a member tells its owner that it is alive and looks at what it has heard, and the
-/// pace that it expects of an owner until it is told another.
+/// How often a member checks on its owner, and the heartbeat interval that it assumes until the
+/// owner announces another one.
 pub const HEARTBEAT_INTERVAL: Millis = Millis(100);
-/// An owner that says nothing for so many heartbeats is asked whether it lives.
+/// Heartbeats missed before an owner is suspected and probed.
 const SUSPECT_AFTER_MISSED: u64 = 3;
-/// One that has said nothing for so many, nor answered, is taken as gone.
+/// Heartbeats missed, without an answer to the probe, before an owner is declared failed.
 const FAILED_AFTER_MISSED: u64 = 5;
-/// When this process's own timer comes so late, it was paused itself, and hears anew.
+/// A check that runs this late means that this process was itself paused; it then restarts
+/// detection.
 const MIN_SELF_PAUSE: Millis = Millis(250);
 
-/// How much later each next member takes over.
+/// Additional delay per rank in the takeover order.
 const RANK_DELAY: Millis = Millis(100);
-/// A process that owns other partitions leaves another one to others, so long for each.
+/// Additional delay per partition that the process already owns, so that others go first.
 const OWNED_PARTITION_DELAY: Millis = Millis(150);
-/// An instance of less than this part of the last owner's, in percent, is small.
+/// An instance with less than this percentage of the last owner's CPU counts as small.
 const MIN_FULL_SIZE_PERCENT: u32 = 70;
-/// A small one that the last owner hasn't named waits for a larger one, which may just be
-/// starting, or be waiting for an answer of the owner's address (0.5 s and two looks at the row).
+/// Additional delay of a small instance that the last owner hasn't named. A larger instance may
+/// just be starting, or waiting for the owner's address to answer (0.5 s and two reads of the row).
 const SMALL_INSTANCE_DELAY: Millis = Millis(700);
-/// Time between processes that begin with different partitions.
+/// Additional delay per slot. Slots make processes try partitions in different orders.
 const SLOT_DELAY: Millis = Millis(40);
-/// A process with hardly any processor leaves a partition that has never had an owner to larger
-/// ones for so long, others for less: they all start within some tenths of a second.
+/// Delay before an instance with almost no CPU takes a partition that has never had an owner;
+/// larger instances wait proportionally less. All instances of a new cell start within some tenths
+/// of a second.
 const MAX_FIRST_OWNER_DELAY: Millis = Millis(600);
-/// A process that owns other partitions leaves one that has never had an owner to others, so long
-/// for each: they learn only now that there are partitions.
+/// Additional delay, per partition already owned, before taking one that has never had an owner.
+/// The other processes are only just learning that there are partitions.
 const FIRST_OWNER_OWNED_PARTITION_DELAY: Millis = Millis(800);
-/// Thousandths of a core of an instance that has nothing to wait for.
+/// CPU, in thousandths of a core, from which an instance takes its first partition without delay.
 const WHOLE_CORE_MILLI: u32 = 1_000;
-/// Owners are counted over this time.
+/// Period over which changes of owner are counted.
 const OWNER_CHANGES_WINDOW: Millis = Millis(60_000);
-/// A partition that changes its owner so often within that time is unsettled: each takeover costs
-/// work that may bring the next one about.
+/// Changes within [`OWNER_CHANGES_WINDOW`] from which ownership is flapping: each takeover costs
+/// work that may cause the next one.
 const FLAPPING_MIN_CHANGES: u64 = 4;
 
-/// What a member makes of what it has heard of its owner.
+/// A member's verdict on its owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OwnerStatus {
-    /// It has heard the owner lately.
+    /// The owner was heard recently.
     Alive,
-    /// This process was itself paused for so long, so it can't tell.
+    /// This process was itself paused for this long, so it can't judge the owner.
     SelfPaused(Millis),
-    /// The owner is to be asked.
+    /// The owner has missed heartbeats and should be probed.
     Suspected,
-    /// Nothing has come for too long.
+    /// The owner has been silent for too long.
     Failed,
 }
 
-/// What a member has heard on its link to the owner, and when. All times are by its own clock.
+/// Detects a failed owner from the messages on a member's link to it. All times are by the member's
+/// clock.
 #[derive(Debug)]
 pub struct FailureDetector {
-    /// When the owner said something last.
+    /// When the owner's last message arrived.
     last_message: Millis,
-    /// When this process's own timer came last.
+    /// When [`FailureDetector::check`] last ran.
     last_check: Millis,
-    /// Time between two heartbeats, as the owner told last.
+    /// The owner's heartbeat interval, as last announced.
     interval: Millis,
 }
 
 impl FailureDetector {
-    /// Starts with a link that was opened just now.
+    /// Creates a detector for a link that was opened at `now`.
     pub fn new(now: Millis) -> FailureDetector {
         FailureDetector { last_message: now, last_check: now, interval: HEARTBEAT_INTERVAL }
     }
 
-    /// Takes note that the owner has said something.
+    /// Records a message from the owner.
     pub fn record_message(&mut self, now: Millis) {
         self.last_message = now;
     }
 
-    /// Takes note of how often the owner says that it lives.
+    /// Sets the heartbeat interval that the owner has announced.
     pub fn set_interval(&mut self, interval: Millis) {
         self.interval = interval.max(HEARTBEAT_INTERVAL);
     }
 
-    /// Returns the time between two heartbeats.
+    /// Returns the owner's heartbeat interval.
     pub fn interval(&self) -> Millis {
         self.interval
     }
 
-    /// Returns how long the owner may take to answer whether it lives.
+    /// Returns how long a suspected owner has to answer a probe.
     pub fn probe_timeout(&self) -> Millis {
         Millis(self.interval.0 * (FAILED_AFTER_MISSED - SUSPECT_AFTER_MISSED))
     }
 
-    /// Judges the owner; called every [`HEARTBEAT_INTERVAL`].
+    /// Checks on the owner. Must be called every [`HEARTBEAT_INTERVAL`].
     pub fn check(&mut self, now: Millis) -> OwnerStatus {
-        let paused = now.since(self.last_check);
+        let since_last_check = now.since(self.last_check);
         self.last_check = now;
-        if paused >= HEARTBEAT_INTERVAL + MIN_SELF_PAUSE {
+        if since_last_check >= HEARTBEAT_INTERVAL + MIN_SELF_PAUSE {
             self.last_message = now;
-            return OwnerStatus::SelfPaused(paused);
+            return OwnerStatus::SelfPaused(since_last_check);
         }
-        let quiet = now.since(self.last_message).0;
-        if quiet >= self.interval.0 * FAILED_AFTER_MISSED {
+        let silent_ms = now.since(self.last_message).0;
+        if silent_ms >= self.interval.0 * FAILED_AFTER_MISSED {
             OwnerStatus::Failed
-        } else if quiet >= self.interval.0 * SUSPECT_AFTER_MISSED {
+        } else if silent_ms >= self.interval.0 * SUSPECT_AFTER_MISSED {
             OwnerStatus::Suspected
         } else {
             OwnerStatus::Alive
@@ -120,26 +124,26 @@
     }
 }
 
-/// Why a member has left its owner.
+/// Why a member left its owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaveReason {
     /// A newer owner is known.
     Newer,
-    /// Nothing answers at its address, or not as the owner any more.
+    /// Nothing answers at the owner's address, or the process there is no longer the owner.
     Gone,
-    /// The link has ended or is dead, though the owner has answered: it may still be there.
+    /// The link ended or is dead, but the owner answered a probe or may still be alive.
     Cut,
-    /// It says nothing, also when it is asked over a new link.
+    /// The owner is silent and doesn't answer a probe over a new link either.
     Silent,
-    /// It wants this process to take over.
+    /// The owner asked this process to take over.
     HandedOver {
-        /// Version of the owner row; 0: not known.
+        /// Version of the owner row; 0 if not known.
         rev: Version,
     },
 }
 
 impl LeaveReason {
-    /// Returns its name, for logs and metrics.
+    /// Returns the reason's name for logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             LeaveReason::Newer => "newer",
@@ -151,57 +155,59 @@
     }
 }
 
-/// What decides how long a process leaves a partition to others.
+/// A process as a candidate for owning a partition.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// Thousandths of a core that it gets.
+    /// CPU of the process, in thousandths of a core.
     pub cpu_milli: u32,
-    /// How many partitions it owns.
+    /// Number of partitions that the process already owns.
     pub owned: u32,
-    /// Its place among the processes that begin with different partitions, from 0.
+    /// Slot of the process for this partition, from 0. See [`SLOT_DELAY`].
     pub slot: u32,
 }
 
 impl Candidate {
-    /// Returns how long it waits before it takes the partition over from an owner of so many
-    /// thousandths of a core that is gone, and has named `named` members to take over, this
-    /// process as the one at `rank`.
+    /// Returns the delay before this process takes over from a failed owner with `owner_cpu`
+    /// thousandths of a core. The owner named `named` members to take over, this process at
+    /// position `rank` if at all.
     pub fn takeover_delay(&self, rank: Option<usize>, named: usize, owner_cpu: u32) -> Millis {
-        let busy = times(OWNED_PARTITION_DELAY, self.owned);
+        let owned_delay = times(OWNED_PARTITION_DELAY, self.owned);
         if let Some(rank) = rank {
-            return times(RANK_DELAY, rank as u32) + busy;
+            return times(RANK_DELAY, rank as u32) + owned_delay;
         }
-        // What is left of a large cell doesn't come at once, nor before a larger instance that has
-        // not been named either.
+        // Unnamed members of a large cell must not all try at once, nor before a larger instance
+        // that was not named either.
         let small = self.cpu_milli * 100 < owner_cpu * MIN_FULL_SIZE_PERCENT;
-        let small = if small { SMALL_INSTANCE_DELAY } else { Millis(0) };
-        times(RANK_DELAY, named as u32) + times(SLOT_DELAY, self.slot) + small + busy
+        let small_delay = if small { SMALL_INSTANCE_DELAY } else { Millis(0) };
+        times(RANK_DELAY, named as u32) + times(SLOT_DELAY, self.slot) + small_delay + owned_delay
     }
 
-    /// Returns how long it waits before it takes a partition that has never had an owner, but for
-    /// the partitions that it owns.
+    /// Returns the delay before this process takes a partition that has never had an owner. The
+    /// partitions that it already owns are accounted for separately, by
+    /// [`Candidate::first_owner_owned_partitions_delay`].
     pub fn first_owner_delay(&self) -> Millis {
         let lacks = WHOLE_CORE_MILLI.saturating_sub(self.cpu_milli);
-        let small =
+        let cpu_delay =
             Millis(MAX_FIRST_OWNER_DELAY.0 * u64::from(lacks) / u64::from(WHOLE_CORE_MILLI));
-        small + times(SLOT_DELAY, self.slot)
+        cpu_delay + times(SLOT_DELAY, self.slot)
     }
 
-    /// Returns how much longer it waits then for the partitions that it owns.
+    /// Returns the additional delay before taking a partition that has never had an owner, for the
+    /// partitions that this process already owns.
     pub fn first_owner_owned_partitions_delay(&self) -> Millis {
         times(FIRST_OWNER_OWNED_PARTITION_DELAY, self.owned)
     }
 }
 
-/// The owners that a partition has had lately, as one process has learned of them.
+/// Recent owners of a partition, as far as this process knows them.
 #[derive(Debug, Default)]
 pub struct OwnerChanges {
-    /// When each became known, and its epoch.
+    /// When each owner became known, and its epoch.
     recent: VecDeque<(Millis, u64)>,
 }
 
 impl OwnerChanges {
-    /// Takes note of the owner at `epoch`; 0: none is known.
+    /// Records the owner at `epoch`; 0 means that no owner is known.
     pub fn record(&mut self, epoch: u64, now: Millis) {
         if epoch == 0 {
             return;
@@ -212,8 +218,8 @@
         }
     }
 
-    /// Returns how often the partition has changed its owner lately, also those times that this
-    /// process has not heard of.
+    /// Returns how often the owner changed within [`OWNER_CHANGES_WINDOW`], including changes that
+    /// this process missed.
     pub fn count(&self) -> u64 {
         match (self.recent.front(), self.recent.back()) {
             (Some((_, first)), Some((_, last))) => last - first,
@@ -221,7 +227,7 @@
         }
     }
 
-    /// Tells whether that is too often to be by failures of owners alone.
+    /// Returns true if the owner changes too often to be explained by failures of owners alone.
     pub fn is_flapping(&self) -> bool {
         self.count() >= FLAPPING_MIN_CHANGES
     }
--- a/crates/hollowford-node/src/takeover_tests.rs
+++ b/crates/hollowford-node/src/takeover_tests.rs
@@ -1,101 +1,109 @@
-//! When a member takes its owner for gone, and which process comes next.
+//! When a member declares its owner failed, and which process takes over.
 
 use crate::takeover::{Candidate, FailureDetector, HEARTBEAT_INTERVAL, OwnerChanges, OwnerStatus};
 use hollowford_core::Millis;
 use yare::parameterized;
 
 const NOW: Millis = Millis(7_000);
-const WHOLE: Candidate = Candidate { cpu_milli: 1_000, owned: 0, slot: 0 };
+const FULL_SIZE: Candidate = Candidate { cpu_milli: 1_000, owned: 0, slot: 0 };
 const SMALL: Candidate = Candidate { cpu_milli: 120, owned: 0, slot: 0 };
 
-/// Judges every beat until the owner is taken for silent; returns how long that took, and when
-/// it was to be asked first.
-fn silence(detector: &mut FailureDetector, from: Millis) -> (Millis, Millis) {
-    let mut asked = None;
+/// Checks at every interval until the owner is declared failed; returns how long that took and when
+/// the owner was first suspected.
+fn time_to_failure(detector: &mut FailureDetector, from: Millis) -> (Millis, Millis) {
+    let mut suspected_after = None;
     for beats in 1..=100 {
         let after = Millis(HEARTBEAT_INTERVAL.0 * beats);
         match detector.check(from + after) {
-            OwnerStatus::Failed => return (after, asked.unwrap_or(after)),
+            OwnerStatus::Failed => return (after, suspected_after.unwrap_or(after)),
             OwnerStatus::Suspected => {
-                asked.get_or_insert(after);
+                suspected_after.get_or_insert(after);
             }
             OwnerStatus::Alive | OwnerStatus::SelfPaused(_) => {}
         }
     }
-    panic!("an owner that says nothing is never missed");
+    panic!("a silent owner is never declared failed");
 }
 
 #[parameterized(
     one_of_the_first = { 100, 500, 300 },
     one_of_many = { 500, 2_500, 1_500 },
 )]
-fn an_owner_that_says_nothing_is_asked_and_then_missed(every: u64, missed: u64, asked: u64) {
+fn a_silent_owner_is_suspected_and_then_declared_failed(
+    interval: u64,
+    failed_after: u64,
+    suspected_after: u64,
+) {
     let mut detector = FailureDetector::new(NOW);
-    detector.set_interval(Millis(every));
-    assert_eq!(silence(&mut detector, NOW), (Millis(missed), Millis(asked)));
-    assert_eq!(detector.probe_timeout(), Millis(missed - asked));
+    detector.set_interval(Millis(interval));
+    assert_eq!(
+        time_to_failure(&mut detector, NOW),
+        (Millis(failed_after), Millis(suspected_after))
+    );
+    assert_eq!(detector.probe_timeout(), Millis(failed_after - suspected_after));
 }
 
 #[test]
-fn a_new_owner_that_says_nothing_at_all_is_missed_within_half_a_second() {
-    assert_eq!(silence(&mut FailureDetector::new(NOW), NOW).0, Millis(500));
+fn a_new_owner_that_sends_nothing_is_declared_failed_within_half_a_second() {
+    assert_eq!(time_to_failure(&mut FailureDetector::new(NOW), NOW).0, Millis(500));
 }
 
 #[test]
-fn a_member_that_was_paused_itself_hears_anew() {
+fn a_member_that_was_paused_itself_restarts_detection() {
     let mut detector = FailureDetector::new(NOW);
     let later = NOW + Millis(4_000);
     assert_eq!(detector.check(later), OwnerStatus::SelfPaused(Millis(4_000)));
-    assert_eq!(silence(&mut detector, later).0, Millis(500));
+    assert_eq!(time_to_failure(&mut detector, later).0, Millis(500));
 }
 
-/// Pattern: 72 whole cores and 516 of 0.12; the owner has named eight of the former, which are
-/// gone with it.
+/// A cell of 72 instances with a whole core and 516 with 0.12 cores: the eight members that the
+/// owner named all have a whole core and fail together with it. A small instance must not take over
+/// before the remaining large ones.
 #[test]
 fn a_small_instance_does_not_take_over_before_a_larger_one() {
     for slot in 0..5 {
-        let whole = Candidate { slot, ..WHOLE }.takeover_delay(None, 8, 1_000);
+        let whole = Candidate { slot, ..FULL_SIZE }.takeover_delay(None, 8, 1_000);
         let small = Candidate { slot: 0, ..SMALL }.takeover_delay(None, 8, 1_000);
         assert!(whole + Millis(500) <= small, "slot {slot}: {whole:?} and {small:?}");
-        let whole = Candidate { slot, ..WHOLE }.first_owner_delay();
+        let whole = Candidate { slot, ..FULL_SIZE }.first_owner_delay();
         let small = Candidate { slot: 0, ..SMALL }.first_owner_delay();
         assert!(whole + Millis(300) <= small, "slot {slot}: {whole:?} and {small:?}");
     }
 }
 
 #[test]
-fn small_instances_alone_wait_for_nobody() {
+fn small_instances_do_not_wait_when_there_is_no_larger_one() {
     let alike = SMALL.takeover_delay(None, 0, SMALL.cpu_milli);
     assert_eq!(alike, Millis(0));
-    assert_eq!(SMALL.takeover_delay(Some(0), 8, 1_000), Millis(0), "the owner has named it first");
+    assert_eq!(SMALL.takeover_delay(Some(0), 8, 1_000), Millis(0), "the owner named it first");
 }
 
 #[test]
-fn those_that_the_owner_has_named_go_first_and_one_after_the_other() {
+fn members_that_the_owner_has_named_go_first_in_rank_order() {
     let waits: Vec<Millis> =
-        (0..8).map(|rank| WHOLE.takeover_delay(Some(rank), 8, 1_000)).collect();
+        (0..8).map(|rank| FULL_SIZE.takeover_delay(Some(rank), 8, 1_000)).collect();
     assert!(waits.windows(2).all(|w| w[0] < w[1]), "{waits:?}");
-    assert!(waits[7] < WHOLE.takeover_delay(None, 8, 1_000));
+    assert!(waits[7] < FULL_SIZE.takeover_delay(None, 8, 1_000));
 }
 
 #[test]
-fn one_that_owns_partitions_leaves_others_to_those_that_own_none() {
-    let busy = Candidate { owned: 1, ..WHOLE };
-    assert!(busy.takeover_delay(Some(0), 8, 1_000) > WHOLE.takeover_delay(Some(1), 8, 1_000));
-    assert_eq!(WHOLE.first_owner_owned_partitions_delay(), Millis(0));
+fn a_process_that_owns_partitions_goes_after_those_that_own_none() {
+    let busy = Candidate { owned: 1, ..FULL_SIZE };
+    assert!(busy.takeover_delay(Some(0), 8, 1_000) > FULL_SIZE.takeover_delay(Some(1), 8, 1_000));
+    assert_eq!(FULL_SIZE.first_owner_owned_partitions_delay(), Millis(0));
     assert!(busy.first_owner_owned_partitions_delay() > SMALL.first_owner_delay());
 }
 
 #[test]
-fn a_partition_whose_owners_follow_each_other_is_unsettled() {
+fn a_partition_with_many_changes_of_owner_within_a_minute_is_flapping() {
     let mut changes = OwnerChanges::default();
-    // A process that has just started knows nothing of the ones before.
+    // A process that has just started doesn't know the earlier owners.
     changes.record(16, NOW);
     assert!(!changes.is_flapping());
     changes.record(17, NOW + Millis(600));
     changes.record(17, NOW + Millis(700));
     assert_eq!(changes.count(), 1);
-    // It has not heard of two of them.
+    // Epochs 18 and 19 were missed.
     changes.record(20, NOW + Millis(1_300));
     assert_eq!(changes.count(), 4);
     assert!(changes.is_flapping());
