--- a/crates/hollowford-node/src/members.rs
+++ b/crates/hollowford-node/src/members.rs
@@ -1,4 +1,4 @@
-//! The processes that have a link to the owner.
+//! The owner's members: the processes that have a link to it.
 
 mod heartbeats;
 
@@ -13,19 +13,19 @@
 use std::cmp::Reverse;
 use std::sync::Arc;
 
-/// A member that was not heard for so many heartbeats gets no work.
+/// Heartbeats that a member may miss before it gets no more work.
 const MAX_MISSED_HEARTBEATS: u64 = 9;
-/// A member that the store has answered within this time is served by it, when members are asked
-/// to find out.
+/// Time since a member's last store answer up to which the store counts as serving it, while
+/// members probe the store on the owner's request.
 const MAX_PROBED_STORE_AGE: Millis = Millis(500);
-/// The same for members that are not asked: they read the configuration every 3 s.
+/// The same while members don't probe on request: they then call the store every 3 s.
 const MAX_STORE_AGE: Millis = Millis(3_500);
-/// An instance is much larger than another from this part of its processors on, in percent.
+/// A member is much larger if its CPU share is at least this percentage of the owner's.
 const MIN_LARGER_PERCENT: u32 = 150;
-/// Longest time for a call for advice that a member makes.
+/// Time limit of an advice call that a member makes.
 const ADVICE_TIMEOUT_MS: u64 = 3_000;
 
-/// Tells one link to the owner from another, also of the same member.
+/// Identifies one link to the owner. A member that reconnects gets a new one.
 pub type LinkId = u64;
 
 #[derive(Debug)]
@@ -34,70 +34,70 @@
     address: Arc<str>,
     zone: Arc<str>,
     cpu_milli: u32,
-    /// When its process was started, by the owner's clock.
+    /// When the member's process started, by the owner's clock.
     started_at: Millis,
     outbox: Outbox,
     last_heard: Millis,
     store_age: Millis,
     stopping: bool,
-    /// How many partitions it owns.
+    /// Number of partitions that the member owns.
     owned_partitions: u32,
-    /// Version of the configuration that it has, once it has told.
+    /// Version of the member's configuration; none until it has reported one.
     config_version: Option<u64>,
-    /// Version of the configuration that was sent to it last; 0: none was.
+    /// Version of the configuration last sent to the member; 0 if none was.
     sent_config_version: u64,
-    /// Which order of members it was told last.
+    /// [`Members::order_number`] of the takeover order last sent to the member.
     sent_order_number: u64,
-    /// When it was sent a heartbeat last.
+    /// When the last heartbeat was sent to the member.
     heartbeat_sent_at: Millis,
-    /// How soon after that one the next was said to come.
+    /// Heartbeat interval announced with that heartbeat.
     announced_interval: Millis,
 }
 
 impl Member {
-    /// Returns what one more partition would get of its processor, in thousandths of a core.
+    /// Returns the CPU that one more partition would get on this member, in thousandths of a core.
     fn share(&self) -> u32 {
         self.cpu_milli / (self.owned_partitions + 1)
     }
 
-    /// Returns its place among those that take over: the largest first, then the one that has run
+    /// Returns the sort key of the takeover order: larger members first, then those that have run
     /// longest.
     fn takeover_order(&self) -> (Reverse<u32>, Millis, &str) {
         (Reverse(self.cpu_milli), self.started_at, &self.address)
     }
 }
 
-/// What the owner knows of the configuration.
+/// The configuration that the owner knows.
 #[derive(Clone, Copy, Debug)]
 pub struct KnownConfig {
-    /// Its version.
+    /// Version of the configuration.
     pub version: u64,
-    /// Time since the owner read it in the store.
+    /// Time since the owner read it from the store.
     pub age: Millis,
 }
 
-/// The members.
+/// The members of one owner, in takeover order.
 #[derive(Debug)]
 pub struct Members {
     owner: OwnerInfo,
-    /// How many partitions there are.
+    /// Number of partitions in the cell.
     partitions: u32,
     list: Vec<Member>,
-    /// When it was looked last whose heartbeat is due.
+    /// When the members were last checked for due heartbeats.
     due_checked_at: Millis,
-    /// When the round of heartbeats that is under way began.
+    /// When the current round of heartbeats started.
     round_started_at: Millis,
     store_lost: bool,
     now: Millis,
     had_members: bool,
-    /// The members that take over first, as heartbeats name them.
+    /// Addresses of the members that take over first, as named in heartbeats.
     order: Vec<String>,
-    /// Counts the changes of that, from 1.
+    /// Incremented with each change of `order`, from 1.
     order_number: u64,
 }
 
 impl Members {
-    /// Makes an empty list.
+    /// Creates an empty list.
     pub fn new(owner: OwnerInfo, partitions: u32) -> Members {
         Members {
             owner,
@@ -113,8 +113,9 @@
         }
     }
 
-    /// Adds a member, in the place of an earlier link from its address. The others hear of it with
-    /// their next heartbeat: where hundreds of links open at once, one more costs what the first did.
+    /// Adds a member, replacing an earlier link from the same address. The other members learn of
+    /// it with their next heartbeat, so that the cost of a join doesn't grow with the number of
+    /// members: hundreds of links may open at once.
     pub fn join(&mut self, link: LinkId, hello: Hello, outbox: Outbox, now: Millis) {
         self.now = now;
         self.list.retain(|m| *m.address != hello.address);
@@ -140,17 +141,17 @@
         self.list.insert(at, member);
     }
 
-    /// Removes the member of a link that has ended.
+    /// Removes the member whose link has ended.
     pub fn leave(&mut self, link: LinkId) {
         self.list.retain(|m| m.link != link);
     }
 
-    /// Tells whether there ever was a member.
+    /// Returns true if a member ever joined.
     pub fn had_members(&self) -> bool {
         self.had_members
     }
 
-    /// Takes note of a member's heartbeat.
+    /// Records a member's heartbeat.
     pub fn record_heartbeat(&mut self, link: LinkId, beat: &MemberBeat, now: Millis) {
         self.now = now;
         if let Some(m) = self.list.iter_mut().find(|m| m.link == link) {
@@ -162,8 +163,8 @@
         }
     }
 
-    /// Returns the seats for calls for advice, this process first. Each member makes the calls
-    /// of one partition, since the service takes one call of an instance at a time.
+    /// Returns the seats that can make advice calls, this process first. Each member makes the
+    /// calls of one partition only, since the service accepts one call per instance at a time.
     pub fn seats(&self) -> Vec<Seat> {
         let here = Seat { address: "".into() };
         let ours =
@@ -183,7 +184,7 @@
         self.live().map(delegate).collect()
     }
 
-    /// Has a member make a call for advice. Tells whether it was sent.
+    /// Asks a member to make an advice call. Returns true if the request was sent.
     pub fn request_advice(&self, address: &str, step: StepKey, workers: Vec<String>) -> bool {
         let Some(m) = self.list.iter().find(|m| &*m.address == address) else { return false };
         let ask = Ask { step: step.to_string(), workers, timeout_ms: ADVICE_TIMEOUT_MS };
@@ -195,10 +196,11 @@
         self.list.iter().filter(move |m| !m.stopping && self.now.since(m.last_heard) < silent_after)
     }
 
-    /// Names the live member with the most processor for the partition as the next owner.
-    /// Of equal ones a stopping owner names the youngest: where processes are restarted in
-    /// turn, its turn is over. One that is `is_moving` names one by the partition, so that owners
-    /// that move together don't meet again. Returns its address.
+    /// Hands the partition over to the live member with the most CPU for it, preferring members
+    /// that the store serves, and returns its address. Of equal members a stopping owner chooses
+    /// the one started last: in a rolling restart it has already been restarted. If `is_moving`,
+    /// the choice among equal members depends on the partition, so that owners which move at the
+    /// same time choose different members.
     pub fn hand_over(&self, rev: u64, is_moving: bool) -> Option<Arc<str>> {
         let order = |m: &&Member| {
             let by_partition = process_order(&m.address, self.owner.partition);
@@ -210,10 +212,10 @@
         Some(next.address.clone())
     }
 
-    /// Sends the configuration in `row` to the members that have told of an older one than
-    /// `version`, to each once: a link loses nothing, and a configuration of a thousand routes may
-    /// take longer to arrive than the member's next heartbeat. While one is on its way no other
-    /// follows, or quick changes would fill the link.
+    /// Sends the configuration in `row` to the members that have reported a version older than
+    /// `version`, once to each: links are reliable, and a configuration with a thousand routes may
+    /// arrive later than the member's next heartbeat. Nothing newer is sent while one is in
+    /// transit, since frequent changes would saturate the link.
     pub fn send_config(&mut self, version: u64, row: &ConfigRow) {
         for m in &mut self.list {
             let Some(has) = m.config_version else { continue };
@@ -224,27 +226,27 @@
         }
     }
 
-    /// Sends changes of the list of workers to the members that own partitions.
+    /// Sends worker list changes to the members that own partitions.
     pub fn send_worker_changes(&self, changes: &WorkerChanges) {
         for m in self.list.iter().filter(|m| m.owned_partitions > 0) {
-            // A link that has ended: that owner reads the list itself.
+            // If the link has ended, that owner reads the list from the store itself.
             m.outbox.send(Body::Workers(changes.clone()));
         }
     }
 
-    /// Tells whether a live member has much more of a core for the partition than `cpu_milli`
-    /// thousandths, and is served by the store.
+    /// Returns true if a live member that the store serves has a much larger CPU share for the
+    /// partition than `cpu_milli` thousandths of a core.
     pub fn any_larger_than(&self, cpu_milli: u32) -> bool {
         let larger = |m: &Member| m.share() * 100 >= cpu_milli * MIN_LARGER_PERCENT;
         self.live().any(|m| larger(m) && m.store_age < MAX_STORE_AGE)
     }
 
-    /// Tells whether the store serves a live member.
+    /// Returns true if the store serves a live member.
     pub fn any_served_by_store(&self) -> bool {
         self.live().any(|m| m.store_age < MAX_PROBED_STORE_AGE)
     }
 
-    /// Names a member that the store serves as the next owner. Tells whether there is one.
+    /// Hands the partition over to a member that the store serves. Returns true if there was one.
     pub fn hand_over_to_served_member(&self) -> bool {
         let served = self.live().filter(|m| m.store_age < MAX_PROBED_STORE_AGE);
         let next = served.max_by_key(|m| (m.share(), Reverse(m.store_age)));
--- a/crates/hollowford-node/src/members/heartbeats.rs
+++ b/crates/hollowford-node/src/members/heartbeats.rs
@@ -1,33 +1,34 @@
-//! The owner's heartbeats to its members: when each is due, and what it says.
+//! When the owner sends heartbeats to its members, and their content.
 
 use super::{KnownConfig, LinkId, Member, Members};
 use crate::wire::{Body, Heartbeat};
 use hollowford_core::Millis;
 
-/// How often the owner tells its members that it is alive, while they are few.
+/// Heartbeat interval in a small cell, and of the members named to take over in any cell.
 pub(super) const BASE_HEARTBEAT_INTERVAL: Millis = Millis(100);
-/// How often the owner looks whose heartbeat is due.
+/// How often the owner checks which heartbeats are due.
 const DUE_CHECK_INTERVAL: Millis = Millis(10);
-/// With more members than this heartbeats come less often, so that the owner sends and takes
-/// some 500 a second.
+/// Number of members up to which all get heartbeats at the base interval. Beyond it the interval
+/// grows, so that the owner sends and receives about 500 heartbeats a second.
 const MAX_MEMBERS_AT_BASE_INTERVAL: usize = 50;
-/// They are at most so many times rarer: a member has to be missed in time.
+/// Limit of the interval as a multiple of the base interval, so that a failed member is still
+/// detected in time.
 const MAX_INTERVAL_FACTOR: usize = 5;
-/// Heartbeats name so many members, the first ones to take over: all of them would be some
+/// Number of members that heartbeats name in takeover order. Naming all would take several
 /// megabytes a second in a large cell.
 const MAX_NAMED_MEMBERS: usize = 8;
 
 impl Members {
-    /// Sends a member that has just joined its first heartbeat, so that it knows its owner.
+    /// Sends a member that has just joined its first heartbeat, which confirms the owner.
     pub fn send_first_heartbeat(&mut self, link: LinkId, config: KnownConfig) {
         if let Some(at) = self.list.iter().position(|m| m.link == link) {
             self.send_to(config, vec![at]);
         }
     }
 
-    /// Sends the heartbeats that are due, and tells whether a round is over in which every member
-    /// got one. Those that take over first get theirs at full pace, so that they miss an owner soon
-    /// in a large cell, too.
+    /// Sends the heartbeats that are due. Returns true if a round ended in which every member got
+    /// one. The members that take over first get heartbeats at the base interval, so that they
+    /// detect a failed owner quickly in a large cell, too.
     pub fn tick(&mut self, now: Millis, config: KnownConfig, store_lost: bool) -> bool {
         self.now = now;
         self.store_lost = store_lost;
@@ -44,8 +45,9 @@
         round_over
     }
 
-    /// Returns the positions of the members whose next heartbeat is due, by the pace that each was
-    /// told: in a cell that grows, the earlier ones expect it at the pace of a smaller one.
+    /// Returns the positions of the members whose next heartbeat is due by the interval announced
+    /// to each. While a cell grows, members that joined early expect the shorter interval of a
+    /// smaller cell.
     fn due(&self) -> impl Iterator<Item = usize> {
         let named_end = self.named_end();
         let all = self.list.iter().enumerate();
@@ -56,26 +58,26 @@
         all.filter(is_due).map(|(at, _)| at)
     }
 
-    /// Returns the end of the part of the list that holds the first ones to take over.
+    /// Returns the end of the range of `list` that holds the members named in heartbeats.
     fn named_end(&self) -> usize {
         let first = self.list.iter().enumerate().filter(|(_, m)| !m.stopping);
         first.take(MAX_NAMED_MEMBERS).last().map_or(0, |(at, _)| at + 1)
     }
 
-    /// Returns the time between two heartbeats to the member at a position.
+    /// Returns the heartbeat interval of the member at a position.
     fn interval_at(&self, at: usize, named_end: usize) -> Millis {
         if at < named_end { BASE_HEARTBEAT_INTERVAL } else { self.interval() }
     }
 
-    /// Returns the time between two heartbeats to most members.
+    /// Returns the heartbeat interval of members that are not named to take over.
     pub(super) fn interval(&self) -> Millis {
         let times =
             self.list.len().div_ceil(MAX_MEMBERS_AT_BASE_INTERVAL).clamp(1, MAX_INTERVAL_FACTOR);
         Millis(BASE_HEARTBEAT_INTERVAL.0 * times as u64)
     }
 
-    /// Sends a heartbeat to the members at these positions. Who takes over first is told to each
-    /// member once, and again when it changes.
+    /// Sends a heartbeat to the members at these positions. The takeover order is included for a
+    /// member that has not received its latest version.
     fn send_to(&mut self, config: KnownConfig, positions: Vec<usize>) {
         self.update_order();
         let named_end = self.named_end();
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Brings the members that take over first up to date.
+    /// Updates the takeover order that heartbeats name.
     fn update_order(&mut self) {
         let order = || self.list.iter().filter(|m| !m.stopping).take(MAX_NAMED_MEMBERS);
         if order().map(|m| &*m.address).ne(self.order.iter().map(String::as_str)) {
--- a/crates/hollowford-node/src/members_tests.rs
+++ b/crates/hollowford-node/src/members_tests.rs
@@ -1,4 +1,4 @@
-//! How often members hear of their owner, and how often they are sent the configuration.
+//! When the owner sends heartbeats and the configuration to its members.
 #![allow(clippy::expect_used)]
 
 use crate::link::Outbox;
@@ -8,13 +8,13 @@
 use hollowford_core::Millis;
 use tokio::sync::mpsc::Receiver;
 
-/// When all members join.
+/// When members join, by the owner's clock.
 const JOINED_AT: Millis = Millis(5_000);
 
-/// How often the owner's turn comes in these tests.
+/// Time between two calls of [`Members::tick`].
 const TICK_INTERVAL: Millis = Millis(10);
 
-/// What the owner knows of the configuration.
+/// The owner's configuration.
 const KNOWN_CONFIG: KnownConfig = KnownConfig { version: 1, age: Millis(0) };
 
 fn join(members: &mut Members, link: u64, now: Millis) -> Receiver<Frame> {
@@ -25,7 +25,7 @@
     rx
 }
 
-/// Reads the paces that the heartbeats sent so far have told.
+/// Returns the intervals announced in the heartbeats received so far.
 fn intervals(rx: &mut Receiver<Frame>) -> Vec<u64> {
     let mut received = Vec::new();
     while let Ok(frame) = rx.try_recv() {
@@ -37,13 +37,13 @@
 }
 
 #[test]
-fn those_that_take_over_first_hear_more_often_in_a_large_cell() {
+fn members_that_take_over_first_get_more_heartbeats_in_a_large_cell() {
     let mut members = Members::new(OwnerInfo::default(), 1);
     let mut rxs: Vec<_> = (0..147).map(|i| join(&mut members, i, JOINED_AT)).collect();
     for ms in (10..=3_000).step_by(10) {
         members.tick(JOINED_AT + Millis(ms), KNOWN_CONFIG, false);
     }
-    // The ones that have run longest take over first.
+    // Members that have run longest take over first.
     for (i, rx) in rxs.iter_mut().enumerate() {
         let received = intervals(rx);
         let (interval, least) = if i < 8 { (100, 28) } else { (300, 9) };
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn all_hear_alike_in_a_small_cell() {
+fn all_members_get_equally_many_heartbeats_in_a_small_cell() {
     let mut members = Members::new(OwnerInfo::default(), 1);
     let mut rxs: Vec<_> = (0..12).map(|i| join(&mut members, i, JOINED_AT)).collect();
     for ms in (10..=1_000).step_by(10) {
@@ -68,13 +68,14 @@
     }
 }
 
-/// Pattern: hundreds of links open to a new owner over half a second. The first ones are told the
-/// pace of a small cell, and take an owner for silent that falls back to the pace of a large one.
+/// Hundreds of links open to a new owner over half a second. The first members are announced the
+/// interval of a small cell; if the owner then switched to the interval of a large one, they would
+/// declare it failed.
 #[test]
-fn every_heartbeat_comes_as_soon_as_the_one_before_has_told() {
+fn every_heartbeat_comes_within_the_interval_that_the_previous_one_announced() {
     let mut members = Members::new(OwnerInfo::default(), 1);
     let mut rxs = Vec::new();
-    // Of each member: when its next heartbeat is due at the latest.
+    // For each member, when its next heartbeat must arrive at the latest.
     let mut due: Vec<Millis> = Vec::new();
     for ms in (10..=2_000).step_by(10) {
         let now = JOINED_AT + Millis(ms);
@@ -96,7 +97,7 @@
     assert_eq!(rxs.len(), 588);
 }
 
-/// Reads the orders of members that the heartbeats sent so far have told.
+/// Returns the takeover orders named in the heartbeats received so far.
 fn orders(rx: &mut Receiver<Frame>) -> Vec<Vec<String>> {
     let mut received = Vec::new();
     while let Ok(frame) = rx.try_recv() {
@@ -109,17 +110,18 @@
     received
 }
 
-/// Pattern: heartbeats to 22 members ten times a second, each with eight addresses, were a tenth
-/// of a link of 2 Mbit/s.
+/// Heartbeats to 22 members ten times a second, each with eight addresses, took a tenth of a 2
+/// Mbit/s link.
 #[test]
-fn who_takes_over_first_is_told_once_and_when_it_changes() {
+fn the_takeover_order_is_sent_once_and_after_each_change() {
     let mut members = Members::new(OwnerInfo::default(), 1);
     let mut rx = join(&mut members, 1, JOINED_AT);
     for ms in (10..=1_000).step_by(10) {
         members.tick(JOINED_AT + Millis(ms), KNOWN_CONFIG, false);
     }
     assert_eq!(orders(&mut rx), [["10.0.0.1:7000"]]);
-    // One that has run longer joins: it goes first, and is told all.
+    // A member that has run longer joins and comes first in the takeover order, which both are
+    // sent.
     let mut late = join(&mut members, 0, JOINED_AT);
     for ms in (1_010..=2_000).step_by(10) {
         members.tick(JOINED_AT + Millis(ms), KNOWN_CONFIG, false);
@@ -129,7 +131,7 @@
     }
 }
 
-/// Reads the versions of the configuration rows that were sent so far.
+/// Returns the versions of the configuration rows received so far.
 fn rows_sent(rx: &mut Receiver<Frame>) -> Vec<u64> {
     let mut sent = Vec::new();
     while let Ok(frame) = rx.try_recv() {
@@ -140,21 +142,21 @@
     sent
 }
 
-/// A row whose version is ten times that of the configuration in it.
+/// A configuration row whose row version is ten times that of its configuration.
 fn row_of(version: u64) -> ConfigRow {
     ConfigRow { row_version: version * 10, packed: vec![0; 181_000] }
 }
 
-/// A member tells which version it has.
+/// Records a heartbeat in which the member reports its configuration version.
 fn report_config(members: &mut Members, link: u64, config: u64) {
     members.record_heartbeat(link, &MemberBeat { config, ..MemberBeat::default() }, JOINED_AT);
 }
 
-/// Pattern: a configuration of a thousand routes (181 kB) changes every 0.4 s, and a member's link
-/// takes 0.15 s for each (10 Mbit/s). With a copy at each heartbeat of 0.1 s the links of a cell
-/// were full for ten seconds, and leases of live workers ran out (ortaksahne-grown trouble-3).
+/// A configuration with a thousand routes (181 kB) changes every 0.4 s, and a member's link takes
+/// 0.15 s for a copy (10 Mbit/s). With a copy per heartbeat of 0.1 s, the links of a cell were
+/// saturated for ten seconds, and leases of live workers expired.
 #[test]
-fn a_configuration_goes_to_a_member_once_however_long_it_takes_to_arrive() {
+fn a_configuration_is_sent_to_a_member_once_however_long_it_takes_to_arrive() {
     let mut members = Members::new(OwnerInfo::default(), 1);
     let mut rx = join(&mut members, 1, JOINED_AT);
     for _ in 0..4 {
@@ -162,7 +164,7 @@
         members.send_config(2, &row_of(2));
     }
     assert_eq!(rows_sent(&mut rx), [20]);
-    // Changes that come while it is on its way wait, and only the newest follows.
+    // Changes made while a copy is in transit are held back; only the newest follows.
     for version in [3, 4] {
         members.send_config(version, &row_of(version));
     }
@@ -171,15 +173,15 @@
     members.send_config(4, &row_of(4));
     members.send_config(4, &row_of(4));
     assert_eq!(rows_sent(&mut rx), [40]);
-    // It has it.
+    // The member now has the newest version.
     report_config(&mut members, 1, 4);
     members.send_config(4, &row_of(4));
     assert!(rows_sent(&mut rx).is_empty());
 }
 
-/// Pattern: all members join a new owner at once. Most have the configuration already.
+/// All members join a new owner at once. Most already have the configuration.
 #[test]
-fn a_member_that_has_not_told_what_it_has_is_sent_nothing() {
+fn a_member_that_has_not_reported_its_version_is_sent_no_configuration() {
     let mut members = Members::new(OwnerInfo::default(), 1);
     let mut rx = join(&mut members, 1, JOINED_AT);
     members.send_config(2, &row_of(2));
@@ -187,7 +189,7 @@
 }
 
 #[test]
-fn a_member_that_comes_again_on_another_link_gets_the_configuration_again() {
+fn a_member_that_reconnects_is_sent_the_configuration_again() {
     let mut members = Members::new(OwnerInfo::default(), 1);
     for link in [1, 2] {
         let mut rx = join(&mut members, link, JOINED_AT);
@@ -199,7 +201,7 @@
 }
 
 #[test]
-fn changes_of_the_list_of_workers_go_to_those_that_own_partitions() {
+fn worker_list_changes_are_sent_to_members_that_own_partitions() {
     let mut members = Members::new(OwnerInfo::default(), 5);
     let mut rxs: Vec<_> = (0..3).map(|i| join(&mut members, i, JOINED_AT)).collect();
     members.record_heartbeat(1, &MemberBeat { owned: 1, ..MemberBeat::default() }, JOINED_AT);
--- a/crates/hollowford-node/src/peers.rs
+++ b/crates/hollowford-node/src/peers.rs
@@ -15,14 +15,15 @@
 
 /// Pause after a link could not be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// A link whose opener says nothing for so long is closed.
+/// A link is closed if its first frame doesn't arrive within this time.
 const FIRST_FRAME_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// A member that says nothing for so long is gone: three heartbeats where they are rarest.
+/// A member is removed if no frame arrives within this time: three heartbeats at the longest
+/// interval.
 const MEMBER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How long a member waits for a process that is just becoming the owner. With a slow store
-/// its writing and its reading of the rows take seconds.
+/// How long a member waits for a process that is about to become the owner. With a slow store,
+/// writing the owner row and loading the partition takes seconds.
 const OWNER_START_TIMEOUT: Duration = Duration::from_millis(5_000);
-/// How often it is told meanwhile that the process is alive.
+/// Interval of heartbeats to a member that waits for this process to become the owner.
 const STARTING_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Accepts links for as long as the process runs.
@@ -71,7 +72,7 @@
     }
 }
 
-/// Returns the owner that a process which asks is told: a process that has given the partition up
+/// Returns the owner to report to another process. A process that has released the partition
 /// doesn't name itself.
 fn reported_owner(shared: &Shared, partition: &Partition) -> OwnerInfo {
     let info = partition.owner.borrow().clone();
@@ -101,26 +102,26 @@
         };
         member.handle_frame(body).await;
     }
-    // The link ends with its last sender; the owner drops its own on hearing this.
+    // The link closes when its last outbox is dropped; the owner drops its copy on this message.
     member.owner.send(OwnerMsg::Left(link)).await;
 }
 
-/// Returns the partition that an owner is meant for.
+/// Returns the partition that `info` refers to.
 fn partition_of<'a>(shared: &'a Shared, info: &OwnerInfo) -> Option<&'a Arc<Partition>> {
     shared.partitions().get(info.partition as usize)
 }
 
-/// The owner's end of a member's link.
+/// The owner's end of a link to a member.
 struct MemberLink {
     owner: OwnerHandle,
     link: LinkId,
-    /// The member's address between processes.
+    /// The member's peer address.
     address: Arc<str>,
     outbox: Outbox,
 }
 
 impl MemberLink {
-    /// Hands on what the member says.
+    /// Passes a frame from the member on to the owner.
     async fn handle_frame(&self, body: Body) {
         match body {
             Body::Call(call) => self.owner.call_from(call, &self.outbox),
@@ -143,8 +144,8 @@
     }
 }
 
-/// Returns the owner if it is this process, or is just becoming so. The member may know of
-/// that earlier, by the owner row, than this process by the answer to its own writing.
+/// Returns a handle to the owner if it runs in this process or is about to. A member may read the
+/// new owner row from the store before this process has received the answer to its own write.
 async fn wait_for_local_owner(
     shared: &Shared,
     partition: &Partition,
@@ -168,7 +169,7 @@
         if !outbox.send(Body::Heartbeat(Heartbeat::default())) {
             return None;
         }
-        // Woken when the owner starts, or to tell again that it is about to.
+        // Woken when the owner starts, or to send the next heartbeat.
         let _ = timeout(STARTING_HEARTBEAT_INTERVAL, route.changed()).await;
     }
 }
--- a/crates/hollowford-node/src/reachability.rs
+++ b/crates/hollowford-node/src/reachability.rs
@@ -1,4 +1,4 @@
-//! Whether the owner still reaches the store and its members.
+//! Whether the owner can still reach the store and its members.
 
 use crate::batches::Batches;
 use crate::members::Members;
@@ -8,36 +8,38 @@
 use hollowford_core::Millis;
 use std::sync::Arc;
 
-/// An owner whose batch hangs for so long, while the store serves a member, hands over to it.
+/// An owner whose batch is unanswered for this long, while the store serves a member, hands over to
+/// that member.
 const STORE_LOST_AFTER: Millis = Millis(600);
-/// The store has to serve the member for so long: at the end of an outage it is only the
-/// first to notice.
+/// How long the store must serve a member but not the owner before the owner hands over. At the end
+/// of an outage, a member is often served slightly earlier than the owner.
 const MIN_SPLIT_DURATION: Millis = Millis(300);
 
-/// What the owner has heard of the store and the members.
+/// When the owner last heard from the store and its members.
 #[derive(Debug)]
 pub struct Reachability {
     shared: Arc<Shared>,
     epoch: u64,
-    /// When a member was heard last, by the process's clock.
+    /// When a member was last heard, by the process's clock.
     last_member_heard: Millis,
-    /// Since when the store serves a member and not this process.
+    /// Since when the store has served a member but not this process.
     split_since: Option<Millis>,
 }
 
 impl Reachability {
-    /// Starts as if a member had been heard just now.
+    /// Creates the state of an owner that starts now, as if a member had just been heard.
     pub fn new(shared: Arc<Shared>, epoch: u64) -> Reachability {
         let last_member_heard = shared.clock.now();
         Reachability { shared, epoch, last_member_heard, split_since: None }
     }
 
-    /// Takes note that a member was heard at `at`, by the process's clock.
+    /// Records that a member was heard at `at`, by the process's clock.
     pub fn record_member_heard(&mut self, at: Millis) {
         self.last_member_heard = at;
     }
 
-    /// Gives the partition up when another process can serve it and this one can't.
+    /// Returns how the owner ends if another process can serve the partition and this one can't: it
+    /// is handed over, or given up if the owner is isolated.
     pub fn check(&mut self, batches: &Batches, members: &Members, now: Millis) -> Option<OwnerEnd> {
         let handed_over = self.hand_over_if_split(batches, members, now);
         if self.is_isolated(members) {
@@ -47,11 +49,12 @@
         handed_over.then_some(OwnerEnd::HandedOver)
     }
 
-    /// Hands over to a member that the store serves while it doesn't serve this process.
+    /// Hands over to a member that the store serves while it doesn't serve this process. Returns
+    /// true if it did.
     fn hand_over_if_split(&mut self, batches: &Batches, members: &Members, now: Millis) -> bool {
-        let hangs = batches.is_unmade_for(STORE_LOST_AFTER, now);
-        let lost = hangs && self.shared.store_age() >= STORE_LOST_AFTER;
-        if !lost || !members.any_served_by_store() {
+        let batch_unanswered = batches.is_unmade_for(STORE_LOST_AFTER, now);
+        let store_lost = batch_unanswered && self.shared.store_age() >= STORE_LOST_AFTER;
+        if !store_lost || !members.any_served_by_store() {
             self.split_since = None;
             return false;
         }
@@ -64,7 +67,7 @@
         handed_over
     }
 
-    /// Tells whether neither the store nor any member has been heard for long.
+    /// Returns true if neither the store nor a member has been heard for [`ISOLATED_OWNER`].
     fn is_isolated(&self, members: &Members) -> bool {
         let silent = self.shared.clock.now().since(self.last_member_heard);
         let alone = members.had_members() && silent >= ISOLATED_OWNER;
--- a/crates/hollowford-node/src/registry.rs
+++ b/crates/hollowford-node/src/registry.rs
@@ -1,4 +1,4 @@
-//! Keeps the list of workers up to date while this process owns the partition.
+//! Keeps the worker list up to date while this process owns the partition.
 
 use crate::assignment::partition_of_worker;
 use crate::inbox::{OwnerHandle, OwnerMsg};
@@ -15,58 +15,61 @@
 use tokio::sync::broadcast::Receiver;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// How long a call to the feed waits for a change. Kept short, since a feed may go silent.
+/// How long a feed call waits for a change. Short, since a feed may stop sending changes without an
+/// error.
 const MAX_FEED_WAIT: Duration = Duration::from_millis(200);
-/// Pause between two calls. Entries change with each sign of life of a worker, so the feed
-/// answers at once, some thirty times a second, if it is asked as often.
+/// Pause between two feed calls. Entries change with each heartbeat of a worker, so without a pause
+/// the feed would answer about thirty times a second.
 const FEED_PAUSE: Duration = Duration::from_millis(250);
-/// Longest time for a reading.
+/// Time limit of a read of the whole list.
 const READ_TIMEOUT: Duration = Duration::from_millis(700);
-/// Pause after a failure.
+/// Pause after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// The list is read whole so often while workers are few: a feed may go silent.
+/// Shortest interval between reads of the whole list, which make up for a feed that has stopped
+/// sending changes.
 const MIN_READ_INTERVAL: Millis = Millis(2_000);
-/// With many workers it is read more rarely, so that all owners together don't take megabytes
-/// a second. A feed whose history is lost says so.
+/// The interval grows by this much per worker, so that all owners together don't read megabytes a
+/// second. A feed that has lost its history reports it.
 const READ_INTERVAL_PER_WORKER: Millis = Millis(4);
-/// After the store was away, entries that lapsed meanwhile are back within 2 s.
+/// How long removed entries are kept after a store outage. Workers whose entries expired during the
+/// outage are back on the list within 2 s.
 const MISSING_ENTRY_GRACE: Millis = Millis(2_500);
-/// The list is read here once nothing has been told for so long. The owner that reads for all tells
-/// of each reading, also of one that has changed nothing, some twice a second.
+/// This process reads the list itself if no forwarded changes arrive within this time. The reader
+/// partition's owner forwards every read, even without changes, about twice a second.
 const CHANGES_TIMEOUT: Millis = Millis(1_000);
-/// The store counts as having been away when it did not answer for so long.
+/// Time without an answer from the store from which it counts as an outage.
 const MIN_STORE_OUTAGE: Millis = Millis(1_000);
 
-/// The list, and what the store's absence means for it.
+/// The worker list of one owner.
 #[derive(Debug)]
 pub(crate) struct Registry {
     rows: BTreeMap<String, WorkerListing>,
     version: Version,
     read_at: Millis,
     answered_at: Millis,
-    /// Missing entries are not believed before.
+    /// Removals are ignored until the store has answered at or after this time.
     trust_missing_from: Millis,
-    /// An entry may be missing that was not believed to be; a whole reading tells.
+    /// The list may hold entries that the store has removed; the next read of the whole list
+    /// decides.
     has_unconfirmed_entries: bool,
-    /// Rows that could not be read and have been logged.
+    /// Keys of malformed rows that have been logged.
     malformed: FxHashSet<String>,
-    /// When the owner that reads for all has told something last that followed on what is known.
+    /// When the last forwarded changes that could be applied arrived.
     changes_received_at: Option<Millis>,
 }
 
-/// What came of changes that another owner has told.
+/// Outcome of applying changes that another owner has forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ChangesOutcome {
-    /// They were taken in; tells whether one was new here.
+    /// The changes were applied; true if they changed this list.
     Applied(bool),
-    /// They are older than what is known here.
+    /// The changes are older than this list.
     Outdated,
-    /// They don't follow on what is known here.
+    /// Changes between this list and these are missing.
     Gap,
 }
 
-/// Follows the list until the owner ends.
-/// The owner is told of its own partition's workers only.
+/// Keeps the list up to date until the owner ends. The owner gets only its own partition's workers.
 pub async fn follow(cx: PartitionContext, owner: OwnerHandle) {
     let shared = &cx.shared;
     let mut changes_rx = shared.worker_changes.subscribe();
@@ -98,7 +101,7 @@
     }
 }
 
-/// Tells the owners of other partitions what a reading has changed, if this one reads for all.
+/// Forwards changes to the owners of other partitions, if this is the reader partition's owner.
 async fn forward_changes(cx: &PartitionContext, owner: &OwnerHandle, changes: WorkerChanges) {
     if cx.partition.number != READER_PARTITION
         || cx.shared.partition_count() < 2
@@ -106,13 +109,13 @@
     {
         return;
     }
-    // This process may own others itself. Nobody listens if not.
+    // For other owners in this process; there may be none.
     let _ = cx.shared.worker_changes.send(Arc::new(changes.clone()));
     owner.send(OwnerMsg::WorkerChanges(changes)).await;
 }
 
 impl Registry {
-    /// Makes an empty list.
+    /// Creates an empty list.
     pub fn new(now: Millis) -> Registry {
         Registry {
             rows: BTreeMap::new(),
@@ -126,23 +129,23 @@
         }
     }
 
-    /// Returns the workers on the list. A row of a pool that the configuration doesn't name is
-    /// another writer's.
+    /// Returns the workers on the list. Rows of a pool that the configuration doesn't name belong
+    /// to another writer and are left out.
     pub fn workers(&self, shared: &Shared) -> impl Iterator<Item = &WorkerListing> {
         let config = shared.config.load_full();
         let named = move |l: &&WorkerListing| config.as_ref().is_none_or(|c| c.names_pool(&l.pool));
         self.rows.values().filter(named)
     }
 
-    /// Waits for what the owner that reads for all tells; none when the list is to be read here. Tells
-    /// whether something changed.
+    /// Waits for forwarded changes. Returns true if they changed the list, and none if this process
+    /// has to read the list itself.
     async fn next_changes(
         &mut self,
         cx: &PartitionContext,
         changes_rx: &mut Receiver<Arc<WorkerChanges>>,
     ) -> Option<bool> {
         if self.version == 0 {
-            // A new owner waits for its first list.
+            // A new owner reads the list first.
             return None;
         }
         if cx.partition.number == READER_PARTITION {
@@ -171,17 +174,17 @@
         None
     }
 
-    /// Takes note that the owner that reads for all has told what follows on what is known here.
+    /// Records that forwarded changes were applied.
     fn record_changes(&mut self, now: Millis) {
         self.record_answer(now);
         self.changes_received_at = Some(now);
         if !self.has_unconfirmed_entries {
-            // It reads the whole list, too.
+            // The reader partition's owner reads the whole list, too.
             self.read_at = now;
         }
     }
 
-    /// Takes in what another owner has read.
+    /// Applies changes that another owner has read.
     pub fn apply_changes(&mut self, changes: &WorkerChanges) -> ChangesOutcome {
         if changes.to < self.version {
             return ChangesOutcome::Outdated;
@@ -195,7 +198,8 @@
         )
     }
 
-    /// Takes one row of it. Whether a missing entry is believed was the other owner's to judge.
+    /// Applies one forwarded row. The other owner has already decided whether to trust a removal.
+    /// Returns true if the list changed.
     fn apply_change(&mut self, row: &WorkerRow) -> bool {
         if row.removed {
             self.rows.remove(&row.key).is_some()
@@ -204,7 +208,8 @@
         }
     }
 
-    /// Waits for a change, or reads the whole list. Returns what has changed.
+    /// Waits for a change in the store, or reads the whole list if that is due. Returns the
+    /// changes.
     async fn read_store(&mut self, shared: &Shared) -> Result<WorkerChanges, StoreError> {
         let now = shared.clock.now();
         let from = self.version;
@@ -235,14 +240,14 @@
         }
     }
 
-    /// Tells whether the whole list is to be read again.
+    /// Returns true if the whole list has to be read again.
     fn is_read_due(&self, now: Millis) -> bool {
         let every =
             MIN_READ_INTERVAL.max(Millis(READ_INTERVAL_PER_WORKER.0 * self.rows.len() as u64));
         now.since(self.read_at) >= every
     }
 
-    /// Takes note that the store has answered, here or to the owner that reads for all.
+    /// Records that the store has answered this process or the reader partition's owner.
     pub fn record_answer(&mut self, now: Millis) {
         if now.since(self.answered_at) > MIN_STORE_OUTAGE + Millis(MAX_FEED_WAIT.as_millis() as u64)
         {
@@ -251,7 +256,7 @@
         self.answered_at = now;
     }
 
-    /// Takes the whole list. Returns the rows that have changed.
+    /// Replaces the list with the rows of a full read. Returns the rows that changed.
     pub fn replace(&mut self, rows: &[Row]) -> Vec<WorkerRow> {
         let mut changed = Vec::new();
         self.has_unconfirmed_entries = !self.trusts_missing();
@@ -270,16 +275,15 @@
         self.answered_at >= self.trust_missing_from
     }
 
-    /// Tells whether it may hold entries that are missing in the store: what others have read doesn't
-    /// tell of those.
+    /// Returns true if the list may hold entries that the store has removed. Forwarded changes
+    /// don't report those.
     #[cfg(test)]
     pub fn has_unconfirmed_entries(&self) -> bool {
         self.has_unconfirmed_entries
     }
 
-    /// Takes one row. One that can't be read names no worker: the one that it named before is not
-    /// on the list any more, so nothing new is started there, and what runs goes on under its
-    /// lease. Tells whether something changed.
+    /// Applies one row; returns true if the list changed. A malformed row takes its worker off the
+    /// list: nothing new is started there, and running tasks continue under their lease.
     pub fn apply_row(&mut self, row: &Row) -> bool {
         if row.removed && !self.trusts_missing() {
             self.has_unconfirmed_entries = true;
@@ -291,7 +295,7 @@
         self.put(&row.key, &row.value)
     }
 
-    /// Takes the bytes of a row. Tells whether something changed.
+    /// Decodes a row and stores its worker. Returns true if the list changed.
     fn put(&mut self, key: &str, value: &[u8]) -> bool {
         match decode_listing(key, value) {
             Ok(listing) => {
@@ -300,7 +304,7 @@
             }
             Err(e) => {
                 let known = self.rows.remove(key).is_some();
-                // Once for each row: it is read again and again.
+                // Logged once per row, since a row is read many times.
                 if known || self.malformed.insert(key.to_owned()) {
                     log::error!("worker.malformed worker={key} error=\"{e}\"");
                 }
--- a/crates/hollowford-node/src/registry_tests.rs
+++ b/crates/hollowford-node/src/registry_tests.rs
@@ -1,7 +1,7 @@
-//! The list of workers while rows of it are another writer's.
+//! The worker list when some of its rows are written by others.
 //!
-//! The pattern: a row lacks a field, has one of another type, names a state or pool that there
-//! isn't, or can't be read at all; it may be a new one, or take the place of a worker's own.
+//! A row lacks a field, has one of the wrong type, names an unknown state or pool, or can't be
+//! decoded at all. It may be new, or replace the row of a worker.
 #![allow(clippy::expect_used)]
 
 use crate::registry::{ChangesOutcome, Registry};
@@ -14,8 +14,9 @@
 use hollowford_adapter_standin::speech::worker_row;
 use hollowford_core::Millis;
 
-/// What else may stand where a worker's row should be.
-const JUNK: &[&[u8]] = &[b"", b"\xff\xfe", b"null", b"[]", b"{}", b"{\"backend\":\"pool\"", b"7"];
+/// Values that may stand in place of a worker's row.
+const MALFORMED_VALUES: &[&[u8]] =
+    &[b"", b"\xff\xfe", b"null", b"[]", b"{}", b"{\"backend\":\"pool\"", b"7"];
 
 /// A process whose configuration names the pool of [`worker_row`].
 fn process() -> Shared {
@@ -46,27 +47,27 @@
 }
 
 #[test]
-fn a_row_that_cannot_be_read_names_no_worker_and_the_others_hold() {
+fn a_malformed_row_names_no_worker_and_the_others_are_kept() {
     let shared = process();
-    for junk in JUNK {
+    for malformed in MALFORMED_VALUES {
         let mut list = Registry::new(Millis(0));
-        list.replace(&[good("w1"), row("bad", junk), good("w2")]);
+        list.replace(&[good("w1"), row("bad", malformed), good("w2")]);
         assert_eq!(ids(&list, &shared), ["w1", "w2"]);
     }
 }
 
 #[test]
-fn a_row_that_turns_unreadable_takes_its_worker_off_the_list_and_it_may_come_back() {
+fn a_row_that_becomes_malformed_removes_its_worker_until_it_is_valid_again() {
     let shared = process();
-    for junk in JUNK {
+    for malformed in MALFORMED_VALUES {
         let mut list = Registry::new(Millis(0));
         list.replace(&[good("w1"), good("w2")]);
-        assert!(list.apply_row(&row("w1", junk)));
+        assert!(list.apply_row(&row("w1", malformed)));
         assert_eq!(ids(&list, &shared), ["w2"]);
-        assert!(!list.apply_row(&row("w1", junk)), "nothing new");
+        assert!(!list.apply_row(&row("w1", malformed)), "nothing new");
         assert!(list.apply_row(&good("w1")));
         assert_eq!(ids(&list, &shared), ["w1", "w2"]);
-        list.replace(&[row("w1", junk), good("w2")]);
+        list.replace(&[row("w1", malformed), good("w2")]);
         assert_eq!(ids(&list, &shared), ["w2"], "in a whole reading, too");
     }
 }
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn workers_that_are_missing_from_a_whole_reading_are_off_the_list() {
+fn workers_missing_from_a_full_read_are_removed() {
     let shared = process();
     let mut list = Registry::new(Millis(0));
     list.replace(&[good("w1"), good("w2"), good("w3")]);
@@ -96,15 +97,15 @@
     WorkerChanges { from, to, rows }
 }
 
-/// Pattern: 6,000 workers in five partitions. Each owner followed the whole list, and the store
-/// sent each sign of life of each worker five times.
+/// A cell of 6,000 workers in five partitions: when each owner followed the whole list, the store
+/// sent each worker heartbeat five times.
 #[test]
-fn what_one_owner_reads_the_others_need_not_read() {
+fn owners_apply_forwarded_changes_without_reading_the_list() {
     let shared = process();
     let (mut reader, mut other) = (Registry::new(Millis(0)), Registry::new(Millis(0)));
     let first = changes(0, 10, reader.replace(&[good("w1"), good("w2"), row("bad", b"{}")]));
     assert_eq!(other.apply_changes(&first), ChangesOutcome::Applied(true));
-    // Signs of life change nothing, and are told without rows.
+    // Worker heartbeats change nothing, and are forwarded without rows.
     let quiet = changes(10, 20, reader.replace(&[good("w1"), good("w2")]));
     assert!(quiet.rows.is_empty());
     assert_eq!(other.apply_changes(&quiet), ChangesOutcome::Applied(false));
@@ -116,7 +117,7 @@
 }
 
 #[test]
-fn changes_that_do_not_follow_on_what_is_known_are_not_taken() {
+fn outdated_changes_and_changes_after_a_gap_are_not_applied() {
     let shared = process();
     let mut list = Registry::new(Millis(0));
     let one = |id| vec![WorkerRow::from(&good(id))];
@@ -132,20 +133,20 @@
     assert_eq!(ids(&list, &shared), ["w1", "w2"]);
 }
 
-/// Pattern: a cell that starts, or a store that was away: thousands of rows at once would hold up
+/// When a cell starts or the store returns from an outage, thousands of rows at once would block
 /// the link between two owners.
 #[test]
-fn a_whole_list_is_not_told() {
+fn a_whole_list_is_not_forwarded() {
     let rows: Vec<WorkerRow> =
         (0..6_000).map(|i| WorkerRow::from(&good(&format!("w{i}")))).collect();
     assert!(!changes(0, 10, rows).can_be_forwarded());
     assert!(changes(0, 10, vec![WorkerRow::from(&good("w1"))]).can_be_forwarded());
 }
 
-/// Pattern: the store was away, and an entry that is missing afterwards may come back. The owner that
-/// reads for all has long taken it for gone, and won't tell of it again.
+/// After a store outage, an entry that is missing may come back. The reader partition's owner has
+/// already removed it and won't forward the removal again.
 #[test]
-fn an_entry_whose_absence_was_not_believed_is_looked_for_again() {
+fn an_entry_whose_removal_was_not_trusted_is_checked_by_a_full_read() {
     let shared = process();
     let mut list = Registry::new(Millis(0));
     list.replace(&[good("w1"), good("w2")]);
--- a/crates/hollowford-node/src/step_down.rs
+++ b/crates/hollowford-node/src/step_down.rs
@@ -1,4 +1,4 @@
-//! Why an owner gives its partition up, and when it hands it over.
+//! Decides when an owner steps down, and hands its partition over.
 
 use crate::batches::Batches;
 use crate::callers::Waiters;
@@ -9,45 +9,48 @@
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
-/// Members have joined a new owner after this time.
+/// Time in which the members have joined a new owner.
 const MEMBERS_JOIN_TIME: Millis = Millis(400);
-/// How long a stopping owner waits for its last batch: without it the next one has to read the
-/// owner row first, and callers are told less. A slow store takes 0.9 s.
+/// How long a stopping owner waits for its last batch. Without that batch's outcome the next owner
+/// has to read the owner row first, and callers may not learn the outcome of their last requests. A
+/// slow store takes 0.9 s.
 const FLUSH_TIMEOUT: Millis = Millis(1_200);
 
-/// Whether the owner gives its partition up. All times are by the process's clock.
+/// Whether and why an owner steps down. All times are by the process's clock.
 #[derive(Debug)]
 pub struct StepDown {
     shared: Arc<Shared>,
     epoch: u64,
-    /// When this owner began.
+    /// When this owner started.
     started_at: Millis,
-    /// Who waits for the partition to be handed over, and since when.
+    /// Channel on which the stopping process waits for the hand-over, and when the stop was
+    /// requested.
     stop_requested: Option<(oneshot::Sender<()>, Millis)>,
-    /// Since when the partition is being given to a larger instance.
+    /// Since when the partition is being moved to a larger instance.
     moving_since: Option<Millis>,
 }
 
 impl StepDown {
-    /// Starts with an owner that keeps its partition, and begins just now.
+    /// Creates the state of an owner that starts now and doesn't step down.
     pub fn new(shared: Arc<Shared>, epoch: u64) -> StepDown {
         let started_at = shared.clock.now();
         StepDown { shared, epoch, started_at, stop_requested: None, moving_since: None }
     }
 
-    /// Begins to give the partition up, since the process stops; `done` is told afterwards.
+    /// Starts to step down because the process is stopping; `done` is sent to when the owner has
+    /// ended.
     pub fn stop(&mut self, done: oneshot::Sender<()>) {
         log::info!("owner.stopping epoch={}", self.epoch);
         self.stop_requested = Some((done, self.shared.clock.now()));
     }
 
-    /// Returns since when the partition is being given up.
+    /// Returns since when the owner has been stepping down; none if it isn't.
     pub fn since(&self) -> Option<Millis> {
         self.stop_requested.as_ref().map(|(_, since)| *since).or(self.moving_since)
     }
 
-    /// Gives the partition to a much larger instance, where there is one: the first that
-    /// comes may be too small for the owner's work.
+    /// Starts to step down if a live member is a much larger instance: the first process to take
+    /// over may be too small for the partition's load.
     pub fn check_for_larger_member(&mut self, members: &Members) {
         let now = self.shared.clock.now();
         let joined = now.since(self.started_at) >= MEMBERS_JOIN_TIME;
@@ -58,7 +61,8 @@
         }
     }
 
-    /// Hands over to a member once that is wanted and everything is written and answered.
+    /// Hands over to a member once the owner is stepping down and all batches are written and all
+    /// calls answered, or [`FLUSH_TIMEOUT`] has passed.
     pub fn hand_over_if_due(
         &self,
         batches: &Batches,
@@ -76,7 +80,7 @@
         Some(OwnerEnd::HandedOver)
     }
 
-    /// Tells the stopping process that the owner has ended.
+    /// Reports to the stopping process that the owner has ended.
     pub fn report_ended(&mut self) {
         if let Some((done, _)) = self.stop_requested.take() {
             // The stopping process may have given up waiting.
