--- a/crates/hollowford-node/src/announce.rs
+++ b/crates/hollowford-node/src/announce.rs
@@ -1,4 +1,4 @@
-//! The list of processes in the store, and new owners that announce themselves to it.
+//! The list of processes in the store, and announcements of new owners to these processes.
 
 use crate::link;
 use crate::owner_row::{STORE_CALL_TIMEOUT, SYSTEM_TABLE};
@@ -10,26 +10,25 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// So many processes are told at a time,
+/// Number of processes to which a new owner announces itself at once.
 pub(crate) const ANNOUNCE_CHUNK_SIZE: usize = 32;
-/// and then the next ones after this time: each opens a link to the new owner at once, which has
-/// other work to do as well, and no room for hundreds of them that come together.
+/// Time between two such chunks. Each process opens a link to the new owner at once, and the owner,
+/// which has other work as well, can't accept hundreds of links at the same time.
 pub(crate) const ANNOUNCE_CHUNK_INTERVAL: Duration = Duration::from_millis(16);
-/// A process enters itself into the list at some time within this one of its start. Nothing waits for
-/// that, and the store makes the writings of a part one after the other: hundreds of processes that
-/// start at once would keep it full, and each that is refused, or waits there for longer than it
-/// listens for the answer, would ask again.
+/// A process registers at a random time within this period after its start. Nothing depends on it,
+/// and the store executes the writes to a part one after the other. Hundreds of processes that
+/// start at once would saturate it, and each that is refused or times out would try again.
 const INITIAL_REGISTER_SPREAD: Duration = Duration::from_millis(2_000);
-/// One that was refused tries again within twice the time, and so on up to this one.
+/// The period doubles after each failed attempt, up to this limit.
 const MAX_REGISTER_SPREAD: Duration = Duration::from_millis(16_000);
-/// Longest time for that call: more than the second that the store lets writings wait.
+/// Time limit of the registration: more than the second for which the store queues writes.
 const REGISTER_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// Part of the table with a row for each process.
 const NODES_PART: &str = "nodes";
-/// How long an announcement may take.
+/// Time limit of an announcement to one process.
 const ANNOUNCE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Tells every process that is known to the store who owns the partition.
+/// Announces the partition's owner to every process that is registered in the store.
 pub async fn announce(shared: Arc<Shared>, info: OwnerInfo) {
     let nodes = match shared.store.read_all(SYSTEM_TABLE, NODES_PART, STORE_CALL_TIMEOUT).await {
         Ok(feed) => feed.rows,
@@ -48,7 +47,7 @@
     }
 }
 
-/// Tells the process at an address who owns the partition.
+/// Announces the partition's owner to the process at an address.
 async fn announce_to(addr: SocketAddr, info: OwnerInfo) {
     if let Ok((mut reader, outbox)) = link::connect(addr).await {
         outbox.send(Body::Owner(info));
@@ -57,7 +56,8 @@
     }
 }
 
-/// Writes this process into the list that owners announce themselves to.
+/// Registers this process in the list of processes to which owners announce themselves. Retries
+/// until it succeeds or the store finds the request malformed.
 pub async fn register(shared: Arc<Shared>) {
     let key = shared.address().to_string();
     let tx = Transaction {
@@ -79,7 +79,7 @@
     }
 }
 
-/// The pauses before the tries of a process to enter itself into the list.
+/// The random pauses before a process's attempts to register.
 #[derive(Debug)]
 pub(crate) struct RegisterPauses {
     spread: Duration,
@@ -92,7 +92,7 @@
 }
 
 impl RegisterPauses {
-    /// Returns the next pause, at `fraction` (0 to 1) of the longest that it may be.
+    /// Returns the next pause, at `fraction` (0 to 1) of its upper bound.
     pub fn next(&mut self, fraction: f64) -> Duration {
         let pause = self.spread.mul_f64(fraction);
         self.spread = (self.spread * 2).min(MAX_REGISTER_SPREAD);
--- a/crates/hollowford-node/src/link.rs
+++ b/crates/hollowford-node/src/link.rs
@@ -15,49 +15,49 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
-/// Longest time to open a link within a region.
+/// Time limit of opening a link within a region.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// A link that hasn't opened after so long is tried once more beside it, and so on: a process to
-/// which hundreds open links at once has no room for some of them, and the system itself tries
-/// again only after a second.
+/// Another attempt is started beside the pending ones after this time. A process to which hundreds
+/// of links open at once drops some connection requests, and the operating system retransmits them
+/// only after a second.
 const ATTEMPT_INTERVAL: Duration = Duration::from_millis(110);
-/// Tries are apart by up to so much more, so that those which found no room don't come together
-/// again.
+/// Upper bound of a random addition to each delay, so that attempts whose requests were dropped
+/// don't coincide again.
 const MAX_ATTEMPT_JITTER: Duration = Duration::from_millis(60);
-/// How often a link is tried within [`CONNECT_TIMEOUT`].
+/// Number of attempts to open a link within [`CONNECT_TIMEOUT`].
 const MAX_ATTEMPTS: u32 = 4;
-/// Largest frame: a job's specification and some room.
+/// Size limit of a frame; leaves room for a job's specification.
 const MAX_FRAME_BYTES: usize = 1 << 20;
-/// A frame of so many bytes is packed, if that makes it smaller. Templates shrink to some two
-/// thirds; below this the packing's own bytes eat up what it saves.
+/// Size from which a frame may be compressed. Templates shrink to about two thirds; below this size
+/// the overhead of compression exceeds what it saves.
 const MIN_PACKED_BYTES: usize = 256;
-/// Frames that wait to be written; a link whose peer doesn't read that many is given up.
+/// Number of frames that may wait to be written. A link whose peer falls further behind is closed.
 const OUTBOX_CAPACITY: usize = 4_096;
 
 /// Reads frames.
 pub type FrameReader = FramedRead<OwnedReadHalf, LengthDelimitedCodec>;
 
-/// Sends frames to a peer without waiting.
+/// Sends frames to a peer without blocking.
 #[derive(Clone, Debug)]
 pub struct Outbox {
     tx: mpsc::Sender<Frame>,
 }
 
 impl Outbox {
-    /// Makes one whose frames nobody reads.
+    /// Creates an outbox whose frames nobody reads.
     #[cfg(test)]
     pub fn disconnected() -> Outbox {
         Outbox::for_test().0
     }
 
-    /// Makes one whose frames a test reads.
+    /// Creates an outbox and a receiver of its frames.
     #[cfg(test)]
     pub fn for_test() -> (Outbox, mpsc::Receiver<Frame>) {
         let (tx, rx) = mpsc::channel(OUTBOX_CAPACITY);
         (Outbox { tx }, rx)
     }
 
-    /// Sends a frame. Tells whether the link still takes frames.
+    /// Sends a frame. Returns false if the link has ended or its outbox is full.
     pub fn send(&self, body: Body) -> bool {
         self.tx.try_send(body.into()).is_ok()
     }
@@ -66,12 +66,13 @@
 /// Opens a link.
 ///
 /// # Errors
-/// When the address doesn't answer in time, or refuses.
+/// If the address doesn't answer in time or refuses the connection.
 pub async fn connect(addr: SocketAddr) -> io::Result<(FrameReader, Outbox)> {
     split(open_with_retries(|| TcpStream::connect(addr)).await?)
 }
 
-/// Makes tries until the first one ends, well or not: one that is refused tells as much as another.
+/// Starts attempts until the first one completes, and returns its result. A refused attempt is not
+/// repeated, since the others would be refused as well.
 pub(crate) async fn open_with_retries<T, F>(attempt: impl Fn() -> F) -> io::Result<T>
 where
     F: Future<Output = io::Result<T>>,
@@ -92,18 +93,18 @@
     }
 }
 
-/// Asks the process at `addr` a question, on a link of its own; none without an answer within
-/// `limit`.
+/// Sends a request to the process at `addr` on a link of its own. Returns none if no answer arrives
+/// within `limit`.
 pub async fn request(addr: SocketAddr, body: Body, limit: Duration) -> Option<Body> {
     let (mut reader, outbox) = connect(addr).await.ok()?;
     outbox.send(body);
     timeout(limit, read_frame(&mut reader)).await.ok().flatten()
 }
 
-/// Puts frames on a stream, and starts its writer.
+/// Splits a stream into a frame reader and an outbox, and starts writing the outbox's frames.
 ///
 /// # Errors
-/// When the stream's options can't be set.
+/// If the stream's options can't be set.
 pub fn split(stream: TcpStream) -> io::Result<(FrameReader, Outbox)> {
     stream.set_nodelay(true)?;
     let (read, write) = stream.into_split();
@@ -113,14 +114,14 @@
     Ok((FramedRead::new(read, codec()), Outbox { tx }))
 }
 
-/// Returns a frame's bytes, packed where that saves some: calls to workers with their templates,
-/// which are most of what an owner sends. Packing takes some 0.3 MB while it lasts, so the members,
-/// which send little, do without.
+/// Encodes a frame. Frames with calls to workers are compressed if that makes them smaller: with
+/// their templates, they are most of what an owner sends. Compression takes about 0.3 MB of memory
+/// while it runs, so members, which send little, don't compress.
 pub(crate) fn encode(frame: &Frame) -> Bytes {
     let plain = frame.encode_to_vec();
     let may_shrink =
         plain.len() >= MIN_PACKED_BYTES && matches!(frame.body, Some(Body::Delegated(_)));
-    // A buffer in memory takes all that is written to it; if not, the frame goes as it is.
+    // Writing to a buffer in memory doesn't fail; if it did, the frame would be sent uncompressed.
     let packed = may_shrink.then(|| pack(&plain)).and_then(Result::ok);
     let packed = packed.map(|bytes| Frame::from(Body::Packed(bytes)).encode_to_vec());
     match packed.filter(|p| p.len() < plain.len()) {
@@ -129,17 +130,17 @@
     }
 }
 
-/// Reads a frame's bytes.
+/// Decodes a frame.
 ///
 /// # Errors
-/// When they are not a frame, or a packed one holds something else.
+/// If the bytes are not a frame, or a compressed frame doesn't contain a plain one.
 pub(crate) fn decode(bytes: BytesMut) -> io::Result<Option<Body>> {
     match Frame::decode(bytes)?.body {
         Some(Body::Packed(packed)) => {
             let plain = unpack(&packed, MAX_FRAME_BYTES)?;
             match Frame::decode(&plain[..])?.body {
                 Some(Body::Packed(_)) => {
-                    Err(io::Error::new(ErrorKind::InvalidData, "packed twice"))
+                    Err(io::Error::new(ErrorKind::InvalidData, "frame is compressed twice"))
                 }
                 body => Ok(body),
             }
@@ -148,7 +149,7 @@
     }
 }
 
-/// Writes frames until the link fails or no one sends any more.
+/// Writes frames until the link fails or all outboxes are dropped.
 async fn write_all(
     mut write: FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>,
     mut rx: mpsc::Receiver<Frame>,
@@ -170,7 +171,7 @@
     }
 }
 
-/// Reads the next frame; none when the link has ended or said what can't be read.
+/// Reads the next frame; none if the link has ended or the frame is malformed.
 pub async fn read_frame(reader: &mut FrameReader) -> Option<Body> {
     match reader.next().await? {
         Ok(bytes) => match decode(bytes) {
--- a/crates/hollowford-node/src/link_tests.rs
+++ b/crates/hollowford-node/src/link_tests.rs
@@ -1,4 +1,4 @@
-//! What goes over a link between processes, as bytes.
+//! Encoding of frames, and opening of links.
 #![allow(clippy::expect_used)]
 
 use crate::delegate_wire::Delegated;
@@ -15,25 +15,25 @@
     decode(BytesMut::from(&bytes[..])).expect("a frame")
 }
 
-/// A frame with a template of some 2 kB of random text, as a member gets it.
-fn starts() -> Frame {
+/// A frame as sent to a member, with a template of about 2 kB of random text.
+fn delegated_frame() -> Frame {
     let mut rng = fastrand::Rng::with_seed(7);
     let template = (0..2_000).map(|_| rng.alphanumeric()).collect();
     let templates = vec![template];
     Frame::from(Body::Delegated(Delegated { epoch: 3, templates, calls: Vec::new() }))
 }
 
-/// Pattern: a step of 40 tasks goes to some twenty members, and the owner's link has 2 Mbit/s.
+/// A step of 40 tasks is delegated to about twenty members over the owner's 2 Mbit/s link.
 #[test]
-fn a_template_takes_four_fifths_of_its_bytes_at_most() {
-    let frame = starts();
+fn compression_saves_at_least_a_fifth_of_a_template() {
+    let frame = delegated_frame();
     let bytes = encode(&frame);
     assert!(bytes.len() * 5 < frame.encoded_len() * 4, "{}", bytes.len());
     assert_eq!(decoded(&bytes), frame.body);
 }
 
 #[test]
-fn small_frames_and_others_go_as_they_are() {
+fn small_frames_and_frames_without_calls_are_not_compressed() {
     let beat = Frame::from(Body::MemberBeat(MemberBeat::default()));
     let row = ConfigRow { row_version: 1, packed: vec![0; 10_000] };
     for frame in [beat, Frame::from(Body::Config(row))] {
@@ -44,22 +44,22 @@
 }
 
 #[test]
-fn bytes_that_do_not_unpack_and_frames_packed_twice_are_errors() {
+fn malformed_compressed_bytes_and_frames_compressed_twice_are_errors() {
     let broken = Frame::from(Body::Packed(vec![0xff; 40])).encode_to_vec();
     assert!(decode(BytesMut::from(&broken[..])).is_err());
-    let once = Frame::from(Body::Packed(pack(&starts().encode_to_vec()).expect("packed")));
+    let once = Frame::from(Body::Packed(pack(&delegated_frame().encode_to_vec()).expect("packed")));
     let twice = Frame::from(Body::Packed(pack(&once.encode_to_vec()).expect("packed")));
     assert!(decode(BytesMut::from(&twice.encode_to_vec()[..])).is_err());
 }
 
-/// Makes tries of which the first `lost` never end, and the next one ends with `ended`; returns what
-/// came of them and how many were made.
-async fn tries(lost: u32, ended: io::Result<()>) -> (Result<(), ErrorKind>, u32) {
-    let made = Cell::new(0);
+/// Opens a link of which the first `lost` attempts never complete and the next one completes with
+/// `ended`. Returns the result and the number of attempts.
+async fn open_after_lost(lost: u32, ended: io::Result<()>) -> (Result<(), ErrorKind>, u32) {
+    let attempts = Cell::new(0);
     let ended = Cell::new(Some(ended));
     let opened = open_with_retries(|| {
-        made.set(made.get() + 1);
-        let ended = if made.get() > lost { ended.take() } else { None };
+        attempts.set(attempts.get() + 1);
+        let ended = if attempts.get() > lost { ended.take() } else { None };
         async move {
             match ended {
                 Some(ended) => ended,
@@ -68,28 +68,28 @@
         }
     });
     let opened = opened.await.map_err(|e| e.kind());
-    (opened, made.get())
+    (opened, attempts.get())
 }
 
-/// Pattern: a new owner to which 588 members open links within 20 ms has room for some 130; the
-/// system sends the others' first packet again after a second, and they took the owner for silent
-/// after half of one.
+/// A new owner to which 588 members open links within 20 ms accepts only about 130 at once. The
+/// operating system retransmits the others' first packet after a second, but members declared the
+/// owner silent after half a second.
 #[tokio::test(start_paused = true)]
-async fn a_link_opens_though_its_first_packets_are_lost() {
+async fn a_link_opens_although_its_first_packets_are_lost() {
     for lost in 0..3 {
-        assert_eq!(tries(lost, Ok(())).await, (Ok(()), lost + 1));
+        assert_eq!(open_after_lost(lost, Ok(())).await, (Ok(()), lost + 1));
     }
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_link_that_is_refused_is_not_tried_again() {
     let refused = Err(ErrorKind::ConnectionRefused.into());
-    assert_eq!(tries(0, refused).await, (Err(ErrorKind::ConnectionRefused), 1));
+    assert_eq!(open_after_lost(0, refused).await, (Err(ErrorKind::ConnectionRefused), 1));
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_address_that_says_nothing_is_given_up() {
-    let (opened, made) = tries(u32::MAX, Ok(())).await;
+async fn connecting_to_a_silent_address_times_out() {
+    let (opened, attempts) = open_after_lost(u32::MAX, Ok(())).await;
     assert_eq!(opened, Err(ErrorKind::TimedOut));
-    assert!(made >= 3, "{made} tries");
+    assert!(attempts >= 3, "{attempts} attempts");
 }
--- a/crates/hollowford-node/src/members_tests.rs
+++ b/crates/hollowford-node/src/members_tests.rs
@@ -47,10 +47,10 @@
     for (i, rx) in rxs.iter_mut().enumerate() {
         let received = intervals(rx);
         let (interval, least) = if i < 8 { (100, 28) } else { (300, 9) };
-        assert!(received.iter().all(|&ms| ms == interval), "member {i} was told {received:?}");
+        assert!(received.iter().all(|&ms| ms == interval), "member {i} received {received:?}");
         assert!(
             received.len() >= least && received.len() <= least + 4,
-            "member {i}: {}",
+            "member {i} received {} heartbeats",
             received.len()
         );
     }
@@ -90,7 +90,7 @@
         for (i, rx) in rxs.iter_mut().enumerate() {
             match intervals(rx).last() {
                 Some(&interval) => due[i] = now + Millis(interval) + TICK_INTERVAL,
-                None => assert!(now <= due[i], "member {i} expected one at {:?}", due[i]),
+                None => assert!(now <= due[i], "member {i} expected a heartbeat by {:?}", due[i]),
             }
         }
     }
--- a/crates/hollowford-node/src/partition.rs
+++ b/crates/hollowford-node/src/partition.rs
@@ -1,4 +1,4 @@
-//! What a process knows of one partition: who owns it, and how the owner is reached.
+//! What a process knows about one partition: its owner, and the route to it.
 
 use crate::assignment::process_order;
 use crate::config_freshness::ConfigFreshness;
@@ -14,43 +14,44 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// A reading of the clock that stands for never.
+/// Clock reading that stands for "never".
 const NEVER: u64 = 0;
 
-/// How the owner is reached now.
+/// The route to a partition's owner.
 #[derive(Clone, Debug)]
 pub enum Route {
-    /// It is not, now.
+    /// The owner can't be reached.
     None,
-    /// It is this process.
+    /// The owner runs in this process.
     Local(OwnerHandle),
-    /// By a link.
+    /// The owner is reached over a link.
     Remote(RemoteOwner),
 }
 
-/// What the process knows of one partition.
+/// What the process knows about one partition.
 #[derive(Debug)]
 pub struct Partition {
-    /// Its number, from 0.
+    /// Number of the partition, from 0.
     pub number: u32,
-    /// Its part of the system's table.
+    /// The partition's part of [`SYSTEM_TABLE`](crate::owner_row::SYSTEM_TABLE).
     pub part: String,
-    /// The newest owner that is known.
+    /// The newest known owner.
     pub owner: watch::Sender<OwnerInfo>,
-    /// How the owner is reached.
+    /// The current route to the owner.
     pub route: watch::Sender<Route>,
-    /// The newest epoch in which this process has owned it and no longer does; 0: none.
+    /// Newest epoch at which this process owned the partition and no longer does; 0 if there is
+    /// none.
     released_epoch: AtomicU64,
-    /// The owner wants to know whether the store answers this process.
+    /// The owner asks its members to find out whether the store answers them.
     pub store_probe_wanted: AtomicBool,
-    /// Reading of the clock when the owner was last within reach.
+    /// Clock reading of the last contact with the owner.
     last_owner_contact: AtomicU64,
-    /// What the owner tells of the configuration.
+    /// What the owner's heartbeats report about the configuration.
     config_freshness: ArcSwap<ConfigFreshness>,
 }
 
 impl Partition {
-    /// Makes a partition without a known owner.
+    /// Creates a partition without a known owner.
     pub fn new(number: u32) -> Partition {
         Partition {
             number,
@@ -64,17 +65,18 @@
         }
     }
 
-    /// Returns what the owner's heartbeats have told of the configuration.
+    /// Returns what the owner's heartbeats have reported about the configuration.
     pub fn config_freshness(&self) -> ConfigFreshness {
         **self.config_freshness.load()
     }
 
-    /// Sets what they have told; only the task that follows the owner does.
-    pub fn set_config_freshness(&self, told: ConfigFreshness) {
-        self.config_freshness.store(Arc::new(told));
+    /// Sets what the owner's heartbeats have reported. Only the task that follows the owner calls
+    /// this.
+    pub fn set_config_freshness(&self, freshness: ConfigFreshness) {
+        self.config_freshness.store(Arc::new(freshness));
     }
 
-    /// Takes note of an owner, if it is newer than the one that is known.
+    /// Records an owner if it is newer than the known one. Returns true if it is.
     pub fn record_owner(&self, info: &OwnerInfo) -> bool {
         self.owner.send_if_modified(|known| {
             let newer = info.epoch > known.epoch;
@@ -85,28 +87,27 @@
         })
     }
 
-    /// Takes note that this process doesn't own the partition at `epoch` any more.
+    /// Records that this process no longer owns the partition at `epoch`.
     pub fn release(&self, epoch: u64) {
         self.released_epoch.fetch_max(epoch, Ordering::Relaxed);
     }
 
-    /// Tells whether this process has owned the partition at `epoch` or later, and doesn't any
-    /// more.
+    /// Returns true if this process owned the partition at `epoch` or later and no longer does.
     pub fn has_released(&self, epoch: u64) -> bool {
         epoch <= self.released_epoch.load(Ordering::Relaxed)
     }
 
-    /// Tells whether this process owns the partition.
+    /// Returns true if this process owns the partition.
     pub fn is_owned(&self) -> bool {
         matches!(*self.route.borrow(), Route::Local(_))
     }
 
-    /// Takes note that the owner was within reach at `now`.
+    /// Records contact with the owner at `now`.
     pub fn record_owner_contact(&self, now: Millis) {
         self.last_owner_contact.store(now.0.max(NEVER + 1), Ordering::Relaxed);
     }
 
-    /// Returns the time since the owner was within reach; the longest if it never was.
+    /// Returns the time since the last contact with the owner; [`Millis::MAX`] if there was none.
     pub fn owner_contact_age(&self, now: Millis) -> Millis {
         match self.last_owner_contact.load(Ordering::Relaxed) {
             NEVER => Millis::MAX,
@@ -115,30 +116,30 @@
     }
 }
 
-/// One partition, as a duty of the process sees it.
+/// One partition and the state shared by the process's tasks.
 #[derive(Clone, Debug)]
 pub struct PartitionContext {
-    /// What all duties of the process share.
+    /// State shared by all tasks of the process.
     pub shared: Arc<Shared>,
     /// The partition.
     pub partition: Arc<Partition>,
 }
 
 impl PartitionContext {
-    /// Takes note that the owner was within reach.
+    /// Records contact with the owner.
     pub fn record_owner_contact(&self) {
         self.partition.record_owner_contact(self.shared.clock.now());
     }
 
-    /// Waits so long for an owner newer than `epoch`. Tells whether there is one.
+    /// Waits up to `within` for an owner newer than `epoch`. Returns true if there is one.
     pub async fn newer_owner_within(&self, epoch: u64, within: Millis) -> bool {
         let mut newest = self.partition.owner.subscribe();
         let newer = newest.wait_for(|o| o.epoch > epoch);
         timeout(within.duration(), newer).await.is_ok()
     }
 
-    /// Returns what decides how long this process leaves the partition to others. Each process
-    /// begins with another partition, and comes to the next ones in turn.
+    /// Returns this process as a candidate for the partition. Processes start with different
+    /// partitions and try the next ones in turn.
     pub fn candidate(&self) -> Candidate {
         let partitions = self.shared.partition_count().max(1);
         let begins_with = process_order(&self.shared.address().to_string(), 0);
@@ -150,7 +151,7 @@
         }
     }
 
-    /// Returns what this process is as an owner at `epoch`.
+    /// Returns this process's description as the owner at `epoch`.
     pub fn owner_info(&self, epoch: u64) -> OwnerInfo {
         OwnerInfo {
             epoch,
--- a/crates/hollowford-node/src/plan.rs
+++ b/crates/hollowford-node/src/plan.rs
@@ -1,5 +1,5 @@
-//! How many partitions the cell has. It is decided once, when the cell first starts, by how
-//! many workers there are, and kept in the store.
+//! The number of partitions of a cell. It is decided once, from the number of workers when the cell
+//! first starts, and stored as the plan.
 
 use crate::assignment::count_partitions;
 use crate::link;
@@ -16,39 +16,40 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Workers that one owner decides for, unless it is set. Half a core carries 1,100 with 1,100
-/// starts a second, since members make the calls (docs/CAPACITY.md); and a gang that may run on
-/// three workers of ten finds room in a partition of that size which it doesn't find in a third.
+/// Default number of workers per partition. Half a core is enough for 1,100 workers with 1,100
+/// starts a second, since members make the calls (see docs/CAPACITY.md). A gang that may run on
+/// three of ten workers fits into a partition of this size where it might not fit into a third of
+/// it.
 pub const DEFAULT_WORKERS_PER_PARTITION: NonZeroUsize = match NonZeroUsize::new(1_200) {
     Some(n) => n,
     None => NonZeroUsize::MIN,
 };
 /// Part of the table that holds the plan.
 pub const PLAN_PART: &str = "plan";
-/// Key of the plan.
+/// Key of the plan's row.
 const PLAN_KEY: &str = "plan";
-/// Key of the row that names the process which counts the workers: hundreds of processes that
-/// start at once would each read the whole list several times.
+/// Key of the row that names the process which counts the workers. Without it, hundreds of
+/// processes that start at once would each read the whole worker list several times.
 const COUNTER_KEY: &str = "counting";
-/// Processes that start together say that they count at times within this one: the first says so
-/// before most of the others come to it.
+/// Processes that start together claim the count after a random delay up to this limit, so that the
+/// first claim is visible before most of the others are made.
 const MAX_CLAIM_DELAY: Millis = Millis(600);
-/// A process that has said that it counts is waited for so long: somewhat more than it may take.
+/// How long other processes wait for the one that counts: slightly longer than counting may take.
 const COUNTER_TIMEOUT: Millis = Millis(8_000);
-/// How often the workers are counted when a cell first starts.
+/// Interval at which the workers are counted.
 const COUNT_INTERVAL: Duration = Duration::from_millis(400);
-/// The others look for the plan after this time,
+/// First interval at which a process that doesn't count polls for the plan.
 const INITIAL_POLL_INTERVAL: Duration = Duration::from_millis(400);
-/// and then at longer and longer intervals up to this one: in a cell of hundreds each look is
-/// hundreds of readings.
+/// Limit of the polling interval, which doubles each time: in a large cell hundreds of processes
+/// poll.
 const MAX_POLL_INTERVAL: Duration = Duration::from_millis(1_600);
-/// The count is taken once it has stood for so long, since workers start over some seconds.
+/// How long the number of workers must be unchanged. Workers start over several seconds.
 const STABLE_COUNT_TIME: Millis = Millis(1_200);
-/// It is taken anyway after this time.
+/// Time after which the current number of workers is used, even if it still changes.
 const MAX_COUNT_TIME: Millis = Millis(6_000);
 
-/// Learns how many partitions there are, from the store or another process; decides it if
-/// nobody has.
+/// Learns the number of partitions from the store or another process, and decides it if it has not
+/// been decided. Retries until it succeeds.
 pub async fn learn(shared: &Shared, workers_per_partition: NonZeroUsize) -> u32 {
     let mut learner = PlanLearner::new(shared.clock.now(), fastrand::f64());
     loop {
@@ -66,37 +67,38 @@
     }
 }
 
-/// Whether a process counts the workers.
+/// A process's role in counting the workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CountingRole {
-    /// It does.
+    /// Counts the workers.
     Counter,
-    /// It is to say that it does, if nobody else has by then.
+    /// Has to claim the count, since no other process has.
     Claimant,
-    /// Another one does, or may say so before.
+    /// Waits for another process that counts or may claim the count first.
     Waiter,
 }
 
-/// A process that learns the plan.
+/// Learns the plan for one process.
 #[derive(Debug)]
 pub(crate) struct PlanLearner {
-    /// When it began.
+    /// When the process started to learn the plan.
     started_at: Millis,
-    /// It doesn't count the workers before.
+    /// When the process may claim the count.
     claim_at: Millis,
-    /// Its next pause.
+    /// Next polling interval.
     poll_interval: Duration,
 }
 
 impl PlanLearner {
-    /// Starts at `started_at`; its turn to count comes at `fraction` (0 to 1) of the time in which all have
-    /// theirs.
+    /// Creates a learner that starts at `started_at` and may claim the count at `fraction` (0 to 1)
+    /// of [`MAX_CLAIM_DELAY`].
     pub fn new(started_at: Millis, fraction: f64) -> PlanLearner {
         let claim_at = started_at + Millis((MAX_CLAIM_DELAY.0 as f64 * fraction) as u64);
         PlanLearner { started_at, claim_at, poll_interval: INITIAL_POLL_INTERVAL }
     }
 
-    /// Reads the plan, or makes it if there is none; none while another process is to make it.
+    /// Reads the plan. If there is none, makes it when this process is the one to count the
+    /// workers; returns none if it isn't.
     async fn read_or_make_plan(
         &self,
         shared: &Shared,
@@ -127,8 +129,8 @@
         }
     }
 
-    /// Tells whether this process is to count the workers: the first one that says so does, and any
-    /// once that one has been waited for too long.
+    /// Returns true if this process has to count the workers: it made the first claim, or the
+    /// process that did has timed out.
     async fn becomes_counter(&self, shared: &Shared, rows: &[Row]) -> Result<bool, StoreError> {
         let own = shared.boot.to_be_bytes();
         match self.counting_role(rows, &own, shared.clock.now()) {
@@ -146,7 +148,7 @@
         Ok(matches!(outcome, TxOutcome::Made(_)))
     }
 
-    /// Tells what the plan's rows mean for the process that calls itself `own`.
+    /// Returns the role of the process with the boot id `own`, given the rows of the plan's part.
     pub(crate) fn counting_role(&self, rows: &[Row], own: &[u8], now: Millis) -> CountingRole {
         match rows.iter().find(|r| r.key == COUNTER_KEY) {
             Some(r) if r.value == own || now.since(self.started_at) >= COUNTER_TIMEOUT => {
@@ -157,7 +159,7 @@
         }
     }
 
-    /// Waits for its turn to count, or for another process's plan.
+    /// Waits until this process may claim the count, or for the next poll.
     async fn pause(&mut self, shared: &Shared) {
         let until_claim = self.claim_at.since(shared.clock.now());
         if until_claim > Millis(0) {
@@ -168,7 +170,7 @@
     }
 }
 
-/// Reads the list of workers once their number stands.
+/// Reads the worker list once the number of workers is stable.
 async fn read_workers(
     shared: &Shared,
     started_at: Millis,
@@ -183,7 +185,8 @@
         let stable = count > 0 && now.since(since) >= STABLE_COUNT_TIME;
         if stable || now.since(started_at) >= MAX_COUNT_TIME {
             let config = shared.config.load_full();
-            // A pool of another writer's rows would have to be in each partition.
+            // A pool known only from another writer's rows would otherwise be required in each
+            // partition.
             let named = |l: &WorkerListing| config.as_ref().is_none_or(|c| c.names_pool(&l.pool));
             return Ok(feed.rows.iter().filter_map(decode_worker).filter(named).collect());
         }
@@ -204,7 +207,7 @@
         .map(|p| p.partitions.max(1))
 }
 
-/// Asks the seeds, for a process that starts while the store is away.
+/// Asks the seeds for the number of partitions, since the store doesn't answer.
 async fn ask_seeds(shared: &Shared) -> Option<u32> {
     for seed in shared.other_seeds() {
         let answer = link::request(seed, Body::WhatPlan(WhatPlan {}), STORE_CALL_TIMEOUT).await;
--- a/crates/hollowford-node/src/plan_tests.rs
+++ b/crates/hollowford-node/src/plan_tests.rs
@@ -1,4 +1,5 @@
-//! A cell that starts for the first time: many processes, and one has to count the workers.
+//! Many processes learn the number of partitions as a cell first starts; one of them counts the
+//! workers.
 #![allow(clippy::expect_used)]
 
 use crate::owner_row::SYSTEM_TABLE;
@@ -12,7 +13,7 @@
 
 /// Far above what a call takes, since the machine may be busy.
 const TIMEOUT: Duration = Duration::from_secs(60);
-/// One process reads the list every 0.4 s for 6 s at most.
+/// One process reads the list every 0.4 s for at most 6 s.
 const MAX_READS_OF_COUNTER: u64 = 16;
 
 async fn learn_in_processes(platform: &Platform, processes: usize) -> Vec<u32> {
@@ -23,8 +24,8 @@
     join_all(learners).await
 }
 
-/// Pattern: 147 processes start at once in a cell of 1,100 workers. Each read the whole list
-/// some nine times, 3.7 MB, over links of 10 to 20 Mbit/s: 457 MB in all.
+/// 147 processes start at once in a cell of 1,100 workers. Each read the whole list (3.7 MB) about
+/// nine times over links of 10 to 20 Mbit/s, 457 MB in all.
 #[tokio::test]
 async fn one_process_counts_the_workers_and_the_others_wait_for_its_plan() {
     let platform = Platform::start(30).await.expect("the platform");
@@ -33,9 +34,9 @@
     assert!(read <= MAX_READS_OF_COUNTER, "the list was read {read} times");
 }
 
-/// Pattern: the process that counts is killed. Nobody waits for it for ever.
+/// The process that claimed the count is killed. The others must not wait for it forever.
 #[tokio::test]
-async fn a_process_that_said_that_it_counts_and_is_gone_is_not_waited_for() {
+async fn a_failed_counter_is_not_waited_for_forever() {
     let platform = Platform::start(3).await.expect("the platform");
     let gone = shared_with(Some(platform.addr()));
     let tx = Transaction {
@@ -47,10 +48,10 @@
     assert_eq!(learn_in_processes(&platform, 2).await, [1; 2]);
 }
 
-/// Pattern: 588 processes look at once, and nobody counts yet. Each said that it counts, and the store
-/// refused two of three, since it takes 200 such writings a second.
+/// 588 processes look for a claim at the same time and find none. When all of them claimed the
+/// count, the store refused two out of three claims, since it executes 200 writes a second.
 #[test]
-fn processes_that_start_together_do_not_all_say_that_they_count() {
+fn processes_that_start_together_do_not_all_claim_the_count() {
     let counter_row = |by: u64| Row {
         key: "counting".to_owned(),
         value: by.to_be_bytes().to_vec(),
@@ -58,7 +59,7 @@
         removed: false,
     };
     let started_at = Millis(100);
-    // The store's answer takes some 20 ms. By then the row of the first is read.
+    // The store answers within about 20 ms; later processes see the first claim.
     let claims = (0..588_u64)
         .filter(|&i| {
             let learner = PlanLearner::new(started_at, i as f64 / 588.0);
@@ -74,8 +75,8 @@
             early
         })
         .count();
-    assert!(claims <= 30, "{claims} say that they count before the first one is read");
+    assert!(claims <= 30, "{claims} claims before the first one is visible");
     let learner = PlanLearner::new(started_at, 1.0);
     let gone = learner.counting_role(&[counter_row(0)], &[9], started_at + Millis(8_000));
-    assert_eq!(gone, CountingRole::Counter, "one that is gone is not waited for for ever");
+    assert_eq!(gone, CountingRole::Counter, "a failed counter is not waited for forever");
 }
--- a/crates/hollowford-node/src/registry_tests.rs
+++ b/crates/hollowford-node/src/registry_tests.rs
@@ -64,11 +64,11 @@
         list.replace(&[good("w1"), good("w2")]);
         assert!(list.apply_row(&row("w1", malformed)));
         assert_eq!(ids(&list, &shared), ["w2"]);
-        assert!(!list.apply_row(&row("w1", malformed)), "nothing new");
+        assert!(!list.apply_row(&row("w1", malformed)), "no change");
         assert!(list.apply_row(&good("w1")));
         assert_eq!(ids(&list, &shared), ["w1", "w2"]);
         list.replace(&[row("w1", malformed), good("w2")]);
-        assert_eq!(ids(&list, &shared), ["w2"], "in a whole reading, too");
+        assert_eq!(ids(&list, &shared), ["w2"], "after a full read, too");
     }
 }
 
@@ -125,7 +125,7 @@
     assert_eq!(
         list.apply_changes(&changes(12, 14, one("w2"))),
         ChangesOutcome::Gap,
-        "what came between is lost"
+        "versions 11 and 12 are missing"
     );
     assert_eq!(list.apply_changes(&changes(4, 9, one("w3"))), ChangesOutcome::Outdated);
     assert_eq!(ids(&list, &shared), ["w1"]);
@@ -155,9 +155,9 @@
     assert!(!list.apply_row(&missing));
     assert!(list.has_unconfirmed_entries());
     assert_eq!(list.apply_changes(&changes(0, 10, Vec::new())), ChangesOutcome::Applied(false));
-    assert!(list.has_unconfirmed_entries(), "only a whole reading tells");
+    assert!(list.has_unconfirmed_entries(), "forwarded changes do not confirm it");
     list.replace(&[good("w1")]);
-    assert_eq!(ids(&list, &shared), ["w1", "w2"], "too early");
+    assert_eq!(ids(&list, &shared), ["w1", "w2"], "within the grace period");
     list.record_answer(Millis(61_000));
     list.record_answer(Millis(62_000));
     list.record_answer(Millis(62_600));
