--- a/crates/hollowford-node/src/assignment_tests.rs
+++ b/crates/hollowford-node/src/assignment_tests.rs
@@ -1,4 +1,4 @@
-//! Jobs and workers are dealt to partitions alike everywhere, and evenly.
+//! Jobs and workers are assigned evenly, and identically in every process.
 
 use crate::assignment::{
     advice_partition, count_partitions, partition_of_job, partition_of_worker,
@@ -28,14 +28,14 @@
 }
 
 #[test]
-fn one_partition_has_everything() {
+fn a_single_partition_gets_everything() {
     assert_eq!(partition_of_job(JobId(7), 1), 0);
     assert_eq!(partition_of_worker(&worker(&[], ""), 1), 0);
     assert_eq!(advice_partition("10.0.0.1:7000", 1), 0);
 }
 
 #[test]
-fn jobs_are_dealt_evenly_whatever_their_ids() {
+fn jobs_are_assigned_evenly_whatever_their_ids() {
     for step in [1, 16, 1 << 32, 0x1234_5678_9abc_def1] {
         let ids = (0..9_000_u64).map(|i| JobId(i.wrapping_mul(step)));
         for n in counts(ids.map(|id| partition_of_job(id, 9)), 9) {
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn racks_are_dealt_whole_and_evenly() {
+fn racks_are_assigned_whole_and_evenly() {
     let racks = (1..=4).flat_map(|zone| (0..94).map(move |rack| format!("r{zone}-{rack}")));
     let assigned = racks.map(|rack| {
         let first = partition_of_worker(&worker(&["a", &rack], "10.0.0.1:1"), 7);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_worker_without_a_rack_and_a_name_without_numbers_have_a_home() {
+fn workers_without_a_rack_and_names_without_numbers_are_assigned() {
     assert!(partition_of_worker(&worker(&["a"], "10.0.0.1:1"), 7) < 7);
     assert!(partition_of_worker(&worker(&["rack-of-the-north"], "10.0.0.1:1"), 7) < 7);
 }
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn there_is_a_partition_for_so_many_workers() {
+fn the_number_of_partitions_grows_with_the_number_of_workers() {
     assert_eq!(count(&[]), 1);
     assert_eq!(count(&pool("p", 12)), 1);
     assert_eq!(count(&pool("p", 13)), 2);
@@ -93,13 +93,13 @@
     assert_eq!(count(&[large(), pool("small", 3)].concat()), 3);
     assert_eq!(count(&[large(), pool("one-rack", 1)].concat()), 1);
     let special = WorkerListing { pool: "p".into(), ..worker(&["fast", "r1-7"], "x:1") };
-    assert_eq!(count(&[large(), vec![special]].concat()), 1, "one worker has the label");
+    assert_eq!(count(&[large(), vec![special]].concat()), 1, "a single worker has the label");
 }
 
-// The pattern: three partitions of 1,000 workers and 20 accounts; relocations of 12 tasks of 9 cores are
-// larger than a third of a small account's quota.
+// Three partitions of 1,000 workers and 20 accounts. A gang of 12 tasks of 9 cores each exceeds a
+// third of a small account's quota.
 #[test]
-fn an_account_has_one_home_whatever_its_jobs_ids_are_and_accounts_are_spread() {
+fn an_account_has_one_partition_and_accounts_are_spread_over_partitions() {
     let shared = shared();
     shared.set_partitions(3);
     let mut assigned = [0; 3];
--- a/crates/hollowford-node/src/config_freshness.rs
+++ b/crates/hollowford-node/src/config_freshness.rs
@@ -1,45 +1,45 @@
-//! What a member is told of the configuration by its owner's heartbeats.
+//! Whether the owner's heartbeats confirm that a member's configuration is current.
 //!
-//! A configuration of a thousand routes is some 200 kB. While a link is narrow, or the cell large,
-//! each process that follows the store's feed and reads the row besides takes it several times.
-//! So a member leaves both alone while its owner vouches for what it knows: heartbeats come, the
-//! owner has read the configuration lately, and the member isn't behind it for long.
+//! A configuration with a thousand routes is about 200 kB. Over a narrow link or in a large cell, a
+//! process that follows the store's feed and polls the row as well receives it several times. So a
+//! member does neither while its owner confirms its configuration: heartbeats arrive, the owner has
+//! read the configuration recently, and the member is not behind for long.
 
 use hollowford_core::Millis;
 
-/// A heartbeat is late after two of its own times and this.
+/// A heartbeat is late after two intervals plus this time.
 const HEARTBEAT_GRACE: Millis = Millis(150);
-/// The owner's last reading counts for so long. It reads every 0.65 s, and heartbeats come every
-/// 0.1 to 0.5 s.
+/// Age up to which the owner's last read confirms the configuration. The owner reads every 0.65 s,
+/// and heartbeats arrive every 0.1 to 0.5 s.
 const MAX_OWNER_READ_AGE: Millis = Millis(1_200);
-/// A newer configuration has to arrive from the owner within this time.
+/// Time within which a newer configuration must arrive from the owner.
 const NEWER_CONFIG_TIMEOUT: Millis = Millis(1_000);
 
-/// What a heartbeat says of the configuration.
+/// The configuration as reported in a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportedConfig {
     /// Version that the owner knows.
     pub version: u64,
-    /// Time since the owner read it in the store.
+    /// Time since the owner read the configuration from the store.
     pub age: Millis,
-    /// Time between two heartbeats.
+    /// Heartbeat interval of the owner.
     pub interval: Millis,
 }
 
-/// What was told last.
+/// State derived from the heartbeats received so far.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConfigFreshness {
     last_heartbeat: Millis,
     interval: Millis,
-    /// When the owner read the configuration last.
+    /// When the owner last read the configuration.
     last_read: Millis,
-    /// Since when the owner has known a newer one.
+    /// Since when the owner has known a newer version than this process.
     behind_since: Option<Millis>,
     has_reports: bool,
 }
 
 impl ConfigFreshness {
-    /// Takes in a heartbeat that came at `now`, when this process knows version `own_version`.
+    /// Records a heartbeat received at `now`, while this process has version `own_version`.
     pub fn record(&mut self, reported: ReportedConfig, own_version: u64, now: Millis) {
         self.has_reports = true;
         self.last_heartbeat = now;
@@ -52,13 +52,13 @@
         };
     }
 
-    /// Tells whether the owner has told of a newer configuration that has not arrived.
+    /// Returns true if the owner has reported a newer configuration that has not arrived.
     pub fn is_behind(&self) -> bool {
         self.behind_since.is_some()
     }
 
-    /// Tells whether the owner vouches at `now` for what this process knows, or is about to send
-    /// what is newer.
+    /// Returns true if at `now` the owner confirms this process's configuration, or is about to
+    /// send a newer one.
     pub fn is_current(&self, now: Millis) -> bool {
         let late = self.interval + self.interval + HEARTBEAT_GRACE;
         let behind =
--- a/crates/hollowford-node/src/config_freshness_tests.rs
+++ b/crates/hollowford-node/src/config_freshness_tests.rs
@@ -1,21 +1,21 @@
-//! When a member needs no reading of its own: loads of a cell whose configuration is large.
+//! When a member with a large configuration has to read it from the store itself.
 
 use crate::config_freshness::{ConfigFreshness, ReportedConfig};
 use hollowford_core::Millis;
 
-/// When the first heartbeat comes.
+/// When the first heartbeat arrives.
 const FIRST_HEARTBEAT: Millis = Millis(10_000);
 
 fn reported(version: u64, age: u64, interval: u64) -> ReportedConfig {
     ReportedConfig { version, age: Millis(age), interval: Millis(interval) }
 }
 
-/// Pattern: a calm cell of 147 instances (heartbeats every 0.3 s, the owner reads every 0.65 s).
-/// No member reads the configuration or follows the feed.
+/// A healthy cell of 147 instances: heartbeats arrive every 0.3 s and the owner reads every 0.65 s.
+/// No member must read the configuration or follow the feed.
 #[test]
-fn heartbeats_of_an_owner_that_reads_are_enough() {
+fn heartbeats_of_an_owner_that_reads_confirm_the_configuration() {
     let mut freshness = ConfigFreshness::default();
-    assert!(!freshness.is_current(FIRST_HEARTBEAT), "nothing was told");
+    assert!(!freshness.is_current(FIRST_HEARTBEAT), "no heartbeat was received");
     for beat in 0..100 {
         let now = FIRST_HEARTBEAT + Millis(beat * 300);
         freshness.record(reported(4, beat * 300 % 650, 300), 4, now);
@@ -24,16 +24,16 @@
 }
 
 #[test]
-fn an_owner_that_is_silent_vouches_for_nothing() {
+fn a_silent_owner_confirms_nothing() {
     let mut freshness = ConfigFreshness::default();
     freshness.record(reported(4, 0, 100), 4, FIRST_HEARTBEAT);
     assert!(freshness.is_current(FIRST_HEARTBEAT + Millis(300)));
     assert!(!freshness.is_current(FIRST_HEARTBEAT + Millis(350)));
 }
 
-/// Pattern: the store turns the owner away and serves the others.
+/// The store refuses the owner's calls but serves the members.
 #[test]
-fn an_owner_that_can_not_read_vouches_for_nothing() {
+fn an_owner_that_cannot_read_confirms_nothing() {
     let mut freshness = ConfigFreshness::default();
     for age in [600, 1_100] {
         freshness.record(reported(4, age, 100), 4, FIRST_HEARTBEAT + Millis(age));
@@ -43,10 +43,11 @@
     assert!(!freshness.is_current(FIRST_HEARTBEAT + Millis(1_300)));
 }
 
-/// Pattern: quick changes of a large configuration on a narrow link. Each arrives late, and
-/// reading it besides would make the next one later still; but one that doesn't come is read.
+/// A large configuration changes frequently on a narrow link. Each version arrives late, and
+/// reading it from the store as well would delay the next one further. A version that doesn't
+/// arrive is read from the store.
 #[test]
-fn what_is_newer_is_waited_for_a_while() {
+fn a_newer_configuration_is_waited_for_a_limited_time() {
     let mut freshness = ConfigFreshness::default();
     for beat in 0..10 {
         freshness.record(reported(5, 0, 100), 4, FIRST_HEARTBEAT + Millis(beat * 100));
--- a/crates/hollowford-node/src/config_watch.rs
+++ b/crates/hollowford-node/src/config_watch.rs
@@ -1,5 +1,6 @@
-//! Keeps the configuration up to date: by the store's feed, and by reading it besides, since
-//! the feed may go silent. A member whose owner vouches for what it knows does neither.
+//! Keeps the configuration up to date by following the store's feed, and by polling the store as
+//! well, since a feed may stop sending changes without an error. A member does neither while its
+//! owner's heartbeats confirm its configuration.
 
 use crate::owner_row::{OWNER_KEY, SYSTEM_TABLE};
 use crate::packed::{pack, unpack};
@@ -12,56 +13,58 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// How often the configuration is read beside the feed. It has to be in force after 2 s, also
-/// when the feed is silent for a second and one reading gets no answer.
+/// Polling interval beside the feed. A new configuration must be in force within 2 s even if the
+/// feed is silent for a second and one read gets no answer.
 const READ_INTERVAL: Duration = Duration::from_millis(650);
-/// How often before it is known how many partitions there are: nobody is served yet, and the feed
-/// tells of changes. Hundreds of processes that start would read it over and over meanwhile.
+/// Polling interval until the number of partitions is known. No caller is served before that, and
+/// the feed reports changes. Hundreds of starting processes would otherwise read the configuration
+/// many times.
 const READ_INTERVAL_BEFORE_PLAN: Duration = Duration::from_millis(15_000);
-/// Once that is known an owner vouches for the configuration within this time, or it is read.
+/// How long a process waits for an owner to confirm the configuration, once the number of
+/// partitions is known, before it reads the configuration itself.
 const OWNER_CONFIRM_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How often a member whose owner vouches for the configuration finds out whether the store
-/// answers it: an owner that the store turns away hands over to one that it serves.
+/// How often a member whose owner confirms the configuration checks whether the store answers it.
+/// An owner that the store doesn't serve hands over to a member that it serves.
 const PROBE_INTERVAL: Millis = Millis(3_000);
-/// How often while the owner can't reach the store, to learn whether this process can.
+/// The same while the owner can't reach the store and asks its members to probe it.
 const REQUESTED_PROBE_INTERVAL: Duration = Duration::from_millis(200);
-/// Longest time for a reading.
+/// Time limit of a read.
 const READ_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a call to the feed waits for a change.
+/// How long a feed call waits for a change.
 const MAX_FEED_WAIT: Duration = Duration::from_millis(10_000);
-/// The largest configuration that is taken from a peer, in bytes: what the store holds in a row,
-/// many times over.
+/// Size limit of a decompressed configuration from a peer: many times what a row of the store can
+/// hold.
 const MAX_CONFIG_BYTES: usize = 16 << 20;
-/// Pause after a failure, and between two looks whether the owner still vouches.
+/// Pause after a failed call, and between checks whether an owner still confirms the configuration.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// The last call to the store that this duty has made.
+/// The last store call of [`poll_config`].
 #[derive(Debug)]
 pub(crate) struct LastStoreCall {
-    /// The store answered it.
+    /// Whether the store answered the call.
     pub answered: bool,
-    /// When it was made.
+    /// When the call was made.
     pub at: Millis,
-    /// It read the configuration, and not only a small row.
+    /// Whether the call read the configuration; a probe reads only a small row.
     pub read_config: bool,
 }
 
-/// Reads the configuration again and again, or only finds out whether the store answers while an
-/// owner vouches for what this process knows.
+/// Polls the store for the configuration. While an owner confirms the current one, only probes
+/// whether the store answers.
 pub async fn poll_config(shared: Arc<Shared>) {
     let mut last = LastStoreCall { answered: true, at: Millis(0), read_config: true };
     loop {
         let confirmed = shared.config_is_told();
         let now = shared.clock.now();
         if !confirmed || is_probe_wanted(&shared) || now.since(last.at) >= PROBE_INTERVAL {
-            // Without any configuration nothing can be served, so no call is spent on a probe.
+            // Without a configuration nothing can be served, so no call is spent on a probe.
             let has_config = shared.config_version() > 0;
             let probe = confirmed || (has_config && !last.answered);
             let answer = read_or_probe(&shared, probe).await;
             record_answer(&shared, last.answered, &answer);
             last = LastStoreCall { answered: answer.is_ok(), at: now, read_config: !probe };
         }
-        // Woken early when a peer knows a newer version.
+        // Ends early when a peer has a newer version.
         let pause = next_pause(&shared, &last);
         if timeout(pause, shared.config_wanted.notified()).await.is_ok() {
             log::debug!("config.wanted");
@@ -69,8 +72,8 @@
     }
 }
 
-/// Has the configuration read once it is known how many partitions there are, unless an owner
-/// vouches for it soon.
+/// Requests a read of the configuration unless an owner confirms it soon. Called once the number of
+/// partitions is known.
 pub async fn poll_unless_confirmed(shared: &Shared) {
     sleep(OWNER_CONFIRM_TIMEOUT).await;
     if !shared.config_is_told() {
@@ -78,8 +81,8 @@
     }
 }
 
-/// Asks the store for the configuration; with `probe` for a small row, only to learn whether it
-/// answers: a store that was away doesn't have to send all members a large one as it returns.
+/// Reads the configuration, or with `probe` only a small row to find out whether the store answers.
+/// After an outage the store thus doesn't send a large configuration to all members at once.
 async fn read_or_probe(shared: &Shared, probe: bool) -> Result<(), StoreError> {
     match shared.partitions().first().filter(|_| probe) {
         Some(p) => {
@@ -98,7 +101,8 @@
     Ok(())
 }
 
-/// Takes note of whether the store has answered; `was_answered`: whether it had the time before.
+/// Records whether the store has answered. `was_answered` says the same of the previous call, so
+/// that only changes are logged.
 fn record_answer(shared: &Shared, was_answered: bool, answer: &Result<(), StoreError>) {
     match answer {
         Ok(()) => {
@@ -116,12 +120,12 @@
     }
 }
 
-/// Tells whether an owner wants to know whether the store answers this process.
+/// Returns true if an owner asks its members to probe the store.
 fn is_probe_wanted(shared: &Shared) -> bool {
     shared.partitions().iter().any(|p| p.store_probe_wanted.load(Ordering::Relaxed))
 }
 
-/// Returns how long to wait before the next look at what is due.
+/// Returns the pause before the next poll or probe.
 pub(crate) fn next_pause(shared: &Shared, last: &LastStoreCall) -> Duration {
     if !last.answered || (!last.read_config && !shared.config_is_told()) {
         RETRY_PAUSE
@@ -168,7 +172,7 @@
     read.map(|f| f.version).ok()
 }
 
-/// Puts the configuration of a row of the store in force, if it is new.
+/// Applies the configuration in a row of the store if it is new.
 fn apply_row(shared: &Shared, row: &Row) {
     if !shared.is_new_config_row(row.version) {
         return;
@@ -181,7 +185,7 @@
     }
 }
 
-/// Puts the configuration that a peer has sent in force, if it is new.
+/// Applies a configuration that a peer has sent if it is new.
 pub fn apply_packed(shared: &Shared, row: ConfigRow) {
     if !shared.is_new_config_row(row.row_version) {
         return;
--- a/crates/hollowford-node/src/config_watch_tests.rs
+++ b/crates/hollowford-node/src/config_watch_tests.rs
@@ -8,10 +8,10 @@
 const ANSWERED_READ: LastStoreCall =
     LastStoreCall { answered: true, at: Millis(0), read_config: true };
 
-/// Pattern: 588 processes wait for seconds until one has counted the workers. Each read the whole
-/// configuration ten times meanwhile, half of what the store sent on the day.
+/// 588 processes wait several seconds for one of them to count the workers. Each read the whole
+/// configuration ten times in the meantime, half of what the store sent on that day.
 #[test]
-fn a_process_that_does_not_know_the_partitions_yet_reads_rarely() {
+fn a_process_polls_rarely_until_it_knows_the_partitions() {
     let shared = shared();
     assert!(next_pause(&shared, &ANSWERED_READ) >= Duration::from_secs(10));
     let unanswered = LastStoreCall { answered: false, ..ANSWERED_READ };
@@ -19,15 +19,15 @@
     shared.set_partitions(5);
     assert!(
         next_pause(&shared, &ANSWERED_READ) < Duration::from_secs(1),
-        "nobody vouches for it yet"
+        "no owner confirms the configuration yet"
     );
 }
 
 #[tokio::test(start_paused = true)]
-async fn it_reads_once_they_are_known_and_no_owner_vouches_for_it() {
+async fn a_read_is_requested_if_no_owner_confirms_the_configuration() {
     let shared = shared();
     shared.set_partitions(5);
     poll_unless_confirmed(&shared).await;
-    // A reading is wanted: this would wait for ever otherwise.
+    // A read was requested; otherwise this would wait forever.
     shared.config_wanted.notified().await;
 }
--- a/crates/hollowford-node/src/members.rs
+++ b/crates/hollowford-node/src/members.rs
@@ -163,13 +163,14 @@
         }
     }
 
-    /// Returns the seats that can make advice calls, this process first. Each member makes the
+    /// Returns the channels for advice calls, that of this process first. Each member makes the
     /// calls of one partition only, since the service accepts one call per instance at a time.
-    pub fn seats(&self) -> Vec<Seat> {
+    pub fn advice_channels(&self) -> Vec<Seat> {
         let here = Seat { address: "".into() };
-        let ours =
+        let of_this_partition =
             |m: &&Member| advice_partition(&m.address, self.partitions) == self.owner.partition;
-        let others = self.live().filter(ours).map(|m| Seat { address: m.address.clone() });
+        let others =
+            self.live().filter(of_this_partition).map(|m| Seat { address: m.address.clone() });
         std::iter::once(here).chain(others).collect()
     }
 
--- a/crates/hollowford-node/src/owner.rs
+++ b/crates/hollowford-node/src/owner.rs
@@ -134,7 +134,7 @@
     /// Owns the partition until it is lost or given up.
     pub async fn run(mut self, mut rx: mpsc::Receiver<OwnerMsg>) -> OwnerEnd {
         tokio::spawn(registry::follow(self.cx.clone(), self.handle.clone()));
-        self.engine.set_seats(&self.members.seats());
+        self.engine.set_seats(&self.members.advice_channels());
         while self.end.is_none() {
             if let Ok(Some(msg)) = timeout(TICK, rx.recv()).await {
                 self.take(msg);
@@ -210,7 +210,7 @@
         if all_told || (self.members_changed && gathered) {
             self.members_changed = false;
             self.members_told = now;
-            self.engine.set_seats(&self.members.seats());
+            self.engine.set_seats(&self.members.advice_channels());
             self.delegation.set_members(self.members.delegates(), now);
         }
     }
--- a/crates/hollowford-node/src/peers.rs
+++ b/crates/hollowford-node/src/peers.rs
@@ -138,9 +138,9 @@
             log::warn!("advice.malformed step={}", advice.step);
             return;
         };
-        let seat = Seat { address: self.address.clone() };
+        let channel = Seat { address: self.address.clone() };
         let answer = read_advice(advice);
-        self.owner.send(OwnerMsg::Advised { seat, step, answer }).await;
+        self.owner.send(OwnerMsg::Advised { seat: channel, step, answer }).await;
     }
 }
 
--- a/crates/hollowford-node/src/relay.rs
+++ b/crates/hollowford-node/src/relay.rs
@@ -1,4 +1,4 @@
-//! Calls from the entry to the owner, wherever it is.
+//! Relays callers' requests to the owner, in this process or over a link.
 
 use crate::link::Outbox;
 use crate::partition::{Partition, Route};
@@ -13,21 +13,21 @@
 
 /// Pause before a call is sent again to an owner that can't serve it yet.
 const RETRY_PAUSE: Millis = Millis(30);
-/// A call that no owner has taken for so long is refused as not done. A takeover or a hand-over
-/// is mostly faster.
+/// A call that no owner has taken within this time is refused as not done. Takeovers and hand-overs
+/// usually take less.
 const UNSENT_TIMEOUT: Millis = Millis(1_200);
-/// Without an owner, and with a store that has not answered for so long, nobody can take over
-/// now: the call is refused at once.
+/// Without an owner, and with a store that has not answered for this long, no process can take
+/// over, so calls are refused at once.
 const MIN_STORE_OUTAGE: Millis = Millis(900);
 
-/// What came of relaying a call.
+/// Outcome of relaying a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayOutcome {
-    /// The owner's answer, with the value that was asked for.
+    /// The owner's answer and the requested value.
     Said(Said, u64),
-    /// No owner could be reached: nothing was done.
+    /// No owner could be reached; nothing was done.
     NotSent,
-    /// An owner got the call, and it is not known what it did.
+    /// An owner received the call, but its outcome is unknown.
     Unsure,
 }
 
@@ -42,7 +42,7 @@
 }
 
 impl RemoteOwner {
-    /// Makes the owner's end of a link.
+    /// Creates a client of the owner that `outbox` sends to.
     pub fn new(outbox: Outbox) -> RemoteOwner {
         RemoteOwner { outbox, pending: Arc::default(), next_id: Arc::default() }
     }
@@ -51,7 +51,7 @@
         self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends a call; the receiver fails when the link ends before the answer.
+    /// Sends a call. The receiver fails if the link ends before the answer arrives.
     fn call(&self, call: &Call) -> Option<oneshot::Receiver<CallAnswer>> {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let (tx, rx) = oneshot::channel();
@@ -63,7 +63,7 @@
         sent.then_some(rx)
     }
 
-    /// Hands an answer to the call that waits for it.
+    /// Completes the pending call that an answer belongs to.
     pub fn complete(&self, answer: CallAnswer) {
         if let Some(tx) = self.pending().remove(&answer.id) {
             // The caller may have given up.
@@ -71,14 +71,14 @@
         }
     }
 
-    /// Fails all calls that wait, since the link has ended.
+    /// Fails all pending calls because the link has ended.
     pub fn fail_all(&self) {
         self.pending().clear();
     }
 }
 
-/// Sends a call to the owner, and again to the next one while that is safe, until `deadline`.
-/// Every call is safe to send again: a job's id makes it one job.
+/// Sends a call to the owner, and again to the next one where that is needed, until `deadline`.
+/// Every call is safe to send again, since the job's id makes a repeated submission the same job.
 pub async fn relay(
     shared: &Shared,
     partition: &Partition,
@@ -86,7 +86,7 @@
     deadline: Millis,
 ) -> RelayOutcome {
     let mut route = partition.route.subscribe();
-    // A refusal that comes early lets the caller come back while its work is still wanted.
+    // An early refusal lets the caller retry while the result is still useful to it.
     let unsent_until = deadline.min(shared.clock.now() + UNSENT_TIMEOUT);
     let mut sent = false;
     loop {
@@ -106,12 +106,12 @@
             wait_for_route_change(&mut route, left.min(MIN_STORE_OUTAGE)).await;
             continue;
         };
-        let until_deadline = deadline.since(shared.clock.now());
-        let Ok(answer) = timeout(until_deadline.duration(), rx).await else {
+        let time_left = deadline.since(shared.clock.now());
+        let Ok(answer) = timeout(time_left.duration(), rx).await else {
             return RelayOutcome::Unsure;
         };
         let Ok(answer) = answer else {
-            // The link has ended before the answer.
+            // The link ended before the answer arrived.
             sent = true;
             wait_for_route_change(&mut route, left.min(RETRY_PAUSE)).await;
             continue;
@@ -123,7 +123,7 @@
                 wait_for_route_change(&mut route, left.min(RETRY_PAUSE)).await;
             }
             Said::NoQueue => sleep(RETRY_PAUSE.duration()).await,
-            // Neither says what an earlier owner, which had taken the call, has done.
+            // These answers don't reveal what an earlier owner did that had received the call.
             Said::UnknownKey | Said::NotTaken if sent => return RelayOutcome::Unsure,
             Said::NotTaken => return RelayOutcome::NotSent,
             said => return RelayOutcome::Said(said, answer.value),
@@ -132,7 +132,7 @@
     }
 }
 
-/// Sends a call on a route; none when it leads to no owner that takes calls.
+/// Sends a call on a route; none if the route leads to no owner that takes calls.
 fn send(route: &Route, call: &Call) -> Option<oneshot::Receiver<CallAnswer>> {
     match route {
         Route::None => None,
@@ -141,8 +141,8 @@
     }
 }
 
-/// Waits for the next owner, for `limit` at most.
+/// Waits up to `limit` for the route to change.
 async fn wait_for_route_change(route: &mut watch::Receiver<Route>, limit: Millis) {
-    // Both ways of waking are good: the route is read again either way.
+    // A timeout is no error: the route is read again either way.
     let _ = timeout(limit.duration(), route.changed()).await;
 }
--- a/crates/hollowford-node/src/relay_tests.rs
+++ b/crates/hollowford-node/src/relay_tests.rs
@@ -1,4 +1,4 @@
-//! What callers are told when no owner takes their calls.
+//! Outcomes of calls that no owner takes, or whose owner changes.
 #![allow(clippy::expect_used)]
 
 use crate::inbox::{OwnerHandle, OwnerMsg};
@@ -9,15 +9,15 @@
 use crate::wire::{Call, CallAnswer, Said};
 use hollowford_core::Millis;
 
-/// Calls are tried for so long.
+/// Deadline of the calls.
 const CALL_TIMEOUT: Millis = Millis(150);
 
-/// Makes a call of an owner that says the same to each try.
+/// Makes a call to an owner that gives the same answer to each attempt.
 async fn call_with_reply(said: Said) -> RelayOutcome {
     call_with_replies(&[said]).await
 }
 
-/// Makes a call of owners that say these things to its tries, the last one to all further ones.
+/// Makes a call to owners that give these answers to its attempts; the last answer is repeated.
 async fn call_with_replies(said: &[Said]) -> RelayOutcome {
     let said = said.to_vec();
     let shared = shared();
@@ -41,7 +41,7 @@
 }
 
 #[tokio::test]
-async fn a_call_that_every_process_refused_as_not_its_own_was_not_done() {
+async fn a_call_that_no_process_took_as_the_owner_was_not_done() {
     assert_eq!(call_with_reply(Said::NotOwner).await, RelayOutcome::NotSent);
 }
 
@@ -58,14 +58,14 @@
 }
 
 #[tokio::test]
-async fn an_owner_that_answers_is_believed() {
+async fn the_answer_of_an_owner_is_the_outcome() {
     assert_eq!(call_with_reply(Said::Done).await, RelayOutcome::Said(Said::Done, 0));
 }
 
-// The pattern: a job is on its way to the store as its owner is cut off and its key is taken away; the
-// next owner knows the newer configuration, and the job (own day keys-owner-cut, seed 519922496590).
+// A job is being written to the store when its owner is cut off and the caller's key is revoked.
+// The next owner knows the newer configuration, and the job. It must not be reported as refused.
 #[tokio::test]
-async fn a_key_that_was_taken_away_meanwhile_says_nothing_of_what_an_earlier_owner_did() {
+async fn a_revoked_key_does_not_reveal_what_an_earlier_owner_did() {
     assert_eq!(call_with_reply(Said::UnknownKey).await, RelayOutcome::Said(Said::UnknownKey, 0));
     assert_eq!(call_with_replies(&[Said::Deposed, Said::UnknownKey]).await, RelayOutcome::Unsure);
     let not_taken = call_with_replies(&[Said::NotOwner, Said::UnknownKey]).await;
@@ -73,13 +73,13 @@
 }
 
 #[tokio::test]
-async fn an_owner_that_takes_no_call_has_done_nothing_and_knows_of_no_earlier_one() {
+async fn an_owner_that_takes_no_call_has_done_nothing_but_does_not_know_what_an_earlier_one_did() {
     assert_eq!(call_with_reply(Said::NotTaken).await, RelayOutcome::NotSent);
     assert_eq!(call_with_replies(&[Said::Deposed, Said::NotTaken]).await, RelayOutcome::Unsure);
 }
 
 #[test]
-fn what_a_later_version_says_and_this_one_does_not_know_may_have_been_done() {
+fn an_answer_that_this_version_does_not_know_is_unsure() {
     let answer = CallAnswer { said: 99, ..CallAnswer::default() };
     assert_eq!(answer.outcome(), Said::Unsure);
 }
--- a/crates/hollowford-node/src/suspension_tests.rs
+++ b/crates/hollowford-node/src/suspension_tests.rs
@@ -1,7 +1,8 @@
-//! A machine that is suspended: what a process believed before is as old as others see it.
+//! A machine is suspended: afterwards, what a process knew must count as old as it is to other
+//! processes.
 //!
-//! The clock of these processes is set ahead between two readings, as it is by a suspension. That the system's
-//! own clock counts one can't be shown here.
+//! The tests advance the processes' clock between two readings, as a suspension does. They can't
+//! show that the operating system's clock counts the time of a suspension.
 
 use crate::access::VOUCHES_FOR;
 use crate::config_freshness::{ConfigFreshness, ReportedConfig};
@@ -14,21 +15,21 @@
 use hollowford_core::{Clock, Millis};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// How long the machines here are suspended.
-const SUSPENDED: Millis = Millis(8_000);
-/// How long the processes have run before, in milliseconds.
-const RUN_FOR: u64 = 1_000;
+/// How long the machine is suspended.
+const SUSPENSION: Millis = Millis(8_000);
+/// How long the process has run before, in milliseconds.
+const INITIAL_UPTIME_MS: u64 = 1_000;
 
-/// What the duties of a process share, and what suspends its machine.
+/// Returns a process's shared state and a clock shift with which a suspension is simulated.
 fn suspendable() -> (Shared, &'static AtomicU64) {
-    let shift: &AtomicU64 = Box::leak(Box::new(AtomicU64::new(RUN_FOR)));
+    let shift: &AtomicU64 = Box::leak(Box::new(AtomicU64::new(INITIAL_UPTIME_MS)));
     let mut shared = shared();
     shared.clock = Clock::new().shifted(shift);
     (shared, shift)
 }
 
 fn suspend(shift: &AtomicU64) {
-    shift.fetch_add(SUSPENDED.0, Ordering::Relaxed);
+    shift.fetch_add(SUSPENSION.0, Ordering::Relaxed);
 }
 
 fn config() -> Config {
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn a_member_is_told_of_the_configuration_anew() {
+fn a_member_needs_its_configuration_confirmed_again() {
     let (shared, shift) = suspendable();
     shared.set_partitions(1);
     assert!(shared.take_config(config(), ConfigRow::default()));
@@ -58,7 +59,7 @@
 }
 
 #[test]
-fn an_owner_vouches_for_no_key_before_it_has_read_the_configuration_again() {
+fn an_owner_accepts_no_key_before_it_has_read_the_configuration_again() {
     let (shared, shift) = suspendable();
     shared.note_config_read();
     assert!(shared.config_age() < VOUCHES_FOR);
@@ -67,22 +68,22 @@
 }
 
 #[test]
-fn a_process_has_not_just_reached_the_store_and_its_owners() {
+fn contact_with_the_store_and_the_owners_is_outdated() {
     let (shared, shift) = suspendable();
     shared.set_partitions(1);
     shared.note_store();
     shared.partitions()[0].record_owner_contact(shared.clock.now());
     suspend(shift);
-    assert!(shared.store_age() >= SUSPENDED);
-    assert!(shared.owners_age() >= SUSPENDED);
+    assert!(shared.store_age() >= SUSPENSION);
+    assert!(shared.owners_age() >= SUSPENSION);
 }
 
-// It was paused itself, so it hears anew in place of deposing an owner that lives.
+// The process was paused itself, so it must restart detection instead of deposing a live owner.
 #[test]
-fn a_member_tells_its_own_pause_from_its_owners_silence() {
+fn a_member_distinguishes_its_own_pause_from_a_silent_owner() {
     let (shared, shift) = suspendable();
     let mut detector = FailureDetector::new(shared.clock.now());
     suspend(shift);
     let status = detector.check(shared.clock.now());
-    assert!(matches!(status, OwnerStatus::SelfPaused(time) if time >= SUSPENDED), "{status:?}");
+    assert!(matches!(status, OwnerStatus::SelfPaused(time) if time >= SUSPENSION), "{status:?}");
 }
