--- a/crates/hollowford-node/src/announce_tests.rs
+++ b/crates/hollowford-node/src/announce_tests.rs
@@ -29,18 +29,18 @@
         let started = i as u64 * START_SPREAD_MS / processes as u64;
         attempts.push(Reverse((started + pause(i), i)));
     }
-    let (mut calls, mut free_at) = (0, 0);
+    let (mut calls, mut store_free_at) = (0, 0);
     while let Some(Reverse((now, i))) = attempts.pop() {
         assert!(now < TIME_LIMIT_MS, "{} processes never register", attempts.len() + 1);
         calls += 1;
-        let write_starts = now.max(free_at);
+        let write_starts = now.max(store_free_at);
         if write_starts - now > MAX_QUEUED_MS {
             attempts.push(Reverse((now + pause(i), i)));
         } else {
-            free_at = write_starts + WRITE_MS;
+            store_free_at = write_starts + WRITE_MS;
         }
     }
-    (calls, Duration::from_millis(free_at))
+    (calls, Duration::from_millis(store_free_at))
 }
 
 #[parameterized(
--- a/crates/hollowford-node/src/assignment.rs
+++ b/crates/hollowford-node/src/assignment.rs
@@ -12,7 +12,7 @@
 const ANY_LABEL: &str = "";
 
 /// Hasher with the same result in every process.
-type Fixed = BuildHasherDefault<rustc_hash::FxHasher>;
+type StableHasher = BuildHasherDefault<rustc_hash::FxHasher>;
 
 /// Returns the number of partitions for these workers: one per `workers_per_partition`, or fewer,
 /// so that each partition has workers of every pool with every label of that pool. A job never
@@ -33,7 +33,7 @@
             covered.entry((&w.pool, label)).or_default().insert(partition);
         }
     }
-    covered.values().all(|h| h.len() == partitions as usize)
+    covered.values().all(|p| p.len() == partitions as usize)
 }
 
 /// Returns the partition of a job that belongs to no client account.
@@ -75,5 +75,5 @@
 
 fn hash<T: std::hash::Hash>(value: &T) -> u64 {
     // The low bits of this hash are poorly distributed.
-    Fixed::default().hash_one(value) >> 16
+    StableHasher::default().hash_one(value) >> 16
 }
--- a/crates/hollowford-node/src/config_watch_tests.rs
+++ b/crates/hollowford-node/src/config_watch_tests.rs
@@ -8,8 +8,9 @@
 const ANSWERED_READ: LastStoreCall =
     LastStoreCall { answered: true, at: Millis(0), read_config: true };
 
-/// 588 processes wait several seconds for one of them to count the workers. Each read the whole
-/// configuration ten times in the meantime, half of what the store sent on that day.
+/// 588 processes wait several seconds for one of them to count the workers. At the usual interval
+/// each read the whole configuration ten times in the meantime, half of what the store sent on that
+/// day.
 #[test]
 fn a_process_polls_rarely_until_it_knows_the_partitions() {
     let shared = shared();
--- a/crates/hollowford-node/src/link.rs
+++ b/crates/hollowford-node/src/link.rs
@@ -17,7 +17,7 @@
 
 /// Time limit of opening a link within a region.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Another attempt is started beside the pending ones after this time. A process to which hundreds
+/// Time after which another attempt is started beside the pending ones. A process to which hundreds
 /// of links open at once drops some connection requests, and the operating system retransmits them
 /// only after a second.
 const ATTEMPT_INTERVAL: Duration = Duration::from_millis(110);
@@ -31,7 +31,8 @@
 /// Size from which a frame may be compressed. Templates shrink to about two thirds; below this size
 /// the overhead of compression exceeds what it saves.
 const MIN_PACKED_BYTES: usize = 256;
-/// Number of frames that may wait to be written. A link whose peer falls further behind is closed.
+/// Number of frames that may wait to be written. If a peer falls further behind, its link is
+/// treated as ended.
 const OUTBOX_CAPACITY: usize = 4_096;
 
 /// Reads frames.
@@ -44,7 +45,7 @@
 }
 
 impl Outbox {
-    /// Creates an outbox whose frames nobody reads.
+    /// Creates an outbox whose link has ended.
     #[cfg(test)]
     pub fn disconnected() -> Outbox {
         Outbox::for_test().0
--- a/crates/hollowford-node/src/member.rs
+++ b/crates/hollowford-node/src/member.rs
@@ -109,7 +109,7 @@
 
     /// Serves the link until this process leaves the owner.
     async fn serve(&mut self, reader: &mut FrameReader) -> LeaveReason {
-        let mut newest = self.cx.partition.owner.subscribe();
+        let mut newest_owner = self.cx.partition.owner.subscribe();
         let mut ticks = interval(HEARTBEAT_INTERVAL.duration());
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
@@ -120,8 +120,8 @@
                     None => Some(LeaveReason::Gone),
                 },
                 _ = ticks.tick() => self.tick(),
-                changed = newest.changed() => {
-                    let newer = changed.is_ok() && newest.borrow().epoch > self.info.epoch;
+                changed = newest_owner.changed() => {
+                    let newer = changed.is_ok() && newest_owner.borrow().epoch > self.info.epoch;
                     newer.then_some(LeaveReason::Newer)
                 }
             };
@@ -212,8 +212,10 @@
             OwnerStatus::Failed => return Some(LeaveReason::Silent),
         }
         // Ticks may come late, so a heartbeat may be sent up to half a tick early.
-        let half = Millis(HEARTBEAT_INTERVAL.0 / 2);
-        if self.heartbeat_sent_at.is_none_or(|at| now.since(at) + half >= self.detector.interval())
+        let half_interval = Millis(HEARTBEAT_INTERVAL.0 / 2);
+        if self
+            .heartbeat_sent_at
+            .is_none_or(|at| now.since(at) + half_interval >= self.detector.interval())
         {
             self.heartbeat_sent_at = Some(now);
             self.send_heartbeat();
@@ -271,8 +273,8 @@
 /// if so.
 async fn probe_owner(info: OwnerInfo, limit: Millis, answered: Arc<AtomicBool>) {
     let Ok(addr) = info.address.parse() else { return };
-    let question = Body::WhoOwns(WhoOwns { partition: info.partition });
-    if link::request(addr, question, limit.duration()).await == Some(Body::Owner(info)) {
+    let request = Body::WhoOwns(WhoOwns { partition: info.partition });
+    if link::request(addr, request, limit.duration()).await == Some(Body::Owner(info)) {
         answered.store(true, Ordering::Relaxed);
     }
 }
--- a/crates/hollowford-node/src/member_tests.rs
+++ b/crates/hollowford-node/src/member_tests.rs
@@ -94,9 +94,9 @@
     outbox.send(heartbeat(&["a"]));
     let (stream, _) =
         timeout(WAIT_TIMEOUT, listener.accept()).await.expect("the member probes").expect("a link");
-    let (mut reader, question) = link::split(stream).expect("socket options");
+    let (mut reader, probe_outbox) = link::split(stream).expect("socket options");
     assert!(matches!(link::read_frame(&mut reader).await, Some(Body::WhoOwns(_))));
-    question.send(Body::Owner(info));
+    probe_outbox.send(Body::Owner(info));
     // The member opens another link to the same owner.
     let (_reader, outbox) = accept(&listener).await;
     outbox.send(Body::HandOver(HandOver { rev: 7 }));
--- a/crates/hollowford-node/src/members.rs
+++ b/crates/hollowford-node/src/members.rs
@@ -38,6 +38,7 @@
     started_at: Millis,
     outbox: Outbox,
     last_heard: Millis,
+    /// Time since the store answered the member, as of its last heartbeat.
     store_age: Millis,
     stopping: bool,
     /// Number of partitions that the member owns.
@@ -87,7 +88,9 @@
     due_checked_at: Millis,
     /// When the current round of heartbeats started.
     round_started_at: Millis,
+    /// The store doesn't answer the owner, so members are asked to probe it.
     store_lost: bool,
+    /// Time of the last event, by the owner's clock.
     now: Millis,
     had_members: bool,
     /// Addresses of the members that take over first, as named in heartbeats.
@@ -205,8 +208,8 @@
     pub fn hand_over(&self, rev: u64, is_moving: bool) -> Option<Arc<str>> {
         let order = |m: &&Member| {
             let by_partition = process_order(&m.address, self.owner.partition);
-            let tie = if is_moving { by_partition } else { m.started_at.0 };
-            (m.store_age < MAX_STORE_AGE, m.share(), tie)
+            let tie_break = if is_moving { by_partition } else { m.started_at.0 };
+            (m.store_age < MAX_STORE_AGE, m.share(), tie_break)
         };
         let next = self.live().max_by_key(order)?;
         next.outbox.send(Body::HandOver(HandOver { rev }));
@@ -219,9 +222,10 @@
     /// transit, since frequent changes would saturate the link.
     pub fn send_config(&mut self, version: u64, row: &ConfigRow) {
         for m in &mut self.list {
-            let Some(has) = m.config_version else { continue };
-            let on_its_way = has < m.sent_config_version;
-            if has < version && !on_its_way && m.outbox.send(Body::Config(row.clone())) {
+            let Some(reported_version) = m.config_version else { continue };
+            let in_transit = reported_version < m.sent_config_version;
+            if reported_version < version && !in_transit && m.outbox.send(Body::Config(row.clone()))
+            {
                 m.sent_config_version = version;
             }
         }
--- a/crates/hollowford-node/src/members/heartbeats.rs
+++ b/crates/hollowford-node/src/members/heartbeats.rs
@@ -71,9 +71,9 @@
 
     /// Returns the heartbeat interval of members that are not named to take over.
     pub(super) fn interval(&self) -> Millis {
-        let times =
+        let factor =
             self.list.len().div_ceil(MAX_MEMBERS_AT_BASE_INTERVAL).clamp(1, MAX_INTERVAL_FACTOR);
-        Millis(BASE_HEARTBEAT_INTERVAL.0 * times as u64)
+        Millis(BASE_HEARTBEAT_INTERVAL.0 * factor as u64)
     }
 
     /// Sends a heartbeat to the members at these positions. The takeover order is included for a
--- a/crates/hollowford-node/src/members_tests.rs
+++ b/crates/hollowford-node/src/members_tests.rs
@@ -46,10 +46,10 @@
     // Members that have run longest take over first.
     for (i, rx) in rxs.iter_mut().enumerate() {
         let received = intervals(rx);
-        let (interval, least) = if i < 8 { (100, 28) } else { (300, 9) };
+        let (interval, min_count) = if i < 8 { (100, 28) } else { (300, 9) };
         assert!(received.iter().all(|&ms| ms == interval), "member {i} received {received:?}");
         assert!(
-            received.len() >= least && received.len() <= least + 4,
+            received.len() >= min_count && received.len() <= min_count + 4,
             "member {i} received {} heartbeats",
             received.len()
         );
@@ -120,13 +120,13 @@
         members.tick(JOINED_AT + Millis(ms), KNOWN_CONFIG, false);
     }
     assert_eq!(orders(&mut rx), [["10.0.0.1:7000"]]);
-    // A member that has run longer joins and comes first in the takeover order, which both are
-    // sent.
-    let mut late = join(&mut members, 0, JOINED_AT);
+    // A member that has run longer joins and comes first in the takeover order, which is sent to
+    // both.
+    let mut longer_running = join(&mut members, 0, JOINED_AT);
     for ms in (1_010..=2_000).step_by(10) {
         members.tick(JOINED_AT + Millis(ms), KNOWN_CONFIG, false);
     }
-    for rx in [&mut rx, &mut late] {
+    for rx in [&mut rx, &mut longer_running] {
         assert_eq!(orders(rx), [["10.0.0.0:7000", "10.0.0.1:7000"]]);
     }
 }
--- a/crates/hollowford-node/src/owner_row.rs
+++ b/crates/hollowford-node/src/owner_row.rs
@@ -88,8 +88,8 @@
 /// Asks the seeds who owns the partition.
 async fn ask_seeds(cx: &PartitionContext) {
     for seed in cx.shared.other_seeds() {
-        let question = WhoOwns { partition: cx.partition.number };
-        let answer = link::request(seed, Body::WhoOwns(question), STORE_CALL_TIMEOUT).await;
+        let request = WhoOwns { partition: cx.partition.number };
+        let answer = link::request(seed, Body::WhoOwns(request), STORE_CALL_TIMEOUT).await;
         if let Some(Body::Owner(info)) = answer
             && cx.partition.record_owner(&info)
         {
--- a/crates/hollowford-node/src/ownership.rs
+++ b/crates/hollowford-node/src/ownership.rs
@@ -82,8 +82,8 @@
     info: &OwnerInfo,
     takeover_order: &[String],
 ) -> bool {
-    let me = cx.shared.address().to_string();
-    let rank = takeover_order.iter().position(|m| *m == me);
+    let own_address = cx.shared.address().to_string();
+    let rank = takeover_order.iter().position(|m| *m == own_address);
     let wait = cx.candidate().takeover_delay(rank, takeover_order.len(), info.cpu_milli);
     cx.newer_owner_within(info.epoch, wait).await
 }
@@ -122,7 +122,7 @@
 
 /// Runs the owner until it loses the partition or steps down.
 async fn run_owner(cx: &PartitionContext, info: &OwnerInfo) -> OwnerEnd {
-    let began = cx.shared.clock.now();
+    let started_at = cx.shared.clock.now();
     // Members rely on the configuration that their owner has read, so the owner reads it now.
     cx.shared.config_wanted.notify_one();
     tokio::spawn(announce(cx.shared.clone(), info.clone()));
@@ -130,7 +130,7 @@
     let (handle, rx) = OwnerHandle::new();
     cx.partition.route.send_replace(Route::Local(handle.clone()));
     set_owned_epoch(cx, info.epoch);
-    let took = cx.shared.clock.now().since(began);
+    let took = cx.shared.clock.now().since(started_at);
     cx.shared.metrics.takeover_seconds.observe(took.duration().as_secs_f64());
     log::info!(
         "owner.serves partition={} epoch={} loaded_in_ms={}",
--- a/crates/hollowford-node/src/peers.rs
+++ b/crates/hollowford-node/src/peers.rs
@@ -59,8 +59,8 @@
                 );
             }
         }
-        Body::WhoOwns(who) => {
-            let partition = shared.partitions().get(who.partition as usize);
+        Body::WhoOwns(request) => {
+            let partition = shared.partitions().get(request.partition as usize);
             outbox.send(Body::Owner(
                 partition.map(|p| reported_owner(&shared, p)).unwrap_or_default(),
             ));
@@ -76,8 +76,8 @@
 /// doesn't name itself.
 fn reported_owner(shared: &Shared, partition: &Partition) -> OwnerInfo {
     let info = partition.owner.borrow().clone();
-    let given_up = info.boot == shared.boot && partition.has_released(info.epoch);
-    if given_up { OwnerInfo::default() } else { info }
+    let released = info.boot == shared.boot && partition.has_released(info.epoch);
+    if released { OwnerInfo::default() } else { info }
 }
 
 /// Serves a member for as long as this process owns the partition.
@@ -153,14 +153,14 @@
     outbox: &Outbox,
 ) -> Option<OwnerHandle> {
     let mut route = partition.route.subscribe();
-    let began = shared.clock.now();
+    let started_at = shared.clock.now();
     loop {
         if let Route::Local(owner) = &*route.borrow_and_update() {
             return Some(owner.clone());
         }
         let known = partition.owner.borrow().clone();
         let superseded = known.boot != shared.boot && known.epoch >= expected.epoch;
-        let waited = shared.clock.now().since(began).duration();
+        let waited = shared.clock.now().since(started_at).duration();
         let was_owner = partition.has_released(expected.epoch);
         if expected.boot != shared.boot || was_owner || superseded || waited >= OWNER_START_TIMEOUT
         {
--- a/crates/hollowford-node/src/plan.rs
+++ b/crates/hollowford-node/src/plan.rs
@@ -187,8 +187,9 @@
             let config = shared.config.load_full();
             // A pool known only from another writer's rows would otherwise be required in each
             // partition.
-            let named = |l: &WorkerListing| config.as_ref().is_none_or(|c| c.names_pool(&l.pool));
-            return Ok(feed.rows.iter().filter_map(decode_worker).filter(named).collect());
+            let in_named_pool =
+                |l: &WorkerListing| config.as_ref().is_none_or(|c| c.names_pool(&l.pool));
+            return Ok(feed.rows.iter().filter_map(decode_worker).filter(in_named_pool).collect());
         }
         sleep(COUNT_INTERVAL).await;
     }
--- a/crates/hollowford-node/src/plan_tests.rs
+++ b/crates/hollowford-node/src/plan_tests.rs
@@ -24,8 +24,8 @@
     join_all(learners).await
 }
 
-/// 147 processes start at once in a cell of 1,100 workers. Each read the whole list (3.7 MB) about
-/// nine times over links of 10 to 20 Mbit/s, 457 MB in all.
+/// 147 processes start at once in a cell of 1,100 workers. When each of them counted the workers,
+/// it read the whole list about nine times (3.7 MB) over links of 10 to 20 Mbit/s, 457 MB in all.
 #[tokio::test]
 async fn one_process_counts_the_workers_and_the_others_wait_for_its_plan() {
     let platform = Platform::start(30).await.expect("the platform");
@@ -38,13 +38,13 @@
 #[tokio::test]
 async fn a_failed_counter_is_not_waited_for_forever() {
     let platform = Platform::start(3).await.expect("the platform");
-    let gone = shared_with(Some(platform.addr()));
+    let failed = shared_with(Some(platform.addr()));
     let tx = Transaction {
         expect: Vec::new(),
-        put: vec![("counting".to_owned(), gone.boot.to_be_bytes().to_vec())],
+        put: vec![("counting".to_owned(), failed.boot.to_be_bytes().to_vec())],
         remove: Vec::new(),
     };
-    gone.store.transact(SYSTEM_TABLE, PLAN_PART, &tx, TIMEOUT).await.expect("an answer");
+    failed.store.transact(SYSTEM_TABLE, PLAN_PART, &tx, TIMEOUT).await.expect("an answer");
     assert_eq!(learn_in_processes(&platform, 2).await, [1; 2]);
 }
 
@@ -77,6 +77,6 @@
         .count();
     assert!(claims <= 30, "{claims} claims before the first one is visible");
     let learner = PlanLearner::new(started_at, 1.0);
-    let gone = learner.counting_role(&[counter_row(0)], &[9], started_at + Millis(8_000));
-    assert_eq!(gone, CountingRole::Counter, "a failed counter is not waited for forever");
+    let role = learner.counting_role(&[counter_row(0)], &[9], started_at + Millis(8_000));
+    assert_eq!(role, CountingRole::Counter, "a failed counter is not waited for forever");
 }
--- a/crates/hollowford-node/src/reachability.rs
+++ b/crates/hollowford-node/src/reachability.rs
@@ -69,8 +69,8 @@
 
     /// Returns true if neither the store nor a member has been heard for [`ISOLATED_OWNER`].
     fn is_isolated(&self, members: &Members) -> bool {
-        let silent = self.shared.clock.now().since(self.last_member_heard);
-        let alone = members.had_members() && silent >= ISOLATED_OWNER;
-        alone && self.shared.store_age() >= ISOLATED_OWNER
+        let members_silent_for = self.shared.clock.now().since(self.last_member_heard);
+        let members_silent = members.had_members() && members_silent_for >= ISOLATED_OWNER;
+        members_silent && self.shared.store_age() >= ISOLATED_OWNER
     }
 }
--- a/crates/hollowford-node/src/registry.rs
+++ b/crates/hollowford-node/src/registry.rs
@@ -28,8 +28,9 @@
 /// Shortest interval between reads of the whole list, which make up for a feed that has stopped
 /// sending changes.
 const MIN_READ_INTERVAL: Millis = Millis(2_000);
-/// The interval grows by this much per worker, so that all owners together don't read megabytes a
-/// second. A feed that has lost its history reports it.
+/// Interval between reads of the whole list per worker, where that exceeds [`MIN_READ_INTERVAL`]:
+/// all owners together must not read megabytes a second. A feed that has lost its history reports
+/// it.
 const READ_INTERVAL_PER_WORKER: Millis = Millis(4);
 /// How long removed entries are kept after a store outage. Workers whose entries expired during the
 /// outage are back on the list within 2 s.
@@ -45,7 +46,9 @@
 pub(crate) struct Registry {
     rows: BTreeMap<String, WorkerListing>,
     version: Version,
+    /// When the whole list was last read.
     read_at: Millis,
+    /// When the store last answered.
     answered_at: Millis,
     /// Removals are ignored until the store has answered at or after this time.
     trust_missing_from: Millis,
@@ -74,7 +77,7 @@
     let shared = &cx.shared;
     let mut changes_rx = shared.worker_changes.subscribe();
     let mut list = Registry::new(shared.clock.now());
-    let mut config = 0;
+    let mut sent_config_version = 0;
     while !owner.is_closed() {
         let changed = match list.next_changes(&cx, &mut changes_rx).await {
             Some(changed) => changed,
@@ -91,8 +94,8 @@
                 }
             },
         };
-        if changed || shared.config_version() != config {
-            config = shared.config_version();
+        if changed || shared.config_version() != sent_config_version {
+            sent_config_version = shared.config_version();
             let count = shared.partition_count();
             let own = |l: &&WorkerListing| partition_of_worker(l, count) == cx.partition.number;
             let listings = list.workers(shared).filter(own).cloned().collect();
@@ -133,8 +136,9 @@
     /// to another writer and are left out.
     pub fn workers(&self, shared: &Shared) -> impl Iterator<Item = &WorkerListing> {
         let config = shared.config.load_full();
-        let named = move |l: &&WorkerListing| config.as_ref().is_none_or(|c| c.names_pool(&l.pool));
-        self.rows.values().filter(named)
+        let in_named_pool =
+            move |l: &&WorkerListing| config.as_ref().is_none_or(|c| c.names_pool(&l.pool));
+        self.rows.values().filter(in_named_pool)
     }
 
     /// Waits for forwarded changes. Returns true if they changed the list, and none if this process
@@ -158,8 +162,8 @@
         }
         let is_receiving =
             self.changes_received_at.is_some_and(|at| now.since(at) < CHANGES_TIMEOUT);
-        let patience = if is_receiving { CHANGES_TIMEOUT.duration() } else { FEED_PAUSE };
-        let deadline = Instant::now() + patience;
+        let max_wait = if is_receiving { CHANGES_TIMEOUT.duration() } else { FEED_PAUSE };
+        let deadline = Instant::now() + max_wait;
         while let Ok(Ok(changes)) = timeout_at(deadline, changes_rx.recv()).await {
             match self.apply_changes(&changes) {
                 ChangesOutcome::Applied(changed) => {
@@ -242,9 +246,9 @@
 
     /// Returns true if the whole list has to be read again.
     fn is_read_due(&self, now: Millis) -> bool {
-        let every =
+        let interval =
             MIN_READ_INTERVAL.max(Millis(READ_INTERVAL_PER_WORKER.0 * self.rows.len() as u64));
-        now.since(self.read_at) >= every
+        now.since(self.read_at) >= interval
     }
 
     /// Records that the store has answered this process or the reader partition's owner.
@@ -261,11 +265,11 @@
         let mut changed = Vec::new();
         self.has_unconfirmed_entries = !self.trusts_missing();
         if !self.has_unconfirmed_entries {
-            let there: FxHashSet<&str> = rows.iter().map(|r| r.key.as_str()).collect();
-            let gone = |key: String| WorkerRow { key, removed: true, ..WorkerRow::default() };
-            let missing = self.rows.extract_if(.., |id, _| !there.contains(id.as_str()));
-            changed.extend(missing.map(|(id, _)| gone(id)));
-            self.malformed.retain(|id| there.contains(id.as_str()));
+            let present: FxHashSet<&str> = rows.iter().map(|r| r.key.as_str()).collect();
+            let removal = |key: String| WorkerRow { key, removed: true, ..WorkerRow::default() };
+            let missing = self.rows.extract_if(.., |id, _| !present.contains(id.as_str()));
+            changed.extend(missing.map(|(id, _)| removal(id)));
+            self.malformed.retain(|id| present.contains(id.as_str()));
         }
         changed.extend(rows.iter().filter(|r| self.apply_row(r)).map(WorkerRow::from));
         changed
@@ -303,12 +307,12 @@
                 old.as_ref() != Some(&listing)
             }
             Err(e) => {
-                let known = self.rows.remove(key).is_some();
+                let was_listed = self.rows.remove(key).is_some();
                 // Logged once per row, since a row is read many times.
-                if known || self.malformed.insert(key.to_owned()) {
+                if was_listed || self.malformed.insert(key.to_owned()) {
                     log::error!("worker.malformed worker={key} error=\"{e}\"");
                 }
-                known
+                was_listed
             }
         }
     }
--- a/crates/hollowford-node/src/step_down.rs
+++ b/crates/hollowford-node/src/step_down.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
-/// Time in which the members have joined a new owner.
+/// How long members have to join a new owner before it looks for a larger one among them.
 const MEMBERS_JOIN_TIME: Millis = Millis(400);
 /// How long a stopping owner waits for its last batch. Without that batch's outcome the next owner
 /// has to read the owner row first, and callers may not learn the outcome of their last requests. A
@@ -66,11 +66,11 @@
     pub fn hand_over_if_due(
         &self,
         batches: &Batches,
-        waiters: &Waiters,
+        waiting_calls: &Waiters,
         members: &Members,
     ) -> Option<OwnerEnd> {
         let waited = self.shared.clock.now().since(self.since()?);
-        let flushed = batches.is_idle() && waiters.is_empty();
+        let flushed = batches.is_idle() && waiting_calls.is_empty();
         if !flushed && waited < FLUSH_TIMEOUT {
             return None;
         }
--- a/crates/hollowford-node/src/takeover.rs
+++ b/crates/hollowford-node/src/takeover.rs
@@ -171,31 +171,32 @@
     /// thousandths of a core. The owner named `named` members to take over, this process at
     /// position `rank` if at all.
     pub fn takeover_delay(&self, rank: Option<usize>, named: usize, owner_cpu: u32) -> Millis {
-        let owned_delay = times(OWNED_PARTITION_DELAY, self.owned);
+        let owned_delay = scaled(OWNED_PARTITION_DELAY, self.owned);
         if let Some(rank) = rank {
-            return times(RANK_DELAY, rank as u32) + owned_delay;
+            return scaled(RANK_DELAY, rank as u32) + owned_delay;
         }
         // Unnamed members of a large cell must not all try at once, nor before a larger instance
         // that was not named either.
         let small = self.cpu_milli * 100 < owner_cpu * MIN_FULL_SIZE_PERCENT;
         let small_delay = if small { SMALL_INSTANCE_DELAY } else { Millis(0) };
-        times(RANK_DELAY, named as u32) + times(SLOT_DELAY, self.slot) + small_delay + owned_delay
+        scaled(RANK_DELAY, named as u32) + scaled(SLOT_DELAY, self.slot) + small_delay + owned_delay
     }
 
     /// Returns the delay before this process takes a partition that has never had an owner. The
     /// partitions that it already owns are accounted for separately, by
     /// [`Candidate::first_owner_owned_partitions_delay`].
     pub fn first_owner_delay(&self) -> Millis {
-        let lacks = WHOLE_CORE_MILLI.saturating_sub(self.cpu_milli);
-        let cpu_delay =
-            Millis(MAX_FIRST_OWNER_DELAY.0 * u64::from(lacks) / u64::from(WHOLE_CORE_MILLI));
-        cpu_delay + times(SLOT_DELAY, self.slot)
+        let missing_milli = WHOLE_CORE_MILLI.saturating_sub(self.cpu_milli);
+        let cpu_delay = Millis(
+            MAX_FIRST_OWNER_DELAY.0 * u64::from(missing_milli) / u64::from(WHOLE_CORE_MILLI),
+        );
+        cpu_delay + scaled(SLOT_DELAY, self.slot)
     }
 
     /// Returns the additional delay before taking a partition that has never had an owner, for the
     /// partitions that this process already owns.
     pub fn first_owner_owned_partitions_delay(&self) -> Millis {
-        times(FIRST_OWNER_OWNED_PARTITION_DELAY, self.owned)
+        scaled(FIRST_OWNER_OWNED_PARTITION_DELAY, self.owned)
     }
 }
 
@@ -233,6 +234,6 @@
     }
 }
 
-fn times(each: Millis, count: u32) -> Millis {
+fn scaled(each: Millis, count: u32) -> Millis {
     Millis(each.0 * u64::from(count))
 }
--- a/crates/hollowford-node/src/takeover_tests.rs
+++ b/crates/hollowford-node/src/takeover_tests.rs
@@ -12,8 +12,8 @@
 /// the owner was first suspected.
 fn time_to_failure(detector: &mut FailureDetector, from: Millis) -> (Millis, Millis) {
     let mut suspected_after = None;
-    for beats in 1..=100 {
-        let after = Millis(HEARTBEAT_INTERVAL.0 * beats);
+    for checks in 1..=100 {
+        let after = Millis(HEARTBEAT_INTERVAL.0 * checks);
         match detector.check(from + after) {
             OwnerStatus::Failed => return (after, suspected_after.unwrap_or(after)),
             OwnerStatus::Suspected => {
@@ -73,25 +73,28 @@
 
 #[test]
 fn small_instances_do_not_wait_when_there_is_no_larger_one() {
-    let alike = SMALL.takeover_delay(None, 0, SMALL.cpu_milli);
-    assert_eq!(alike, Millis(0));
+    let delay = SMALL.takeover_delay(None, 0, SMALL.cpu_milli);
+    assert_eq!(delay, Millis(0));
     assert_eq!(SMALL.takeover_delay(Some(0), 8, 1_000), Millis(0), "the owner named it first");
 }
 
 #[test]
 fn members_that_the_owner_has_named_go_first_in_rank_order() {
-    let waits: Vec<Millis> =
+    let delays: Vec<Millis> =
         (0..8).map(|rank| FULL_SIZE.takeover_delay(Some(rank), 8, 1_000)).collect();
-    assert!(waits.windows(2).all(|w| w[0] < w[1]), "{waits:?}");
-    assert!(waits[7] < FULL_SIZE.takeover_delay(None, 8, 1_000));
+    assert!(delays.windows(2).all(|w| w[0] < w[1]), "{delays:?}");
+    assert!(delays[7] < FULL_SIZE.takeover_delay(None, 8, 1_000));
 }
 
 #[test]
 fn a_process_that_owns_partitions_goes_after_those_that_own_none() {
-    let busy = Candidate { owned: 1, ..FULL_SIZE };
-    assert!(busy.takeover_delay(Some(0), 8, 1_000) > FULL_SIZE.takeover_delay(Some(1), 8, 1_000));
+    let owner_of_one = Candidate { owned: 1, ..FULL_SIZE };
+    assert!(
+        owner_of_one.takeover_delay(Some(0), 8, 1_000)
+            > FULL_SIZE.takeover_delay(Some(1), 8, 1_000)
+    );
     assert_eq!(FULL_SIZE.first_owner_owned_partitions_delay(), Millis(0));
-    assert!(busy.first_owner_owned_partitions_delay() > SMALL.first_owner_delay());
+    assert!(owner_of_one.first_owner_owned_partitions_delay() > SMALL.first_owner_delay());
 }
 
 #[test]
