--- a/crates/hollowford-node/src/announce.rs
+++ b/crates/hollowford-node/src/announce.rs
@@ -52,7 +52,7 @@
     if let Ok((mut reader, outbox)) = link::connect(addr).await {
         outbox.send(Body::Owner(info));
         // The other side closes the link once it has read the announcement.
-        let _ = timeout(ANNOUNCE_TIMEOUT, link::read_frame(&mut reader)).await;
+        let _ = timeout(ANNOUNCE_TIMEOUT, link::recv(&mut reader)).await;
     }
 }
 
--- a/crates/hollowford-node/src/link.rs
+++ b/crates/hollowford-node/src/link.rs
@@ -99,7 +99,7 @@
 pub async fn request(addr: SocketAddr, body: Body, limit: Duration) -> Option<Body> {
     let (mut reader, outbox) = connect(addr).await.ok()?;
     outbox.send(body);
-    timeout(limit, read_frame(&mut reader)).await.ok().flatten()
+    timeout(limit, recv(&mut reader)).await.ok().flatten()
 }
 
 /// Splits a stream into a frame reader and an outbox, and starts writing the outbox's frames.
@@ -172,8 +172,8 @@
     }
 }
 
-/// Reads the next frame; none if the link has ended or the frame is malformed.
-pub async fn read_frame(reader: &mut FrameReader) -> Option<Body> {
+/// Receives the next frame; none if the link has ended or the frame is malformed.
+pub async fn recv(reader: &mut FrameReader) -> Option<Body> {
     match reader.next().await? {
         Ok(bytes) => match decode(bytes) {
             Ok(body) => body,
--- a/crates/hollowford-node/src/member.rs
+++ b/crates/hollowford-node/src/member.rs
@@ -114,7 +114,7 @@
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             let reason = tokio::select! {
-                body = link::read_frame(reader) => match body {
+                body = link::recv(reader) => match body {
                     Some(body) => self.handle_frame(body),
                     None if self.joined => Some(LeaveReason::Cut),
                     None => Some(LeaveReason::Gone),
--- a/crates/hollowford-node/src/member_tests.rs
+++ b/crates/hollowford-node/src/member_tests.rs
@@ -29,7 +29,7 @@
     let accepted = timeout(WAIT_TIMEOUT, listener.accept()).await;
     let (stream, _) = accepted.expect("the member opens a link").expect("a link");
     let (mut reader, outbox) = link::split(stream).expect("socket options");
-    let hello = link::read_frame(&mut reader).await;
+    let hello = link::recv(&mut reader).await;
     assert!(matches!(hello, Some(Body::Hello(_))), "{hello:?}");
     (reader, outbox)
 }
@@ -53,7 +53,7 @@
         let (mut reader, outbox) = accept(&listener).await;
         outbox.send(heartbeat(&["a", "b"]));
         // The member sends heartbeats once it has joined.
-        let beat = link::read_frame(&mut reader).await;
+        let beat = link::recv(&mut reader).await;
         assert!(matches!(beat, Some(Body::MemberBeat(_))), "{beat:?}");
     }
     // The owner closes the last link without sending a heartbeat.
@@ -76,7 +76,7 @@
     tokio::spawn(peers::accept(cx.shared.clone(), listener));
     let (mut reader, outbox) = link::connect(address).await.expect("a link");
     outbox.send(Body::Hello(Hello { owner: Some(info.clone()), ..Hello::default() }));
-    let said = timeout(WAIT_TIMEOUT, link::read_frame(&mut reader)).await.expect("an answer");
+    let said = timeout(WAIT_TIMEOUT, link::recv(&mut reader)).await.expect("an answer");
     assert_eq!(said, Some(Body::Owner(info)));
 }
 
@@ -95,7 +95,7 @@
     let (stream, _) =
         timeout(WAIT_TIMEOUT, listener.accept()).await.expect("the member probes").expect("a link");
     let (mut reader, probe_outbox) = link::split(stream).expect("socket options");
-    assert!(matches!(link::read_frame(&mut reader).await, Some(Body::WhoOwns(_))));
+    assert!(matches!(link::recv(&mut reader).await, Some(Body::WhoOwns(_))));
     probe_outbox.send(Body::Owner(info));
     // The member opens another link to the same owner.
     let (_reader, outbox) = accept(&listener).await;
--- a/crates/hollowford-node/src/peers.rs
+++ b/crates/hollowford-node/src/peers.rs
@@ -16,7 +16,7 @@
 /// Pause after a link could not be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 /// A link is closed if its first frame doesn't arrive within this time.
-const FIRST_FRAME_TIMEOUT: Duration = Duration::from_millis(2_000);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// A member is removed if no frame arrives within this time: three heartbeats at the longest
 /// interval.
 const MEMBER_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -43,9 +43,7 @@
 
 async fn serve(shared: Arc<Shared>, stream: TcpStream) {
     let Ok((mut reader, outbox)) = link::split(stream) else { return };
-    let Ok(Some(first)) = timeout(FIRST_FRAME_TIMEOUT, link::read_frame(&mut reader)).await else {
-        return;
-    };
+    let Ok(Some(first)) = timeout(HANDSHAKE_TIMEOUT, link::recv(&mut reader)).await else { return };
     match first {
         Body::Hello(hello) => serve_member(&shared, hello, reader, outbox).await,
         Body::Owner(info) => {
@@ -97,9 +95,7 @@
     owner.send(OwnerMsg::Joined(link, hello, outbox.clone())).await;
     let member = MemberLink { owner, link, address, outbox };
     while !member.owner.is_closed() {
-        let Ok(Some(body)) = timeout(MEMBER_TIMEOUT, link::read_frame(&mut reader)).await else {
-            break;
-        };
+        let Ok(Some(body)) = timeout(MEMBER_TIMEOUT, link::recv(&mut reader)).await else { break };
         member.handle_frame(body).await;
     }
     // The link closes when its last outbox is dropped; the owner drops its copy on this message.
@@ -138,9 +134,9 @@
             log::warn!("advice.malformed step={}", advice.step);
             return;
         };
-        let channel = Seat { address: self.address.clone() };
+        let seat = Seat { address: self.address.clone() };
         let answer = read_advice(advice);
-        self.owner.send(OwnerMsg::Advised { seat: channel, step, answer }).await;
+        self.owner.send(OwnerMsg::Advised { seat, step, answer }).await;
     }
 }
 
--- a/crates/hollowford-node/src/relay.rs
+++ b/crates/hollowford-node/src/relay.rs
@@ -106,10 +106,8 @@
             wait_for_route_change(&mut route, left.min(MIN_STORE_OUTAGE)).await;
             continue;
         };
-        let time_left = deadline.since(shared.clock.now());
-        let Ok(answer) = timeout(time_left.duration(), rx).await else {
-            return RelayOutcome::Unsure;
-        };
+        let limit = deadline.since(shared.clock.now());
+        let Ok(answer) = timeout(limit.duration(), rx).await else { return RelayOutcome::Unsure };
         let Ok(answer) = answer else {
             // The link ended before the answer arrived.
             sent = true;
