--- a/crates/hollowford-node/src/settling_tests.rs
+++ b/crates/hollowford-node/src/settling_tests.rs
@@ -48,7 +48,7 @@
 struct Follower {
     rx: Receiver<Frame>,
     outbox: Option<Outbox>,
-    detector: Option<FailureDetector>,
+    hearing: Option<FailureDetector>,
     /// The owner is asked, and has answered once this is true.
     asked: Option<bool>,
     beat_sent: u64,
@@ -76,7 +76,7 @@
             Follower {
                 rx,
                 outbox: Some(outbox),
-                detector: None,
+                hearing: None,
                 asked: None,
                 beat_sent: 0,
                 parted: None,
@@ -114,7 +114,7 @@
         let first = (since / told_every) as usize * ANNOUNCE_CHUNK_SIZE;
         let end = (first + ANNOUNCE_CHUNK_SIZE).min(self.followers.len());
         for i in first..end {
-            self.followers[i].detector = Some(FailureDetector::new(Millis(self.now)));
+            self.followers[i].hearing = Some(FailureDetector::new(Millis(self.now)));
             self.work.push_back(Work::Join(i));
         }
     }
@@ -168,19 +168,19 @@
     fn follow(&mut self, i: usize) {
         let now = Millis(self.now);
         let f = &mut self.followers[i];
-        let Some(detector) = f.detector.as_mut().filter(|_| f.parted.is_none()) else { return };
+        let Some(hearing) = f.hearing.as_mut().filter(|_| f.parted.is_none()) else { return };
         while let Ok(frame) = f.rx.try_recv() {
-            detector.record_message(now);
+            hearing.record_message(now);
             f.asked = None;
             if let Some(Body::Heartbeat(beat)) = frame.body {
-                detector.set_interval(Millis(beat.every_ms));
+                hearing.set_interval(Millis(beat.every_ms));
             }
         }
         // Their timers come at times of their own.
         if !(self.now + i as u64).is_multiple_of(HEARTBEAT_INTERVAL.0) {
             return;
         }
-        match detector.check(now) {
+        match hearing.check(now) {
             OwnerStatus::Suspected if f.asked.is_none() => {
                 f.asked = Some(false);
                 self.work.push_back(Work::Question(i));
@@ -188,7 +188,7 @@
             OwnerStatus::Failed => f.parted = Some((self.now, OwnerStatus::Failed)),
             _ => {}
         }
-        if self.now - f.beat_sent >= detector.interval().0 {
+        if self.now - f.beat_sent >= hearing.interval().0 {
             f.beat_sent = self.now;
             self.work.push_back(Work::Beat(i));
         }
