--- a/crates/hollowford-node/src/http_endpoints.rs
+++ b/crates/hollowford-node/src/http_endpoints.rs
@@ -1,7 +1,7 @@
 //! HTTP endpoints for callers, readiness probes and metrics.
 
 use crate::access::{self, Access};
-use crate::relay::{Relayed, relay};
+use crate::relay::{RelayOutcome, relay};
 use crate::shared::Shared;
 use crate::wire::{Call, Said, Verb};
 use futures::future::join_all;
@@ -66,28 +66,28 @@
     }
 
     /// Relays a call to the owner of the job's partition, or a count to all owners.
-    async fn relay(&self, call: Call, limit: Millis) -> Relayed {
+    async fn relay(&self, call: Call, limit: Millis) -> RelayOutcome {
         if call.verb() == Verb::Waiting {
             return self.count_waiting(call, limit).await;
         }
         match self.shared.partition_of(&call.account, JobId(call.job)) {
             Some(partition) => relay(&self.shared, partition, call, limit).await,
-            None => Relayed::NotSent,
+            None => RelayOutcome::NotSent,
         }
     }
 
     /// Returns the sum of the counts of all partitions, or the first failure.
-    async fn count_waiting(&self, call: Call, limit: Millis) -> Relayed {
+    async fn count_waiting(&self, call: Call, limit: Millis) -> RelayOutcome {
         let partitions = self.shared.partitions();
         let counts = partitions.iter().map(|p| relay(&self.shared, p, call.clone(), limit));
         let mut sum = None;
         for counted in join_all(counts).await {
             match counted {
-                Relayed::Said(Said::Value, n) => sum = Some(sum.unwrap_or(0) + n),
+                RelayOutcome::Said(Said::Value, n) => sum = Some(sum.unwrap_or(0) + n),
                 other => return other,
             }
         }
-        sum.map_or(Relayed::NotSent, |n| Relayed::Said(Said::Value, n))
+        sum.map_or(RelayOutcome::NotSent, |n| RelayOutcome::Said(Said::Value, n))
     }
 
     /// Parses a request into a call to the owner. Returns the status to answer if the request is
@@ -130,13 +130,13 @@
         Ok(call)
     }
 
-    fn respond(&self, verb: Verb, relayed: Relayed, started_at: Millis) -> Response {
+    fn respond(&self, verb: Verb, relayed: RelayOutcome, started_at: Millis) -> Response {
         let verb_name = verb.name();
         match relayed {
-            Relayed::Said(Said::Done, _) => {
+            RelayOutcome::Said(Said::Done, _) => {
                 self.respond_empty(StatusCode::OK, verb_name, started_at)
             }
-            Relayed::Said(Said::Value, value) => {
+            RelayOutcome::Said(Said::Value, value) => {
                 let body = if verb == Verb::State {
                     decode_state(value).map(encode_state)
                 } else {
@@ -149,19 +149,19 @@
                     }
                 }
             }
-            Relayed::Said(Said::UnknownKey, _) => {
+            RelayOutcome::Said(Said::UnknownKey, _) => {
                 self.respond_empty(StatusCode::UNAUTHORIZED, verb_name, started_at)
             }
-            Relayed::Said(Said::NotYours, _) => {
+            RelayOutcome::Said(Said::NotYours, _) => {
                 self.respond_empty(StatusCode::CONFLICT, verb_name, started_at)
             }
-            Relayed::Said(Said::NoJob, _) => {
+            RelayOutcome::Said(Said::NoJob, _) => {
                 self.respond_empty(StatusCode::GONE, verb_name, started_at)
             }
-            Relayed::Said(Said::Unavailable, _) | Relayed::NotSent => {
+            RelayOutcome::Said(Said::Unavailable, _) | RelayOutcome::NotSent => {
                 self.respond_empty(StatusCode::SERVICE_UNAVAILABLE, verb_name, started_at)
             }
-            Relayed::Said(..) | Relayed::Unsure => {
+            RelayOutcome::Said(..) | RelayOutcome::Unsure => {
                 self.respond_empty(StatusCode::GATEWAY_TIMEOUT, verb_name, started_at)
             }
         }
--- a/crates/hollowford-node/src/lib.rs
+++ b/crates/hollowford-node/src/lib.rs
@@ -1,6 +1,7 @@
-//! A process on the users' platform: entry for callers, adviser, and owner in its turn.
+//! The hollowford node process: it serves callers, requests advice, and owns partitions.
 //!
-//! Its duties are tasks of one thread, joined by bounded channels; see docs/PLATFORM.md.
+//! Its duties run as tasks on one thread and communicate through bounded channels; see
+//! docs/PLATFORM.md.
 
 mod access;
 #[cfg(test)]
@@ -8,15 +9,21 @@
 mod announce;
 #[cfg(test)]
 mod announce_tests;
+mod assignment;
+#[cfg(test)]
+mod assignment_tests;
 mod batches;
 mod callers;
 mod calls;
 mod compression;
 #[cfg(test)]
 mod compression_tests;
-mod config_told;
+mod config_freshness;
+#[cfg(test)]
+mod config_freshness_tests;
+mod config_watch;
 #[cfg(test)]
-mod config_told_tests;
+mod config_watch_tests;
 mod delegate;
 mod delegate_wire;
 #[cfg(test)]
@@ -24,10 +31,6 @@
 mod delegation;
 #[cfg(test)]
 mod delegation_tests;
-mod giving_up;
-mod homes;
-#[cfg(test)]
-mod homes_tests;
 mod http_endpoints;
 mod inbox;
 mod lane;
@@ -54,7 +57,7 @@
 mod plan;
 #[cfg(test)]
 mod plan_tests;
-mod reach;
+mod reachability;
 mod registry;
 #[cfg(test)]
 mod registry_tests;
@@ -68,14 +71,12 @@
 mod shared;
 #[cfg(test)]
 mod shared_tests;
-mod succession;
-#[cfg(test)]
-mod succession_tests;
+mod step_down;
 #[cfg(test)]
 mod suspension_tests;
-mod watch;
+mod takeover;
 #[cfg(test)]
-mod watch_tests;
+mod takeover_tests;
 mod wire;
 mod worker_changes;
 mod writer;
@@ -83,4 +84,4 @@
 mod writer_tests;
 
 pub use node::{NodeError, NodeOptions, run};
-pub use plan::WORKERS_EACH;
+pub use plan::DEFAULT_WORKERS_PER_PARTITION;
--- a/crates/hollowford-node/src/link.rs
+++ b/crates/hollowford-node/src/link.rs
@@ -15,49 +15,50 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
-/// Longest time to open a link within a region.
+/// Time limit of opening a link within a region.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// A link that hasn't opened after so long is tried once more beside it, and so on: a process to
-/// which hundreds open links at once has no room for some of them, and the system itself tries
-/// again only after a second.
-const TRY_AGAIN: Duration = Duration::from_millis(110);
-/// Tries are apart by up to so much more, so that those which found no room don't come together
-/// again.
-const TRY_SPREAD: Duration = Duration::from_millis(60);
-/// How often a link is tried within [`CONNECT_TIMEOUT`].
-const TRIES: u32 = 4;
-/// Largest frame: a job's specification and some room.
-const FRAME_LIMIT: usize = 1 << 20;
-/// A frame of so many bytes is packed, if that makes it smaller. Templates shrink to some two
-/// thirds; below this the packing's own bytes eat up what it saves.
-const PACK_FROM: usize = 256;
-/// Frames that wait to be written; a link whose peer doesn't read that many is given up.
-const OUTBOX: usize = 4_096;
+/// Time after which another attempt is started beside the pending ones. A process to which hundreds
+/// of links open at once drops some connection requests, and the operating system retransmits them
+/// only after a second.
+const ATTEMPT_INTERVAL: Duration = Duration::from_millis(110);
+/// Upper bound of a random addition to each delay, so that attempts whose requests were dropped
+/// don't coincide again.
+const MAX_ATTEMPT_JITTER: Duration = Duration::from_millis(60);
+/// Number of attempts to open a link within [`CONNECT_TIMEOUT`].
+const MAX_ATTEMPTS: u32 = 4;
+/// Size limit of a frame; leaves room for a job's specification.
+const MAX_FRAME_BYTES: usize = 1 << 20;
+/// Size from which a frame may be compressed. Templates shrink to about two thirds; below this size
+/// the overhead of compression exceeds what it saves.
+const MIN_PACKED_BYTES: usize = 256;
+/// Number of frames that may wait to be written. If a peer falls further behind, its link is
+/// treated as ended.
+const OUTBOX_CAPACITY: usize = 4_096;
 
 /// Reads frames.
-pub type Reader = FramedRead<OwnedReadHalf, LengthDelimitedCodec>;
+pub type FrameReader = FramedRead<OwnedReadHalf, LengthDelimitedCodec>;
 
-/// Sends frames to a peer without waiting.
+/// Sends frames to a peer without blocking.
 #[derive(Clone, Debug)]
 pub struct Outbox {
     tx: mpsc::Sender<Frame>,
 }
 
 impl Outbox {
-    /// Makes one whose frames nobody reads.
+    /// Creates an outbox whose link has ended.
     #[cfg(test)]
-    pub fn to_nowhere() -> Outbox {
-        Outbox::to_test().0
+    pub fn disconnected() -> Outbox {
+        Outbox::for_test().0
     }
 
-    /// Makes one whose frames a test reads.
+    /// Creates an outbox and a receiver of its frames.
     #[cfg(test)]
-    pub fn to_test() -> (Outbox, mpsc::Receiver<Frame>) {
-        let (tx, rx) = mpsc::channel(OUTBOX);
+    pub fn for_test() -> (Outbox, mpsc::Receiver<Frame>) {
+        let (tx, rx) = mpsc::channel(OUTBOX_CAPACITY);
         (Outbox { tx }, rx)
     }
 
-    /// Sends a frame. Tells whether the link still takes frames.
+    /// Sends a frame. Returns false if the link has ended or its outbox is full.
     pub fn send(&self, body: Body) -> bool {
         self.tx.try_send(body.into()).is_ok()
     }
@@ -66,60 +67,63 @@
 /// Opens a link.
 ///
 /// # Errors
-/// When the address doesn't answer in time, or refuses.
-pub async fn connect(addr: SocketAddr) -> io::Result<(Reader, Outbox)> {
-    split(open(|| TcpStream::connect(addr)).await?)
+/// If the address doesn't answer in time or refuses the connection.
+pub async fn connect(addr: SocketAddr) -> io::Result<(FrameReader, Outbox)> {
+    split(open_with_retries(|| TcpStream::connect(addr)).await?)
 }
 
-/// Makes tries until the first one ends, well or not: one that is refused tells as much as another.
-pub(crate) async fn open<T, F>(try_once: impl Fn() -> F) -> io::Result<T>
+/// Starts attempts until the first one completes, and returns its result. A refused attempt is not
+/// repeated, since the others would be refused as well.
+pub(crate) async fn open_with_retries<T, F>(attempt: impl Fn() -> F) -> io::Result<T>
 where
     F: Future<Output = io::Result<T>>,
 {
-    let wait = |n: u32| TRY_AGAIN * n + TRY_SPREAD.mul_f64(fastrand::f64()) * n.min(1);
-    let tries = (0..TRIES).map(|n| {
-        let (wait, try_once) = (wait(n), &try_once);
+    let wait =
+        |n: u32| ATTEMPT_INTERVAL * n + MAX_ATTEMPT_JITTER.mul_f64(fastrand::f64()) * n.min(1);
+    let attempts = (0..MAX_ATTEMPTS).map(|n| {
+        let (wait, attempt) = (wait(n), &attempt);
         async move {
             sleep(wait).await;
-            try_once().await
+            attempt().await
         }
     });
-    let mut tries: FuturesUnordered<_> = tries.collect();
-    match timeout(CONNECT_TIMEOUT, tries.next()).await? {
+    let mut attempts: FuturesUnordered<_> = attempts.collect();
+    match timeout(CONNECT_TIMEOUT, attempts.next()).await? {
         Some(ended) => ended,
         None => Err(ErrorKind::TimedOut.into()),
     }
 }
 
-/// Asks the process at `addr` a question, on a link of its own; none without an answer within
-/// `limit`.
-pub async fn ask(addr: SocketAddr, question: Body, limit: Duration) -> Option<Body> {
+/// Sends a request to the process at `addr` on a link of its own. Returns none if no answer arrives
+/// within `limit`.
+pub async fn request(addr: SocketAddr, body: Body, limit: Duration) -> Option<Body> {
     let (mut reader, outbox) = connect(addr).await.ok()?;
-    outbox.send(question);
-    timeout(limit, next(&mut reader)).await.ok().flatten()
+    outbox.send(body);
+    timeout(limit, recv(&mut reader)).await.ok().flatten()
 }
 
-/// Puts frames on a stream, and starts its writer.
+/// Splits a stream into a frame reader and an outbox, and starts writing the outbox's frames.
 ///
 /// # Errors
-/// When the stream's options can't be set.
-pub fn split(stream: TcpStream) -> io::Result<(Reader, Outbox)> {
+/// If the stream's options can't be set.
+pub fn split(stream: TcpStream) -> io::Result<(FrameReader, Outbox)> {
     stream.set_nodelay(true)?;
     let (read, write) = stream.into_split();
-    let codec = || LengthDelimitedCodec::builder().max_frame_length(FRAME_LIMIT).new_codec();
-    let (tx, rx) = mpsc::channel(OUTBOX);
+    let codec = || LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
+    let (tx, rx) = mpsc::channel(OUTBOX_CAPACITY);
     tokio::spawn(write_all(FramedWrite::new(write, codec()), rx));
     Ok((FramedRead::new(read, codec()), Outbox { tx }))
 }
 
-/// Returns a frame's bytes, packed where that saves some: calls to workers with their templates,
-/// which are most of what an owner sends. Packing takes some 0.3 MB while it lasts, so the members,
-/// which send little, do without.
+/// Encodes a frame. Frames with calls to workers are compressed if that makes them smaller: with
+/// their templates, they are most of what an owner sends. Compression takes about 0.3 MB of memory
+/// while it runs, so members, which send little, don't compress.
 pub(crate) fn encode(frame: &Frame) -> Bytes {
     let plain = frame.encode_to_vec();
-    let worth_it = plain.len() >= PACK_FROM && matches!(frame.body, Some(Body::Delegated(_)));
-    // A buffer in memory takes all that is written to it; if not, the frame goes as it is.
-    let packed = worth_it.then(|| compress(&plain)).and_then(Result::ok);
+    let may_shrink =
+        plain.len() >= MIN_PACKED_BYTES && matches!(frame.body, Some(Body::Delegated(_)));
+    // Writing to a buffer in memory doesn't fail; if it did, the frame would be sent uncompressed.
+    let packed = may_shrink.then(|| compress(&plain)).and_then(Result::ok);
     let packed = packed.map(|bytes| Frame::from(Body::Packed(bytes)).encode_to_vec());
     match packed.filter(|p| p.len() < plain.len()) {
         Some(packed) => packed.into(),
@@ -127,17 +131,17 @@
     }
 }
 
-/// Reads a frame's bytes.
+/// Decodes a frame.
 ///
 /// # Errors
-/// When they are not a frame, or a packed one holds something else.
+/// If the bytes are not a frame, or a compressed frame doesn't contain a plain one.
 pub(crate) fn decode(bytes: BytesMut) -> io::Result<Option<Body>> {
     match Frame::decode(bytes)?.body {
         Some(Body::Packed(packed)) => {
-            let plain = decompress(&packed, FRAME_LIMIT)?;
+            let plain = decompress(&packed, MAX_FRAME_BYTES)?;
             match Frame::decode(&plain[..])?.body {
                 Some(Body::Packed(_)) => {
-                    Err(io::Error::new(ErrorKind::InvalidData, "packed twice"))
+                    Err(io::Error::new(ErrorKind::InvalidData, "frame is compressed twice"))
                 }
                 body => Ok(body),
             }
@@ -146,7 +150,7 @@
     }
 }
 
-/// Writes frames until the link fails or no one sends any more.
+/// Writes frames until the link fails or all outboxes are dropped.
 async fn write_all(
     mut write: FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>,
     mut rx: mpsc::Receiver<Frame>,
@@ -168,8 +172,8 @@
     }
 }
 
-/// Reads the next frame; none when the link has ended or said what can't be read.
-pub async fn next(reader: &mut Reader) -> Option<Body> {
+/// Receives the next frame; none if the link has ended or the frame is malformed.
+pub async fn recv(reader: &mut FrameReader) -> Option<Body> {
     match reader.next().await? {
         Ok(bytes) => match decode(bytes) {
             Ok(body) => body,
--- a/crates/hollowford-node/src/load.rs
+++ b/crates/hollowford-node/src/load.rs
@@ -2,8 +2,8 @@
 
 use crate::lane::lane_versions;
 use crate::owner::RecoveredState;
-use crate::owner_row::{OWNER_KEY, RETRY, TABLE, read_owner};
-use crate::partition::Cx;
+use crate::owner_row::{OWNER_KEY, RETRY_PAUSE, SYSTEM_TABLE, decode_owner};
+use crate::partition::PartitionContext;
 use crate::wire::OwnerInfo;
 use hollowford_adapter::Feed;
 use hollowford_core::Millis;
@@ -21,10 +21,11 @@
 
 /// Loads the partition's rows and recovers the owner's state. Returns `None` if the rows can't be
 /// read or another process owns the partition.
-pub async fn load(cx: &Cx, info: &OwnerInfo) -> Option<RecoveredState> {
+pub async fn load(cx: &PartitionContext, info: &OwnerInfo) -> Option<RecoveredState> {
     let started_at = cx.shared.clock.now();
     loop {
-        match cx.shared.store.read_all(TABLE, &cx.partition.part, LOAD_ATTEMPT_TIMEOUT).await {
+        match cx.shared.store.read_all(SYSTEM_TABLE, &cx.partition.part, LOAD_ATTEMPT_TIMEOUT).await
+        {
             Ok(feed) => {
                 cx.shared.record_store_answer();
                 return recover_state(cx, info, feed);
@@ -34,16 +35,16 @@
         if cx.shared.clock.now().since(started_at) > MAX_LOAD_TIME {
             return None;
         }
-        sleep(RETRY).await;
+        sleep(RETRY_PAUSE).await;
     }
 }
 
-fn recover_state(cx: &Cx, info: &OwnerInfo, feed: Feed) -> Option<RecoveredState> {
+fn recover_state(cx: &PartitionContext, info: &OwnerInfo, feed: Feed) -> Option<RecoveredState> {
     let owner = feed.rows.iter().find(|r| r.key == OWNER_KEY)?;
     let lanes = lane_versions(&feed.rows);
-    let holder = read_owner(owner)?.owner?;
+    let holder = decode_owner(owner)?.owner?;
     if holder != *info {
-        cx.partition.note_owner_info(&holder);
+        cx.partition.record_owner(&holder);
         return None;
     }
     let clock_offset = feed.now.0 as i64 - cx.shared.clock.now().0 as i64;
--- a/crates/hollowford-node/src/mass_join_tests.rs
+++ b/crates/hollowford-node/src/mass_join_tests.rs
@@ -6,10 +6,10 @@
 //! to be quiet.
 #![allow(clippy::expect_used)]
 
-use crate::announce::{TOLD_AT_A_TIME, TOLD_EVERY};
+use crate::announce::{ANNOUNCE_CHUNK_INTERVAL, ANNOUNCE_CHUNK_SIZE};
 use crate::link::Outbox;
-use crate::members::{ConfigKnown, Members};
-use crate::succession::{BEAT, Hearing, Judged};
+use crate::members::{KnownConfig, Members};
+use crate::takeover::{FailureDetector, HEARTBEAT_INTERVAL, OwnerStatus};
 use crate::wire::{Body, Frame, Hello, MemberBeat, OwnerInfo};
 use hollowford_core::Millis;
 use std::collections::VecDeque;
@@ -49,12 +49,12 @@
 struct Follower {
     rx: Receiver<Frame>,
     outbox: Option<Outbox>,
-    detector: Option<Hearing>,
+    detector: Option<FailureDetector>,
     /// `Some(false)` while a probe is unanswered, `Some(true)` once it is answered.
     probe_answered: Option<bool>,
     heartbeat_sent_at: u64,
     /// When and why the follower left the owner.
-    left: Option<(u64, Judged)>,
+    left: Option<(u64, OwnerStatus)>,
 }
 
 struct Simulation {
@@ -69,12 +69,12 @@
     stopped: bool,
 }
 
-const KNOWN: ConfigKnown = ConfigKnown { version: 1, age: Millis(0) };
+const KNOWN: KnownConfig = KnownConfig { version: 1, age: Millis(0) };
 
 impl Simulation {
     fn new(instances: usize) -> Simulation {
         let follower = |_| {
-            let (outbox, rx) = Outbox::to_test();
+            let (outbox, rx) = Outbox::for_test();
             Follower {
                 rx,
                 outbox: Some(outbox),
@@ -108,15 +108,15 @@
 
     /// Opens the links of the followers that are notified of the owner in this step.
     fn open_links(&mut self) {
-        let announce_interval = TOLD_EVERY.as_millis() as u64;
+        let announce_interval = ANNOUNCE_CHUNK_INTERVAL.as_millis() as u64;
         let since = self.now - OWNER_START_MS - STEP_MS;
         if !since.is_multiple_of(announce_interval) {
             return;
         }
-        let first = (since / announce_interval) as usize * TOLD_AT_A_TIME;
-        let end = (first + TOLD_AT_A_TIME).min(self.followers.len());
+        let first = (since / announce_interval) as usize * ANNOUNCE_CHUNK_SIZE;
+        let end = (first + ANNOUNCE_CHUNK_SIZE).min(self.followers.len());
         for i in first..end {
-            self.followers[i].detector = Some(Hearing::new(Millis(self.now)));
+            self.followers[i].detector = Some(FailureDetector::new(Millis(self.now)));
             self.work.push_back(OwnerWork::Join(i));
         }
     }
@@ -149,11 +149,11 @@
                 let hello = Hello { address, cpu_milli: 1_000, age_ms: 1, ..Hello::default() };
                 let before = self.sent();
                 self.members.join(i as u64, hello, outbox, Millis(self.now));
-                self.members.greet(i as u64, KNOWN);
+                self.members.send_first_heartbeat(i as u64, KNOWN);
                 LINK_US + (self.sent() - before) as i64 * FRAME_US
             }
             OwnerWork::Beat(i) => {
-                self.members.beat(i as u64, &MemberBeat::default(), Millis(self.now));
+                self.members.record_heartbeat(i as u64, &MemberBeat::default(), Millis(self.now));
                 FRAME_US
             }
             OwnerWork::Probe(i) => {
@@ -173,25 +173,25 @@
         let f = &mut self.followers[i];
         let Some(detector) = f.detector.as_mut().filter(|_| f.left.is_none()) else { return };
         while let Ok(frame) = f.rx.try_recv() {
-            detector.note(now);
+            detector.record_message(now);
             f.probe_answered = None;
             if let Some(Body::Heartbeat(beat)) = frame.body {
-                detector.set_pace(Millis(beat.every_ms));
+                detector.set_interval(Millis(beat.every_ms));
             }
         }
         // The followers' timers don't fire at the same time.
-        if !(self.now + i as u64).is_multiple_of(BEAT.0) {
+        if !(self.now + i as u64).is_multiple_of(HEARTBEAT_INTERVAL.0) {
             return;
         }
-        match detector.judge(now) {
-            Judged::Quiet if f.probe_answered.is_none() => {
+        match detector.check(now) {
+            OwnerStatus::Suspected if f.probe_answered.is_none() => {
                 f.probe_answered = Some(false);
                 self.work.push_back(OwnerWork::Probe(i));
             }
-            Judged::Silent => f.left = Some((self.now, Judged::Silent)),
+            OwnerStatus::Failed => f.left = Some((self.now, OwnerStatus::Failed)),
             _ => {}
         }
-        if self.now - f.heartbeat_sent_at >= detector.pace().0 {
+        if self.now - f.heartbeat_sent_at >= detector.interval().0 {
             f.heartbeat_sent_at = self.now;
             self.work.push_back(OwnerWork::Beat(i));
         }
--- a/crates/hollowford-node/src/member.rs
+++ b/crates/hollowford-node/src/member.rs
@@ -1,14 +1,14 @@
-//! A process that doesn't own the partition: its link to the owner.
+//! A member: a process that doesn't own the partition, and its link to the owner.
 
 use crate::calls::request_advice;
-use crate::config_told::{ConfigTold, Told};
+use crate::config_freshness::{ConfigFreshness, ReportedConfig};
+use crate::config_watch;
 use crate::delegate;
-use crate::link::{self, Outbox, Reader};
-use crate::partition::{Cx, Route};
+use crate::link::{self, FrameReader, Outbox};
+use crate::partition::{PartitionContext, Route};
 use crate::relay::RemoteOwner;
 use crate::shared::Shared;
-use crate::succession::{BEAT, Hearing, Judged, Parted};
-use crate::watch;
+use crate::takeover::{FailureDetector, HEARTBEAT_INTERVAL, LeaveReason, OwnerStatus};
 use crate::wire::{Advice, Ask, Body, Heartbeat, Hello, MemberBeat, OwnerInfo, WhoOwns};
 use hollowford_core::Millis;
 use std::io::ErrorKind;
@@ -16,35 +16,46 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use tokio::time::{MissedTickBehavior, interval};
 
-/// Follows an owner until they part, over as many links as it takes: a link that is reset
-/// says nothing of the owner. `members` are those that take over, in their order, as an owner told
-/// last.
-pub async fn follow(cx: &Cx, info: &OwnerInfo, members: &mut Vec<String>) -> Parted {
+/// Follows an owner until this process leaves it. A link that is reset says nothing about the
+/// owner, so it is opened again. `takeover_order` is set to the members that the owner names to
+/// take over.
+pub async fn follow(
+    cx: &PartitionContext,
+    info: &OwnerInfo,
+    takeover_order: &mut Vec<String>,
+) -> LeaveReason {
     loop {
-        let parted = follow_once(cx, info, members).await;
-        if parted != Parted::Cut {
-            return parted;
+        let reason = follow_once(cx, info, takeover_order).await;
+        if reason != LeaveReason::Cut {
+            return reason;
         }
         log::info!("owner.link_cut partition={} epoch={}", info.partition, info.epoch);
     }
 }
 
-async fn follow_once(cx: &Cx, info: &OwnerInfo, members: &mut Vec<String>) -> Parted {
-    let (mut reader, outbox) = match open(&cx.shared, info).await {
+async fn follow_once(
+    cx: &PartitionContext,
+    info: &OwnerInfo,
+    takeover_order: &mut Vec<String>,
+) -> LeaveReason {
+    let (mut reader, outbox) = match open_owner_link(&cx.shared, info).await {
         Ok(link) => link,
-        Err(parted) => return parted,
+        Err(reason) => return reason,
     };
-    let mut link = OwnerLink::new(cx, info, outbox, members);
-    let parted = link.serve(&mut reader).await;
-    link.end();
-    parted
+    let mut link = OwnerLink::new(cx, info, outbox, takeover_order);
+    let reason = link.serve(&mut reader).await;
+    link.close();
+    reason
 }
 
-async fn open(shared: &Shared, info: &OwnerInfo) -> Result<(Reader, Outbox), Parted> {
-    let Ok(addr) = info.address.parse() else { return Err(Parted::Gone) };
+async fn open_owner_link(
+    shared: &Shared,
+    info: &OwnerInfo,
+) -> Result<(FrameReader, Outbox), LeaveReason> {
+    let Ok(addr) = info.address.parse() else { return Err(LeaveReason::Gone) };
     let (reader, outbox) = link::connect(addr).await.map_err(|e| {
         let refused = matches!(e.kind(), ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset);
-        if refused { Parted::Gone } else { Parted::Silent }
+        if refused { LeaveReason::Gone } else { LeaveReason::Silent }
     })?;
     outbox.send(Body::Hello(Hello {
         address: shared.address().to_string(),
@@ -58,168 +69,176 @@
 
 /// A member's link to its owner.
 struct OwnerLink<'a> {
-    cx: &'a Cx,
+    cx: &'a PartitionContext,
     info: &'a OwnerInfo,
     outbox: Outbox,
     remote: RemoteOwner,
-    /// The owner has sent a heartbeat: callers' requests go to it.
-    following: bool,
-    /// The owner has had this process make calls to workers.
-    delegated: bool,
+    /// The owner has sent a heartbeat, so callers' requests are routed to it.
+    joined: bool,
+    /// The owner has delegated calls to workers to this process.
+    has_delegated: bool,
     /// See [`follow`].
-    members: &'a mut Vec<String>,
-    hearing: Hearing,
-    /// The owner is being asked whether it lives, and has answered once this is true.
-    asked: Option<Arc<AtomicBool>>,
+    takeover_order: &'a mut Vec<String>,
+    detector: FailureDetector,
+    /// Set while the owner is being probed; becomes true once it has answered.
+    probe: Option<Arc<AtomicBool>>,
     /// When the last heartbeat was sent.
-    sent: Option<Millis>,
+    heartbeat_sent_at: Option<Millis>,
 }
 
 impl OwnerLink<'_> {
     fn new<'a>(
-        cx: &'a Cx,
+        cx: &'a PartitionContext,
         info: &'a OwnerInfo,
         outbox: Outbox,
-        members: &'a mut Vec<String>,
+        takeover_order: &'a mut Vec<String>,
     ) -> OwnerLink<'a> {
         OwnerLink {
             cx,
             info,
             remote: RemoteOwner::new(outbox.clone()),
             outbox,
-            following: false,
-            delegated: false,
-            members,
-            hearing: Hearing::new(cx.shared.clock.now()),
-            asked: None,
-            sent: None,
+            joined: false,
+            has_delegated: false,
+            takeover_order,
+            detector: FailureDetector::new(cx.shared.clock.now()),
+            probe: None,
+            heartbeat_sent_at: None,
         }
     }
 
-    /// Serves the link until it has to end.
-    async fn serve(&mut self, reader: &mut Reader) -> Parted {
-        let mut newest = self.cx.partition.owner.subscribe();
-        let mut ticks = interval(BEAT.duration());
+    /// Serves the link until this process leaves the owner.
+    async fn serve(&mut self, reader: &mut FrameReader) -> LeaveReason {
+        let mut newest_owner = self.cx.partition.owner.subscribe();
+        let mut ticks = interval(HEARTBEAT_INTERVAL.duration());
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            let parted = tokio::select! {
-                body = link::next(reader) => match body {
-                    Some(body) => self.take_frame(body),
-                    None if self.following => Some(Parted::Cut),
-                    None => Some(Parted::Gone),
+            let reason = tokio::select! {
+                body = link::recv(reader) => match body {
+                    Some(body) => self.handle_frame(body),
+                    None if self.joined => Some(LeaveReason::Cut),
+                    None => Some(LeaveReason::Gone),
                 },
                 _ = ticks.tick() => self.tick(),
-                changed = newest.changed() => {
-                    let newer = changed.is_ok() && newest.borrow().epoch > self.info.epoch;
-                    newer.then_some(Parted::Newer)
+                changed = newest_owner.changed() => {
+                    let newer = changed.is_ok() && newest_owner.borrow().epoch > self.info.epoch;
+                    newer.then_some(LeaveReason::Newer)
                 }
             };
-            if let Some(parted) = parted {
-                return parted;
+            if let Some(reason) = reason {
+                return reason;
             }
         }
     }
 
-    /// Takes in what the owner says. Returns why the link ends by it, if it does.
-    fn take_frame(&mut self, body: Body) -> Option<Parted> {
-        self.hearing.note(self.cx.shared.clock.now());
-        self.asked = None;
+    /// Handles a frame from the owner. Returns a reason if the member has to leave the owner.
+    fn handle_frame(&mut self, body: Body) -> Option<LeaveReason> {
+        self.detector.record_message(self.cx.shared.clock.now());
+        self.probe = None;
         match body {
-            // Sent by a process that is just becoming the owner.
+            // Sent by a process that is about to become the owner.
             Body::Heartbeat(beat) if beat.epoch == 0 => {}
-            Body::Heartbeat(beat) => self.take_heartbeat(beat),
-            Body::Answer(answer) => self.remote.answered(answer),
+            Body::Heartbeat(beat) => self.handle_heartbeat(beat),
+            Body::Answer(answer) => self.remote.complete(answer),
             Body::Ask(ask) => {
-                tokio::spawn(answer_ask(self.cx.shared.clone(), ask, self.outbox.clone()));
+                tokio::spawn(answer_advice_request(
+                    self.cx.shared.clone(),
+                    ask,
+                    self.outbox.clone(),
+                ));
             }
             Body::Delegated(frame) => {
-                if !std::mem::replace(&mut self.delegated, true) {
+                if !std::mem::replace(&mut self.has_delegated, true) {
                     log::info!("delegate.first epoch={} calls={}", frame.epoch, frame.calls.len());
                 }
                 delegate::execute_calls(&self.cx.shared, frame, &self.outbox);
             }
-            Body::Config(row) => watch::take_packed(&self.cx.shared, row),
+            Body::Config(row) => config_watch::apply_packed(&self.cx.shared, row),
             Body::Workers(changes) => {
-                // A process that owns nothing by now has nobody who listens.
+                // Nobody listens if this process owns no partition any more.
                 let _ = self.cx.shared.worker_changes.send(Arc::new(changes));
             }
-            Body::HandOver(h) => return Some(Parted::HandedOver { rev: h.rev }),
+            Body::HandOver(h) => return Some(LeaveReason::HandedOver { rev: h.rev }),
             Body::Owner(other) => {
-                let newer = self.cx.partition.note_owner_info(&other);
-                return Some(if newer { Parted::Newer } else { Parted::Gone });
+                let newer = self.cx.partition.record_owner(&other);
+                return Some(if newer { LeaveReason::Newer } else { LeaveReason::Gone });
             }
             other => log::warn!("link.unexpected frame={other:?}"),
         }
         None
     }
 
-    fn take_heartbeat(&mut self, beat: Heartbeat) {
-        if !self.following {
-            self.following = true;
+    fn handle_heartbeat(&mut self, beat: Heartbeat) {
+        if !self.joined {
+            self.joined = true;
             let OwnerInfo { epoch, address, .. } = self.info;
             log::info!("owner.following epoch={epoch} address={address}");
             self.cx.partition.route.send_replace(Route::Remote(self.remote.clone()));
         }
-        self.cx.note_owner();
+        self.cx.record_owner_contact();
         let lost = beat.store_lost;
-        if self.cx.partition.probe_store.swap(lost, Ordering::Relaxed) != lost {
+        if self.cx.partition.store_probe_wanted.swap(lost, Ordering::Relaxed) != lost {
             self.cx.shared.config_wanted.notify_one();
         }
-        self.hearing.set_pace(Millis(beat.every_ms));
-        self.take_told(&beat);
+        self.detector.set_interval(Millis(beat.every_ms));
+        self.record_reported_config(&beat);
         if !beat.members.is_empty() {
-            *self.members = beat.members;
+            *self.takeover_order = beat.members;
         }
     }
 
-    /// Takes in what the owner knows of the configuration.
-    fn take_told(&self, beat: &Heartbeat) {
+    /// Records what the owner reports about the configuration.
+    fn record_reported_config(&self, beat: &Heartbeat) {
         let (shared, partition) = (&self.cx.shared, &self.cx.partition);
-        let mut told = partition.config_told();
-        let beat = Told {
+        let mut freshness = partition.config_freshness();
+        let reported = ReportedConfig {
             version: beat.config,
             age: Millis(beat.config_age_ms),
-            every: self.hearing.pace(),
+            interval: self.detector.interval(),
         };
-        told.note(beat, shared.config_version(), shared.clock.now());
-        partition.set_config_told(told);
+        freshness.record(reported, shared.config_version(), shared.clock.now());
+        partition.set_config_freshness(freshness);
     }
 
-    /// Tells the owner that this process is alive, unless the owner is silent itself.
-    fn tick(&mut self) -> Option<Parted> {
+    /// Checks on the owner, and sends it a heartbeat when one is due. Returns a reason if the
+    /// member has to leave the owner.
+    fn tick(&mut self) -> Option<LeaveReason> {
         let now = self.cx.shared.clock.now();
-        match self.hearing.judge(now) {
-            Judged::Heard => {}
-            Judged::Paused(time) => log::warn!("process.paused for_ms={}", time.0),
-            Judged::Quiet => self.ask_owner(),
-            Judged::Silent if self.has_answered() => return Some(Parted::Cut),
-            Judged::Silent => return Some(Parted::Silent),
+        match self.detector.check(now) {
+            OwnerStatus::Alive => {}
+            OwnerStatus::SelfPaused(time) => log::warn!("process.paused for_ms={}", time.0),
+            OwnerStatus::Suspected => self.start_probe(),
+            OwnerStatus::Failed if self.probe_answered() => return Some(LeaveReason::Cut),
+            OwnerStatus::Failed => return Some(LeaveReason::Silent),
         }
-        // Half a tick early is in time: ticks come a little late.
-        let half = Millis(BEAT.0 / 2);
-        if self.sent.is_none_or(|at| now.since(at) + half >= self.hearing.pace()) {
-            self.sent = Some(now);
-            self.send_beat();
+        // Ticks may come late, so a heartbeat may be sent up to half a tick early.
+        let half_interval = Millis(HEARTBEAT_INTERVAL.0 / 2);
+        if self
+            .heartbeat_sent_at
+            .is_none_or(|at| now.since(at) + half_interval >= self.detector.interval())
+        {
+            self.heartbeat_sent_at = Some(now);
+            self.send_heartbeat();
         }
         None
     }
 
-    /// Asks the owner over a new link whether it lives, once while it is quiet: this link may be
-    /// dead without a sign, or the owner late with its heartbeats.
-    fn ask_owner(&mut self) {
-        if self.asked.is_none() {
+    /// Probes a suspected owner over a new link, once until it is heard again. The current link may
+    /// be dead without an error, or the owner may be late with its heartbeats.
+    fn start_probe(&mut self) {
+        if self.probe.is_none() {
             let answered = Arc::new(AtomicBool::new(false));
-            self.asked = Some(answered.clone());
-            let limit = self.hearing.answer_limit();
-            tokio::spawn(ask_whether_it_owns(self.info.clone(), limit, answered));
+            self.probe = Some(answered.clone());
+            let limit = self.detector.probe_timeout();
+            tokio::spawn(probe_owner(self.info.clone(), limit, answered));
         }
     }
 
-    fn has_answered(&self) -> bool {
-        self.asked.as_ref().is_some_and(|answered| answered.load(Ordering::Relaxed))
+    fn probe_answered(&self) -> bool {
+        self.probe.as_ref().is_some_and(|answered| answered.load(Ordering::Relaxed))
     }
 
-    fn send_beat(&self) {
+    fn send_heartbeat(&self) {
         self.outbox.send(Body::MemberBeat(MemberBeat {
             epoch: self.cx.partition.owner.borrow().epoch,
             store_age_ms: self.cx.shared.store_age().0,
@@ -229,18 +248,18 @@
         }));
     }
 
-    /// Takes the owner off the way of callers' requests.
-    fn end(&self) {
+    /// Stops routing callers' requests to the owner.
+    fn close(&self) {
         self.cx.partition.route.send_replace(Route::None);
-        self.cx.partition.probe_store.store(false, Ordering::Relaxed);
-        self.cx.partition.set_config_told(ConfigTold::default());
-        // Whether the store answers decides what callers are told now.
+        self.cx.partition.store_probe_wanted.store(false, Ordering::Relaxed);
+        self.cx.partition.set_config_freshness(ConfigFreshness::default());
+        // From now on the answers to callers depend on whether the store answers this process.
         self.cx.shared.config_wanted.notify_one();
         self.remote.fail_all();
     }
 }
 
-async fn answer_ask(shared: Arc<Shared>, ask: Ask, outbox: Outbox) {
+async fn answer_advice_request(shared: Arc<Shared>, ask: Ask, outbox: Outbox) {
     let answer = request_advice(&shared, &ask.step, &ask.workers).await;
     let answered = answer.is_some();
     let (rows, validity) = answer.unwrap_or((Vec::new(), Millis(0)));
@@ -250,12 +269,12 @@
     outbox.send(Body::Advice(Advice { step: ask.step, answered, workers, tickets, validity_ms }));
 }
 
-/// Asks the process at an owner's address whether it still owns the partition, and notes it in
-/// `answered` if so.
-async fn ask_whether_it_owns(info: OwnerInfo, limit: Millis, answered: Arc<AtomicBool>) {
+/// Asks the process at the owner's address whether it still owns the partition, and sets `answered`
+/// if so.
+async fn probe_owner(info: OwnerInfo, limit: Millis, answered: Arc<AtomicBool>) {
     let Ok(addr) = info.address.parse() else { return };
-    let question = Body::WhoOwns(WhoOwns { partition: info.partition });
-    if link::ask(addr, question, limit.duration()).await == Some(Body::Owner(info)) {
+    let request = Body::WhoOwns(WhoOwns { partition: info.partition });
+    if link::request(addr, request, limit.duration()).await == Some(Body::Owner(info)) {
         answered.store(true, Ordering::Relaxed);
     }
 }
--- a/crates/hollowford-node/src/member_tests.rs
+++ b/crates/hollowford-node/src/member_tests.rs
@@ -1,12 +1,12 @@
 //! A member that loses its link to the owner.
 #![allow(clippy::expect_used)]
 
-use crate::link::{self, Outbox, Reader};
+use crate::link::{self, FrameReader, Outbox};
 use crate::member::follow;
-use crate::partition::Cx;
+use crate::partition::PartitionContext;
 use crate::peers;
 use crate::shared_tests::shared;
-use crate::succession::Parted;
+use crate::takeover::LeaveReason;
 use crate::wire::{Body, HandOver, Heartbeat, Hello, OwnerInfo};
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,22 +14,22 @@
 use tokio::time::timeout;
 
 const EPOCH: u64 = 3;
-/// Longest time for anything that the test waits for. Far above what it takes.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Time limit of each wait, far above what it takes.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-fn cx() -> Cx {
+fn cx() -> PartitionContext {
     let shared = Arc::new(shared());
     shared.set_partitions(1);
     let partition = shared.partitions()[0].clone();
-    Cx { shared, partition }
+    PartitionContext { shared, partition }
 }
 
-/// Accepts a link as the owner, whose opener says who it is.
-async fn accept(listener: &TcpListener) -> (Reader, Outbox) {
-    let accepted = timeout(PATIENCE, listener.accept()).await;
+/// Accepts a link as the owner and reads the member's hello.
+async fn accept(listener: &TcpListener) -> (FrameReader, Outbox) {
+    let accepted = timeout(WAIT_TIMEOUT, listener.accept()).await;
     let (stream, _) = accepted.expect("the member opens a link").expect("a link");
-    let (mut reader, outbox) = link::split(stream).expect("its options");
-    let hello = link::next(&mut reader).await;
+    let (mut reader, outbox) = link::split(stream).expect("socket options");
+    let hello = link::recv(&mut reader).await;
     assert!(matches!(hello, Some(Body::Hello(_))), "{hello:?}");
     (reader, outbox)
 }
@@ -40,9 +40,9 @@
 }
 
 #[tokio::test]
-async fn a_member_whose_link_is_cut_opens_another_before_it_takes_the_owner_for_gone() {
+async fn a_member_whose_link_is_cut_reconnects_before_it_leaves_the_owner() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("its address").to_string();
+    let address = listener.local_addr().expect("a local address").to_string();
     let cx = cx();
     let info = OwnerInfo { epoch: EPOCH, address, boot: 9, ..OwnerInfo::default() };
     let member = tokio::spawn(async move {
@@ -52,65 +52,70 @@
     for _ in 0..3 {
         let (mut reader, outbox) = accept(&listener).await;
         outbox.send(heartbeat(&["a", "b"]));
-        // Its own heartbeat shows that it has joined.
-        let beat = link::next(&mut reader).await;
+        // The member sends heartbeats once it has joined.
+        let beat = link::recv(&mut reader).await;
         assert!(matches!(beat, Some(Body::MemberBeat(_))), "{beat:?}");
     }
-    // This owner has nothing to say any more.
+    // The owner closes the last link without sending a heartbeat.
     drop(accept(&listener).await);
-    let (parted, members) = member.await.expect("its end");
-    assert_eq!(parted, Parted::Gone);
-    assert_eq!(members, ["a", "b"], "the order of takeover is still known");
+    let (reason, members) = member.await.expect("the member task");
+    assert_eq!(reason, LeaveReason::Gone);
+    assert_eq!(members, ["a", "b"], "the takeover order is kept");
 }
 
-/// A process that stops goes on with its last answers for a while after it has given the
-/// partition up.
+/// A stopping process keeps answering for a while after it has released the partition. A member
+/// that then connects must not wait for it to become the owner.
 #[tokio::test]
-async fn a_process_that_has_given_the_partition_up_does_not_pass_for_one_that_is_about_to_own_it() {
+async fn a_process_that_has_released_the_partition_does_not_claim_to_become_its_owner() {
     let cx = cx();
-    let info = cx.as_owner(EPOCH);
-    cx.partition.note_owner_info(&info);
-    cx.partition.give_up(EPOCH);
+    let info = cx.owner_info(EPOCH);
+    cx.partition.record_owner(&info);
+    cx.partition.release(EPOCH);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("its address");
+    let address = listener.local_addr().expect("a local address");
     tokio::spawn(peers::accept(cx.shared.clone(), listener));
     let (mut reader, outbox) = link::connect(address).await.expect("a link");
     outbox.send(Body::Hello(Hello { owner: Some(info.clone()), ..Hello::default() }));
-    let said = timeout(PATIENCE, link::next(&mut reader)).await.expect("an answer");
+    let said = timeout(WAIT_TIMEOUT, link::recv(&mut reader)).await.expect("an answer");
     assert_eq!(said, Some(Body::Owner(info)));
 }
 
-/// A link may go silent without a reset while new ones work: the owner lives all the same.
+/// A link may go silent without a reset while new links work. The owner is alive then and must not
+/// be replaced.
 #[tokio::test]
-async fn an_owner_that_answers_over_a_new_link_is_not_taken_for_silent() {
+async fn an_owner_that_answers_a_probe_over_a_new_link_is_not_silent() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("its address").to_string();
+    let address = listener.local_addr().expect("a local address").to_string();
     let cx = cx();
     let info = OwnerInfo { epoch: EPOCH, address, boot: 9, ..OwnerInfo::default() };
     let followed = info.clone();
     let member = tokio::spawn(async move { follow(&cx, &followed, &mut Vec::new()).await });
     let (_silent, outbox) = accept(&listener).await;
     outbox.send(heartbeat(&["a"]));
-    let (stream, _) = timeout(PATIENCE, listener.accept()).await.expect("a link").expect("a link");
-    let (mut reader, question) = link::split(stream).expect("its options");
-    assert!(matches!(link::next(&mut reader).await, Some(Body::WhoOwns(_))));
-    question.send(Body::Owner(info));
-    // It opens another link to this owner.
+    let (stream, _) =
+        timeout(WAIT_TIMEOUT, listener.accept()).await.expect("the member probes").expect("a link");
+    let (mut reader, probe_outbox) = link::split(stream).expect("socket options");
+    assert!(matches!(link::recv(&mut reader).await, Some(Body::WhoOwns(_))));
+    probe_outbox.send(Body::Owner(info));
+    // The member opens another link to the same owner.
     let (_reader, outbox) = accept(&listener).await;
     outbox.send(Body::HandOver(HandOver { rev: 7 }));
-    assert_eq!(member.await.expect("its end"), Parted::HandedOver { rev: 7 });
+    assert_eq!(member.await.expect("the member task"), LeaveReason::HandedOver { rev: 7 });
 }
 
-/// The pattern: an owner frozen or without power, whose address takes links and says nothing.
+/// The owner is frozen or has lost power: its address accepts links and sends nothing.
 #[tokio::test]
-async fn an_owner_that_does_not_answer_either_is_silent() {
+async fn an_owner_that_does_not_answer_the_probe_is_silent() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("its address").to_string();
+    let address = listener.local_addr().expect("a local address").to_string();
     let cx = cx();
     let info = OwnerInfo { epoch: EPOCH, address, boot: 9, ..OwnerInfo::default() };
     let member = tokio::spawn(async move { follow(&cx, &info, &mut Vec::new()).await });
     let (_silent, outbox) = accept(&listener).await;
     outbox.send(heartbeat(&["a"]));
-    let parted = timeout(PATIENCE, member).await.expect("it is missed").expect("its end");
-    assert_eq!(parted, Parted::Silent);
+    let reason = timeout(WAIT_TIMEOUT, member)
+        .await
+        .expect("the owner is declared failed")
+        .expect("the member task");
+    assert_eq!(reason, LeaveReason::Silent);
 }
--- a/crates/hollowford-node/src/node.rs
+++ b/crates/hollowford-node/src/node.rs
@@ -3,9 +3,9 @@
 use crate::http_endpoints::{CallerEndpoint, MetricsEndpoint, ReadinessEndpoint};
 use crate::inbox::OwnerMsg;
 use crate::metrics::Metrics;
-use crate::partition::{Cx, Route};
+use crate::partition::{PartitionContext, Route};
 use crate::shared::Shared;
-use crate::{announce, ownership, peers, plan, reload, watch};
+use crate::{announce, config_watch, ownership, peers, plan, reload};
 use futures::future::join_all;
 use hollowford_adapter::{
     AdviceClient, CallError, NodeSettings, StoreClient, StoreError, WorkerClient,
@@ -121,8 +121,8 @@
     hup: Signal,
 ) {
     tokio::spawn(peers::accept(shared.clone(), listener));
-    tokio::spawn(watch::read_config(shared.clone()));
-    tokio::spawn(watch::follow_config(shared.clone()));
+    tokio::spawn(config_watch::poll_config(shared.clone()));
+    tokio::spawn(config_watch::follow_config(shared.clone()));
     tokio::spawn(announce::register(shared.clone()));
     tokio::spawn(join_partitions(shared.clone(), workers_per_partition));
     tokio::spawn(reload::follow_settings(shared.clone(), hup));
@@ -132,10 +132,10 @@
 async fn join_partitions(shared: Arc<Shared>, workers_per_partition: NonZeroUsize) {
     shared.set_partitions(plan::learn(&shared, workers_per_partition).await);
     for partition in shared.partitions() {
-        let cx = Cx { shared: shared.clone(), partition: partition.clone() };
+        let cx = PartitionContext { shared: shared.clone(), partition: partition.clone() };
         tokio::spawn(ownership::run(cx));
     }
-    watch::read_unless_told(&shared).await;
+    config_watch::poll_unless_confirmed(&shared).await;
 }
 
 /// Stops serving without interrupting open requests.
--- a/crates/hollowford-node/src/owner.rs
+++ b/crates/hollowford-node/src/owner.rs
@@ -9,15 +9,15 @@
 use crate::batches::Batches;
 use crate::callers::WaitingCalls;
 use crate::delegation::{CallOutcome, Delegation};
-use crate::giving_up::GivingUp;
 use crate::inbox::{OwnerHandle, OwnerMsg};
 use crate::lane::LANE_COUNT;
 use crate::logs::DecisionLog;
 use crate::members::{LinkId, Members};
-use crate::partition::Cx;
-use crate::reach::Reach;
+use crate::partition::PartitionContext;
+use crate::reachability::Reachability;
 use crate::registry;
 use crate::shared::Shared;
+use crate::step_down::StepDown;
 use crate::wire::{MemberBeat, OwnerInfo, Said};
 use crate::writer::BatchOutcome;
 use hollowford_adapter::{Config, NodeSettings, Version, WorkerClient};
@@ -64,7 +64,7 @@
 
 /// Owner of one partition. Holds the engine and everything that executes its orders.
 pub struct Owner {
-    cx: Cx,
+    cx: PartitionContext,
     info: OwnerInfo,
     engine: Engine,
     /// Engine time minus process time, in milliseconds.
@@ -82,7 +82,7 @@
     orders: Vec<Order>,
     decisions: DecisionLog,
     batches: Batches,
-    reachability: Reach,
+    reachability: Reachability,
     /// Version of the configuration that the engine uses.
     config_version: u64,
     settings: watch::Receiver<NodeSettings>,
@@ -90,22 +90,22 @@
     view_updated_at: Millis,
     /// Engine counters at the last update of the gauges.
     reported_stats: Stats,
-    step_down: GivingUp,
+    step_down: StepDown,
     end: Option<OwnerEnd>,
 }
 
 impl Owner {
     /// Creates the owner from the recovered state.
-    pub fn new(cx: Cx, state: RecoveredState, handle: OwnerHandle) -> Owner {
+    pub fn new(cx: PartitionContext, state: RecoveredState, handle: OwnerHandle) -> Owner {
         let RecoveredState { info, lanes, engine, clock_offset } = state;
         let (shared, part) = (&cx.shared, cx.partition.part.clone());
-        let step_down = GivingUp::new(shared.clone(), info.epoch);
+        let step_down = StepDown::new(shared.clone(), info.epoch);
         let workers = shared.workers.with_fence(info.epoch);
         let delegation = Delegation::new(info.epoch, engine_time(shared, clock_offset));
         let batches = Batches::new(shared.clone(), info.clone(), part, lanes, handle.clone());
         Owner {
             members: Members::new(info.clone(), shared.partition_count()),
-            reachability: Reach::new(shared.clone(), info.epoch),
+            reachability: Reachability::new(shared.clone(), info.epoch),
             settings: shared.settings_changed.subscribe(),
             cx,
             info,
@@ -136,7 +136,7 @@
     /// Runs the owner until it loses the partition or gives it up.
     pub async fn run(mut self, mut rx: mpsc::Receiver<OwnerMsg>) -> OwnerEnd {
         tokio::spawn(registry::follow(self.cx.clone(), self.handle.clone()));
-        self.engine.set_seats(&self.members.seats());
+        self.engine.set_seats(&self.members.advice_channels());
         while self.end.is_none() {
             if let Ok(Some(msg)) = timeout(MAX_POLL_INTERVAL, rx.recv()).await {
                 self.handle_message(msg);
@@ -159,7 +159,7 @@
             }
         }
         self.waiters.answer_deposed();
-        self.step_down.tell_ended();
+        self.step_down.report_ended();
         self.end.unwrap_or(OwnerEnd::GaveUp)
     }
 
@@ -185,12 +185,12 @@
                 self.delegation.set_workers(&list);
                 self.engine.list_workers(&list, now);
             }
-            OwnerMsg::WorkerChanges(changes) => self.members.send_workers(&changes),
+            OwnerMsg::WorkerChanges(changes) => self.members.send_worker_changes(&changes),
             OwnerMsg::Joined(link, hello, outbox) => {
                 let (address, age) = (&hello.address, hello.age_ms);
                 log::info!("member.joined link={link} address={address} age_ms={age}");
                 self.members.join(link, hello, outbox, self.cx.shared.clock.now());
-                self.members.greet(link, self.cx.shared.known_config());
+                self.members.send_first_heartbeat(link, self.cx.shared.known_config());
                 self.members_changed = true;
             }
             OwnerMsg::Left(link) => {
@@ -215,15 +215,15 @@
         if round_complete || (self.members_changed && update_due) {
             self.members_changed = false;
             self.members_updated_at = now;
-            self.engine.set_seats(&self.members.seats());
+            self.engine.set_seats(&self.members.advice_channels());
             self.delegation.set_members(self.members.delegates(), now);
         }
     }
 
     fn handle_heartbeat(&mut self, link: LinkId, beat: &MemberBeat) {
         let heard = self.cx.shared.clock.now();
-        self.reachability.member_heard(heard);
-        self.members.beat(link, beat, heard);
+        self.reachability.record_member_heard(heard);
+        self.members.record_heartbeat(link, beat, heard);
         let version = self.cx.shared.config_version();
         if beat.config > version {
             self.cx.shared.config_wanted.notify_one();
@@ -250,7 +250,7 @@
                     by.epoch,
                     by.address
                 );
-                self.cx.partition.note_owner_info(&by);
+                self.cx.partition.record_owner(&by);
                 self.end = Some(OwnerEnd::Deposed);
             }
             BatchOutcome::Refused => self.engine.batch_refused(batch),
@@ -263,7 +263,7 @@
     fn poll_engine(&mut self, inbox_is_empty: bool) {
         let now = self.now();
         self.apply_config(now);
-        self.cx.note_owner();
+        self.cx.record_owner_contact();
         self.update_members(now);
         for outcome in self.delegation.take_overdue(inbox_is_empty, now) {
             self.handle_worker_answer(outcome, now);
@@ -287,7 +287,7 @@
         if let Some(end) = self.reachability.check(&self.batches, &self.members, now) {
             self.end = Some(end);
         }
-        self.step_down.check_size(&self.members);
+        self.step_down.check_for_larger_member(&self.members);
         let end = self.step_down.hand_over_if_due(&self.batches, &self.waiters, &self.members);
         if let Some(end) = end {
             self.end = Some(end);
--- a/crates/hollowford-node/src/owner/joining_tests.rs
+++ b/crates/hollowford-node/src/owner/joining_tests.rs
@@ -9,7 +9,7 @@
 use crate::inbox::{OwnerHandle, OwnerMsg};
 use crate::lane::LANE_COUNT;
 use crate::link::Outbox;
-use crate::partition::Cx;
+use crate::partition::PartitionContext;
 use crate::shared_tests::shared;
 use crate::wire::{Body, Frame, Hello};
 use hollowford_core::Millis;
@@ -23,8 +23,8 @@
     let shared = Arc::new(shared());
     shared.set_partitions(1);
     let partition = shared.partitions()[0].clone();
-    let cx = Cx { shared, partition };
-    let info = cx.as_owner(EPOCH);
+    let cx = PartitionContext { shared, partition };
+    let info = cx.owner_info(EPOCH);
     let engine = Engine::new(EPOCH, cx.shared.settings.bounds, Millis(0));
     let start = RecoveredState { info, lanes: [0; LANE_COUNT], engine, clock_offset: 0 };
     Owner::new(cx, start, OwnerHandle::new().0)
@@ -32,7 +32,7 @@
 
 /// Lets a member join and returns the frames sent to it.
 fn join(owner: &mut Owner, link: u64) -> Receiver<Frame> {
-    let (outbox, rx) = Outbox::to_test();
+    let (outbox, rx) = Outbox::for_test();
     let address = format!("10.0.{}.{}:7000", link / 250, link % 250);
     let hello = Hello { address, cpu_milli: 120, ..Hello::default() };
     owner.handle_message(OwnerMsg::Joined(link, hello, outbox));
--- a/crates/hollowford-node/src/registry_tests.rs
+++ b/crates/hollowford-node/src/registry_tests.rs
@@ -1,10 +1,10 @@
-//! The list of workers while rows of it are another writer's.
+//! The worker list when some of its rows are written by others.
 //!
-//! The pattern: a row lacks a field, has one of another type, names a state or pool that there
-//! isn't, or can't be read at all; it may be a new one, or take the place of a worker's own.
+//! A row lacks a field, has one of the wrong type, names an unknown state or pool, or can't be
+//! decoded at all. It may be new, or replace the row of a worker.
 #![allow(clippy::expect_used)]
 
-use crate::registry::{Registry, Told};
+use crate::registry::{ChangesOutcome, Registry};
 use crate::shared::Shared;
 use crate::shared_tests::shared;
 use crate::wire::ConfigRow;
@@ -14,8 +14,9 @@
 use hollowford_adapter_standin::speech::worker_row;
 use hollowford_core::Millis;
 
-/// What else may stand where a worker's row should be.
-const JUNK: &[&[u8]] = &[b"", b"\xff\xfe", b"null", b"[]", b"{}", b"{\"backend\":\"pool\"", b"7"];
+/// Values that may stand in place of a worker's row.
+const MALFORMED_VALUES: &[&[u8]] =
+    &[b"", b"\xff\xfe", b"null", b"[]", b"{}", b"{\"backend\":\"pool\"", b"7"];
 
 /// A process whose configuration names the pool of [`worker_row`].
 fn process() -> Shared {
@@ -46,28 +47,28 @@
 }
 
 #[test]
-fn a_row_that_cannot_be_read_names_no_worker_and_the_others_hold() {
+fn a_malformed_row_names_no_worker_and_the_others_are_kept() {
     let shared = process();
-    for junk in JUNK {
+    for malformed in MALFORMED_VALUES {
         let mut list = Registry::new(Millis(0));
-        list.replace(&[good("w1"), row("bad", junk), good("w2")]);
+        list.replace(&[good("w1"), row("bad", malformed), good("w2")]);
         assert_eq!(ids(&list, &shared), ["w1", "w2"]);
     }
 }
 
 #[test]
-fn a_row_that_turns_unreadable_takes_its_worker_off_the_list_and_it_may_come_back() {
+fn a_row_that_becomes_malformed_removes_its_worker_until_it_is_valid_again() {
     let shared = process();
-    for junk in JUNK {
+    for malformed in MALFORMED_VALUES {
         let mut list = Registry::new(Millis(0));
         list.replace(&[good("w1"), good("w2")]);
-        assert!(list.apply(&row("w1", junk)));
+        assert!(list.apply_row(&row("w1", malformed)));
         assert_eq!(ids(&list, &shared), ["w2"]);
-        assert!(!list.apply(&row("w1", junk)), "nothing new");
-        assert!(list.apply(&good("w1")));
+        assert!(!list.apply_row(&row("w1", malformed)), "no change");
+        assert!(list.apply_row(&good("w1")));
         assert_eq!(ids(&list, &shared), ["w1", "w2"]);
-        list.replace(&[row("w1", junk), good("w2")]);
-        assert_eq!(ids(&list, &shared), ["w2"], "in a whole reading, too");
+        list.replace(&[row("w1", malformed), good("w2")]);
+        assert_eq!(ids(&list, &shared), ["w2"], "after a full read, too");
     }
 }
 
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn workers_that_are_missing_from_a_whole_reading_are_off_the_list() {
+fn workers_missing_from_a_full_read_are_removed() {
     let shared = process();
     let mut list = Registry::new(Millis(0));
     list.replace(&[good("w1"), good("w2"), good("w3")]);
@@ -96,67 +97,71 @@
     WorkerChanges { from, to, rows }
 }
 
-/// Pattern: 6,000 workers in five partitions. Each owner followed the whole list, and the store
-/// sent each sign of life of each worker five times.
+/// A cell of 6,000 workers in five partitions: when each owner followed the whole list, the store
+/// sent each worker heartbeat five times.
 #[test]
-fn what_one_owner_reads_the_others_need_not_read() {
+fn owners_apply_forwarded_changes_without_reading_the_list() {
     let shared = process();
     let (mut reader, mut other) = (Registry::new(Millis(0)), Registry::new(Millis(0)));
     let first = changes(0, 10, reader.replace(&[good("w1"), good("w2"), row("bad", b"{}")]));
-    assert_eq!(other.take_told(&first), Told::Taken(true));
-    // Signs of life change nothing, and are told without rows.
+    assert_eq!(other.apply_changes(&first), ChangesOutcome::Applied(true));
+    // Worker heartbeats change nothing, and are forwarded without rows.
     let quiet = changes(10, 20, reader.replace(&[good("w1"), good("w2")]));
     assert!(quiet.rows.is_empty());
-    assert_eq!(other.take_told(&quiet), Told::Taken(false));
+    assert_eq!(other.apply_changes(&quiet), ChangesOutcome::Applied(false));
     for rows in [vec![good("w2"), good("w3")], vec![row("w2", b"7"), good("w3")], Vec::new()] {
-        let told = changes(20, 30, reader.replace(&rows));
-        other.take_told(&told);
+        let forwarded = changes(20, 30, reader.replace(&rows));
+        other.apply_changes(&forwarded);
         assert_eq!(ids(&other, &shared), ids(&reader, &shared));
     }
 }
 
 #[test]
-fn changes_that_do_not_follow_on_what_is_known_are_not_taken() {
+fn outdated_changes_and_changes_after_a_gap_are_not_applied() {
     let shared = process();
     let mut list = Registry::new(Millis(0));
     let one = |id| vec![WorkerRow::from(&good(id))];
-    assert_eq!(list.take_told(&changes(0, 10, one("w1"))), Told::Taken(true));
-    assert_eq!(list.take_told(&changes(12, 14, one("w2"))), Told::Gap, "what came between is lost");
-    assert_eq!(list.take_told(&changes(4, 9, one("w3"))), Told::Old);
+    assert_eq!(list.apply_changes(&changes(0, 10, one("w1"))), ChangesOutcome::Applied(true));
+    assert_eq!(
+        list.apply_changes(&changes(12, 14, one("w2"))),
+        ChangesOutcome::Gap,
+        "versions 11 and 12 are missing"
+    );
+    assert_eq!(list.apply_changes(&changes(4, 9, one("w3"))), ChangesOutcome::Outdated);
     assert_eq!(ids(&list, &shared), ["w1"]);
-    assert_eq!(list.take_told(&changes(8, 14, one("w2"))), Told::Taken(true));
+    assert_eq!(list.apply_changes(&changes(8, 14, one("w2"))), ChangesOutcome::Applied(true));
     assert_eq!(ids(&list, &shared), ["w1", "w2"]);
 }
 
-/// Pattern: a cell that starts, or a store that was away: thousands of rows at once would hold up
+/// When a cell starts or the store returns from an outage, thousands of rows at once would block
 /// the link between two owners.
 #[test]
-fn a_whole_list_is_not_told() {
+fn a_whole_list_is_not_forwarded() {
     let rows: Vec<WorkerRow> =
         (0..6_000).map(|i| WorkerRow::from(&good(&format!("w{i}")))).collect();
-    assert!(!changes(0, 10, rows).can_be_told());
-    assert!(changes(0, 10, vec![WorkerRow::from(&good("w1"))]).can_be_told());
+    assert!(!changes(0, 10, rows).can_be_forwarded());
+    assert!(changes(0, 10, vec![WorkerRow::from(&good("w1"))]).can_be_forwarded());
 }
 
-/// Pattern: the store was away, and an entry that is missing afterwards may come back. The owner that
-/// reads for all has long taken it for gone, and won't tell of it again.
+/// After a store outage, an entry that is missing may come back. The reader partition's owner has
+/// already removed it and won't forward the removal again.
 #[test]
-fn an_entry_whose_absence_was_not_believed_is_looked_for_again() {
+fn an_entry_whose_removal_was_not_trusted_is_checked_by_a_full_read() {
     let shared = process();
     let mut list = Registry::new(Millis(0));
     list.replace(&[good("w1"), good("w2")]);
-    list.note_answer(Millis(60_000));
+    list.record_answer(Millis(60_000));
     let missing = Row { removed: true, ..good("w2") };
-    assert!(!list.apply(&missing));
-    assert!(list.is_doubtful());
-    assert_eq!(list.take_told(&changes(0, 10, Vec::new())), Told::Taken(false));
-    assert!(list.is_doubtful(), "only a whole reading tells");
+    assert!(!list.apply_row(&missing));
+    assert!(list.has_unconfirmed_entries());
+    assert_eq!(list.apply_changes(&changes(0, 10, Vec::new())), ChangesOutcome::Applied(false));
+    assert!(list.has_unconfirmed_entries(), "forwarded changes do not confirm it");
     list.replace(&[good("w1")]);
-    assert_eq!(ids(&list, &shared), ["w1", "w2"], "too early");
-    list.note_answer(Millis(61_000));
-    list.note_answer(Millis(62_000));
-    list.note_answer(Millis(62_600));
+    assert_eq!(ids(&list, &shared), ["w1", "w2"], "within the grace period");
+    list.record_answer(Millis(61_000));
+    list.record_answer(Millis(62_000));
+    list.record_answer(Millis(62_600));
     list.replace(&[good("w1")]);
     assert_eq!(ids(&list, &shared), ["w1"]);
-    assert!(!list.is_doubtful());
+    assert!(!list.has_unconfirmed_entries());
 }
--- a/crates/hollowford-node/src/shared.rs
+++ b/crates/hollowford-node/src/shared.rs
@@ -1,7 +1,7 @@
 //! State shared by the tasks of a process.
 
-use crate::homes::{home_of_account, home_of_job};
-use crate::members::ConfigKnown;
+use crate::assignment::{partition_of_account, partition_of_job};
+use crate::members::KnownConfig;
 use crate::metrics::Metrics;
 use crate::partition::Partition;
 use crate::wire::ConfigRow;
@@ -184,8 +184,8 @@
     pub fn partition_of(&self, account: &str, job: JobId) -> Option<&Arc<Partition>> {
         let partitions = self.partition_count();
         let home = match account {
-            NO_ACCOUNT => home_of_job(job, partitions),
-            account => home_of_account(account, partitions),
+            NO_ACCOUNT => partition_of_job(job, partitions),
+            account => partition_of_account(account, partitions),
         };
         self.partitions().get(home as usize)
     }
@@ -193,7 +193,7 @@
     /// Returns the longest time since any partition's owner was reached.
     pub fn max_owner_contact_age(&self) -> Millis {
         let now = self.clock.now();
-        let ages = self.partitions().iter().map(|p| p.owner_age(now));
+        let ages = self.partitions().iter().map(|p| p.owner_contact_age(now));
         ages.max().unwrap_or(Millis::MAX)
     }
 
@@ -214,8 +214,8 @@
     }
 
     /// Returns the version and age of the configuration that this process knows.
-    pub fn known_config(&self) -> ConfigKnown {
-        ConfigKnown { version: self.config_version(), age: self.config_age() }
+    pub fn known_config(&self) -> KnownConfig {
+        KnownConfig { version: self.config_version(), age: self.config_age() }
     }
 
     /// Returns true if another process's heartbeats confirm that the known configuration is
@@ -224,12 +224,12 @@
         let now = self.clock.now();
         self.config_version() > 0
             && self.owned_count() == 0
-            && self.partitions().iter().any(|p| p.config_told().is_enough(now))
+            && self.partitions().iter().any(|p| p.config_freshness().is_current(now))
     }
 
     /// Returns true if this process knows that a newer configuration exists.
     pub fn config_is_behind(&self) -> bool {
-        self.partitions().iter().any(|p| p.config_told().is_behind())
+        self.partitions().iter().any(|p| p.config_freshness().is_behind())
     }
 
     /// Returns true if a configuration row of this version is newer than the last one read.
--- a/crates/hollowford-node/src/suspension_tests.rs
+++ b/crates/hollowford-node/src/suspension_tests.rs
@@ -1,34 +1,35 @@
-//! A machine that is suspended: what a process believed before is as old as others see it.
+//! A machine is suspended: afterwards, what a process knew must count as old as it is to other
+//! processes.
 //!
-//! The clock of these processes is set ahead between two readings, as it is by a suspension. That the system's
-//! own clock counts one can't be shown here.
+//! The tests advance the processes' clock between two readings, as a suspension does. They can't
+//! show that the operating system's clock counts the time of a suspension.
 
 use crate::access::MAX_CONFIG_AGE;
-use crate::config_told::{ConfigTold, Told};
+use crate::config_freshness::{ConfigFreshness, ReportedConfig};
 use crate::shared::Shared;
 use crate::shared_tests::shared;
-use crate::succession::{BEAT, Hearing, Judged};
+use crate::takeover::{FailureDetector, HEARTBEAT_INTERVAL, OwnerStatus};
 use crate::wire::ConfigRow;
 use hollowford_accounts::Credentials;
 use hollowford_adapter::{Config, Limits};
 use hollowford_core::{Clock, Millis};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// How long the machines here are suspended.
-const SUSPENDED: Millis = Millis(8_000);
-/// How long the processes have run before, in milliseconds.
-const RUN_FOR: u64 = 1_000;
+/// How long the machine is suspended.
+const SUSPENSION: Millis = Millis(8_000);
+/// How long the process has run before, in milliseconds.
+const INITIAL_UPTIME_MS: u64 = 1_000;
 
-/// What the duties of a process share, and what suspends its machine.
+/// Returns a process's shared state and a clock shift with which a suspension is simulated.
 fn suspendable() -> (Shared, &'static AtomicU64) {
-    let shift: &AtomicU64 = Box::leak(Box::new(AtomicU64::new(RUN_FOR)));
+    let shift: &AtomicU64 = Box::leak(Box::new(AtomicU64::new(INITIAL_UPTIME_MS)));
     let mut shared = shared();
     shared.clock = Clock::new().shifted(shift);
     (shared, shift)
 }
 
 fn suspend(shift: &AtomicU64) {
-    shift.fetch_add(SUSPENDED.0, Ordering::Relaxed);
+    shift.fetch_add(SUSPENSION.0, Ordering::Relaxed);
 }
 
 fn config() -> Config {
@@ -44,21 +45,21 @@
 }
 
 #[test]
-fn a_member_is_told_of_the_configuration_anew() {
+fn a_member_needs_its_configuration_confirmed_again() {
     let (shared, shift) = suspendable();
     shared.set_partitions(1);
     assert!(shared.apply_config(config(), ConfigRow::default()));
-    let mut told = ConfigTold::default();
-    let beat = Told { version: 1, age: Millis(0), every: BEAT };
-    told.note(beat, 1, shared.clock.now());
-    shared.partitions()[0].set_config_told(told);
+    let mut freshness = ConfigFreshness::default();
+    let reported = ReportedConfig { version: 1, age: Millis(0), interval: HEARTBEAT_INTERVAL };
+    freshness.record(reported, 1, shared.clock.now());
+    shared.partitions()[0].set_config_freshness(freshness);
     assert!(shared.is_config_confirmed());
     suspend(shift);
     assert!(!shared.is_config_confirmed());
 }
 
 #[test]
-fn an_owner_vouches_for_no_key_before_it_has_read_the_configuration_again() {
+fn an_owner_accepts_no_key_before_it_has_read_the_configuration_again() {
     let (shared, shift) = suspendable();
     shared.record_config_read();
     assert!(shared.config_age() < MAX_CONFIG_AGE);
@@ -67,22 +68,22 @@
 }
 
 #[test]
-fn a_process_has_not_just_reached_the_store_and_its_owners() {
+fn contact_with_the_store_and_the_owners_is_outdated() {
     let (shared, shift) = suspendable();
     shared.set_partitions(1);
     shared.record_store_answer();
-    shared.partitions()[0].note_owner(shared.clock.now());
+    shared.partitions()[0].record_owner_contact(shared.clock.now());
     suspend(shift);
-    assert!(shared.store_age() >= SUSPENDED);
-    assert!(shared.max_owner_contact_age() >= SUSPENDED);
+    assert!(shared.store_age() >= SUSPENSION);
+    assert!(shared.max_owner_contact_age() >= SUSPENSION);
 }
 
-// It was paused itself, so it hears anew in place of deposing an owner that lives.
+// The process was paused itself, so it must restart detection instead of deposing a live owner.
 #[test]
-fn a_member_tells_its_own_pause_from_its_owners_silence() {
+fn a_member_distinguishes_its_own_pause_from_a_silent_owner() {
     let (shared, shift) = suspendable();
-    let mut hearing = Hearing::new(shared.clock.now());
+    let mut detector = FailureDetector::new(shared.clock.now());
     suspend(shift);
-    let judged = hearing.judge(shared.clock.now());
-    assert!(matches!(judged, Judged::Paused(time) if time >= SUSPENDED), "{judged:?}");
+    let status = detector.check(shared.clock.now());
+    assert!(matches!(status, OwnerStatus::SelfPaused(time) if time >= SUSPENSION), "{status:?}");
 }
--- a/crates/hollowford-node/src/writer.rs
+++ b/crates/hollowford-node/src/writer.rs
@@ -1,7 +1,7 @@
 //! Writes each batch to the store exactly once.
 
 use crate::lane::lane_key;
-use crate::owner_row::{TABLE, encode_owner, read_owner};
+use crate::owner_row::{SYSTEM_TABLE, decode_owner, encode_owner};
 use crate::retries::Retries;
 use crate::shared::Shared;
 use crate::wire::OwnerInfo;
@@ -128,7 +128,7 @@
 /// Sends one attempt to write the batch.
 async fn send_attempt(shared: &Shared, batch_write: &BatchWrite, tx: &Transaction) -> CallResult {
     let started_at = shared.clock.now();
-    let answer = shared.store.transact(TABLE, &batch_write.part, tx, ATTEMPT_TIMEOUT).await;
+    let answer = shared.store.transact(SYSTEM_TABLE, &batch_write.part, tx, ATTEMPT_TIMEOUT).await;
     CallResult::Attempt(answer, shared.clock.now().since(started_at))
 }
 
@@ -136,7 +136,7 @@
 async fn read_lane_row(shared: &Shared, batch_write: &BatchWrite) -> CallResult {
     let started_at = shared.clock.now();
     let key = lane_key(batch_write.lane);
-    let answer = shared.store.read(TABLE, &batch_write.part, &key, READ_TIMEOUT).await;
+    let answer = shared.store.read(SYSTEM_TABLE, &batch_write.part, &key, READ_TIMEOUT).await;
     CallResult::LaneRead(answer.map(|(row, _)| row), shared.clock.now().since(started_at))
 }
 
@@ -157,7 +157,7 @@
 fn outcome_from_row(shared: &Shared, batch_write: &BatchWrite, rows: &[Row]) -> BatchOutcome {
     let (number, key) = (batch_write.batch.number, lane_key(batch_write.lane));
     let row = rows.iter().find(|r| r.key == key);
-    let Some((found, version)) = row.and_then(|r| Some((read_owner(r)?, r.version))) else {
+    let Some((found, version)) = row.and_then(|r| Some((decode_owner(r)?, r.version))) else {
         log::error!("batch.conflict batch={number} row={key} missing");
         return BatchOutcome::Inconsistent;
     };
--- a/crates/hollowford/src/command/node.rs
+++ b/crates/hollowford/src/command/node.rs
@@ -4,7 +4,7 @@
 use crate::client::finish;
 use crate::error::CliError;
 use hollowford_adapter::NodeSettings;
-use hollowford_node::{NodeOptions, WORKERS_EACH};
+use hollowford_node::{DEFAULT_WORKERS_PER_PARTITION, NodeOptions};
 use pico_args::Arguments;
 use std::num::NonZeroUsize;
 
@@ -46,7 +46,7 @@
         .map_err(CliError::io("runtime"))?;
     let options = NodeOptions {
         metrics_port: metrics,
-        workers_per_partition: workers_each.unwrap_or(WORKERS_EACH),
+        workers_per_partition: workers_each.unwrap_or(DEFAULT_WORKERS_PER_PARTITION),
     };
     let run = hollowford_node::run(settings, options);
     runtime.block_on(run).map_err(|e| CliError::Run(e.to_string()))
