--- a/crates/hollowford-jobs/benches/passes.rs
+++ b/crates/hollowford-jobs/benches/passes.rs
@@ -7,7 +7,7 @@
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use common::{Cell, LARGE, QUICK, job, queue, step};
+use common::{LARGE, QUICK, TestCell, job, queue, step};
 use hollowford_core::Millis;
 use hollowford_jobs::{AdviceCost, Seat, StepSpec};
 use std::time::{Duration, Instant};
@@ -45,7 +45,7 @@
         let took = began.elapsed();
         total += took;
         longest = longest.max(took);
-        cell.carry_out_all(orders);
+        cell.execute_all(orders);
     }
     let mean = total / POLLS;
     let starts = cell.engine.stats().started - started;
@@ -53,8 +53,8 @@
 }
 
 /// A cell whose workers are full for a second or so to come.
-fn full_cell() -> Cell {
-    let mut cell = Cell::new(WORKERS);
+fn full_cell() -> TestCell {
+    let mut cell = TestCell::new(WORKERS);
     let quick = AdviceCost { decide_ms: 7.2, per_worker_ms: 0.1, validity: Millis(2_000) };
     let large = AdviceCost { decide_ms: 540.0, per_worker_ms: 7.8, validity: Millis(2_000) };
     cell.set_queues(vec![queue(QUICK, 0, Some(quick)), queue(LARGE, 1, Some(large))]);
@@ -67,7 +67,7 @@
     cell
 }
 
-fn hand_in(cell: &mut Cell, id: u64, shape: usize) {
+fn hand_in(cell: &mut TestCell, id: u64, shape: usize) {
     let (queue, count, cpu) = SHAPES[shape % SHAPES.len()];
     let gang = queue == LARGE;
     let spec = StepSpec { gang, ..step(count, cpu, 1_000) };
--- a/crates/hollowford-jobs/tests/accounts.rs
+++ b/crates/hollowford-jobs/tests/accounts.rs
@@ -26,19 +26,19 @@
 }
 
 /// A cell in which both accounts may hold so many cores.
-fn cell(workers: usize, cores: u64) -> Cell {
-    let mut cell = Cell::new(workers);
+fn cell(workers: usize, cores: u64) -> TestCell {
+    let mut cell = TestCell::new(workers);
     cell.engine.set_accounts(&[account(BUSY, cores), account(CALM, cores)]);
     cell
 }
 
 /// Returns how many thousandths of a core each account's tasks take on the workers.
-fn held(cell: &Cell) -> BTreeMap<String, u64> {
+fn held(cell: &TestCell) -> BTreeMap<String, u64> {
     let mut out = BTreeMap::new();
     for w in cell.workers.iter().filter(|w| w.up) {
         for task in w.running.keys() {
             let spec = &cell.specs[&task.step.job].steps[task.step.step as usize];
-            let account = cell.account_of[&task.step.job].clone();
+            let account = cell.job_accounts[&task.step.job].clone();
             *out.entry(account).or_default() += u64::from(spec.room().cpu_milli);
         }
     }
@@ -47,7 +47,7 @@
 
 /// Lets time pass, and panics when an account holds more than `cores`. Returns the most that the
 /// busy one held.
-fn run_judged(cell: &mut Cell, ms: u64, cores: u64) -> u64 {
+fn run_judged(cell: &mut TestCell, ms: u64, cores: u64) -> u64 {
     let mut most = 0;
     for _ in 0..ms / 5 {
         cell.run(5);
@@ -86,7 +86,7 @@
     let mut cell = cell(8, 40);
     cell.submit_for(BUSY, 1, QUICK, job(vec![step(20, 2_000, 60_000)]));
     cell.run(200);
-    cell.workers.iter_mut().for_each(|w| w.stop_takes = 300);
+    cell.workers.iter_mut().for_each(|w| w.stop_delay_ms = 300);
     cell.engine.cancel(JobId(1), cell.now);
     cell.submit_for(BUSY, 2, QUICK, job(vec![step(20, 2_000, 60_000)]));
     run_judged(&mut cell, 2_000, 40);
@@ -194,8 +194,8 @@
 }
 
 /// Makes a cell in which each account is owed so many jobs a second, and has no quota.
-fn owing_cell(workers: usize, owed_per_s: u32) -> Cell {
-    let mut cell = Cell::new(workers);
+fn owing_cell(workers: usize, owed_per_s: u32) -> TestCell {
+    let mut cell = TestCell::new(workers);
     let account = |name| Account { owed_per_s, ..account(name, 0) };
     cell.engine.set_accounts(&[account(BUSY), account(CALM)]);
     cell
--- a/crates/hollowford-jobs/tests/advice.rs
+++ b/crates/hollowford-jobs/tests/advice.rs
@@ -17,10 +17,10 @@
 
 #[test]
 fn a_step_runs_only_where_advice_lets_it() {
-    let mut cell = Cell::new(3);
+    let mut cell = TestCell::new(3);
     cell.set_queues(advised(5.0, 0.1));
-    cell.barred.insert("w0".into());
-    cell.barred.insert("w2".into());
+    cell.excluded_workers.insert("w0".into());
+    cell.excluded_workers.insert("w2".into());
     cell.submit(1, QUICK, job(vec![step(8, 1_000, 200)]));
     cell.run(1_000);
     assert_eq!(cell.state(1), Some(JobState::Completed));
@@ -30,11 +30,11 @@
 #[test]
 fn an_instance_that_never_answers_is_not_asked_again_and_again() {
     for decide_ms in [5.0, 50.0, 500.0] {
-        let mut cell = Cell::new(3);
+        let mut cell = TestCell::new(3);
         cell.set_queues(advised(decide_ms, 0.1));
         cell.engine.set_seats(&seats(&["", "a", "b", "gone"]));
-        cell.dead_seats.insert("gone".to_owned());
-        cell.dead_seats.insert("b".to_owned());
+        cell.unresponsive_instances.insert("gone".to_owned());
+        cell.unresponsive_instances.insert("b".to_owned());
         cell.submit(1, LARGE, job(vec![step(2, 1_000, 100)]));
         cell.run(8_000);
         assert_eq!(cell.state(1), Some(JobState::Completed), "call of {decide_ms} ms");
@@ -43,10 +43,10 @@
 
 #[test]
 fn a_call_of_an_instance_that_left_is_made_by_another() {
-    let mut cell = Cell::new(3);
+    let mut cell = TestCell::new(3);
     cell.set_queues(advised(50.0, 0.1));
     cell.engine.set_seats(&seats(&["", "gone"]));
-    cell.dead_seats.insert("gone".to_owned());
+    cell.unresponsive_instances.insert("gone".to_owned());
     cell.submit(1, LARGE, job(vec![step(2, 1_000, 100)]));
     cell.run(50);
     cell.engine.set_seats(&seats(&[""]));
@@ -55,18 +55,18 @@
 }
 
 /// Returns how many workers each call for advice has named.
-fn named(cell: &Cell) -> Vec<usize> {
+fn named(cell: &TestCell) -> Vec<usize> {
     let count = |order: &Order| match order {
         Order::Advice { workers, .. } => Some(workers.len()),
         Order::Worker { .. } => None,
     };
-    cell.log.iter().filter_map(count).collect()
+    cell.executed_orders.iter().filter_map(count).collect()
 }
 
 #[test]
 fn the_first_call_names_full_workers_too_where_that_costs_little() {
     for (per_worker_ms, first) in [(10.0, 3), (100.0, 1)] {
-        let mut cell = Cell::new(3);
+        let mut cell = TestCell::new(3);
         cell.submit(1, LARGE, job(vec![step(2, 16_000, 60_000)]));
         cell.run(50);
         cell.set_queues(advised(100.0, per_worker_ms));
@@ -78,14 +78,14 @@
 
 #[test]
 fn a_large_task_keeps_the_room_for_which_its_ticket_is_renewed() {
-    let mut cell = Cell::new(2);
+    let mut cell = TestCell::new(2);
     let slow = AdviceCost { decide_ms: 400.0, per_worker_ms: 1.0, validity: Millis(300) };
     cell.set_queues(vec![queue(QUICK, 0, None), queue(LARGE, 1, Some(slow))]);
-    cell.barred.insert("w1".into());
+    cell.excluded_workers.insert("w1".into());
     cell.submit(1, QUICK, job(vec![step(1, 16_000, 1_000)]));
     cell.run(50);
     let on_first = !cell.workers[0].running.is_empty();
-    cell.barred = [if on_first { "w1" } else { "w0" }.into()].into();
+    cell.excluded_workers = [if on_first { "w1" } else { "w0" }.into()].into();
     // It may run on the full worker only, and its ticket lapses before that has room.
     cell.submit(2, LARGE, job(vec![step(1, 12_000, 500)]));
     for i in 10..100 {
--- a/crates/hollowford-jobs/tests/answers.rs
+++ b/crates/hollowford-jobs/tests/answers.rs
@@ -12,29 +12,29 @@
 const LONG_WAIT: Millis = Millis(1_000);
 
 /// Returns the wait of each look in the log, and empties it.
-fn waits(cell: &mut Cell) -> Vec<Millis> {
+fn waits(cell: &mut TestCell) -> Vec<Millis> {
     let wait = |order: Order| match order {
         Order::Worker { call: WorkerCall::Look { wait, .. }, .. } => Some(wait),
         _ => None,
     };
-    std::mem::take(&mut cell.log).into_iter().filter_map(wait).collect()
+    std::mem::take(&mut cell.executed_orders).into_iter().filter_map(wait).collect()
 }
 
 /// Returns the time limit of the newest start in the log.
-fn start_limit(cell: &Cell) -> Millis {
+fn start_limit(cell: &TestCell) -> Millis {
     let limit = |order: &Order| match order {
         Order::Worker { call: WorkerCall::Start { .. }, limit } => Some(*limit),
         _ => None,
     };
-    cell.log.iter().rev().find_map(limit).expect("a start")
+    cell.executed_orders.iter().rev().find_map(limit).expect("a start")
 }
 
 /// Tells the engine of one start that was answered after `took`.
-fn start_once(cell: &mut Cell, id: u64, took: u64) {
+fn start_once(cell: &mut TestCell, id: u64, took: u64) {
     cell.submit(id, QUICK, job(vec![step(1, 1_000, 60_000)]));
-    cell.write();
+    cell.write_batches();
     for order in cell.poll() {
-        cell.log.push(order.clone());
+        cell.executed_orders.push(order.clone());
         if let Order::Worker { call: WorkerCall::Start { worker, task, run, .. }, .. } = order {
             let sent = cell.now;
             cell.now = cell.now + Millis(took);
@@ -48,7 +48,7 @@
 
 #[test]
 fn the_time_limit_of_an_order_follows_the_answers_of_its_worker() {
-    let mut cell = Cell::new(1);
+    let mut cell = TestCell::new(1);
     for id in 0..10 {
         start_once(&mut cell, id, 4);
     }
@@ -63,28 +63,28 @@
 
 #[test]
 fn a_worker_that_is_silent_is_called_ever_more_rarely() {
-    let mut cell = Cell::new(1);
+    let mut cell = TestCell::new(1);
     cell.run(500);
     cell.workers[0].reachable = false;
     cell.run(1_000);
-    cell.log.clear();
+    cell.executed_orders.clear();
     // The cell answers for a silent worker at once, so that only the pauses count.
     cell.run(1_000);
-    let looks = cell.log.len();
+    let looks = cell.executed_orders.len();
     assert!((2..=5).contains(&looks), "{looks} looks in a second");
 }
 
 #[test]
 fn looks_wait_for_less_while_answers_are_lost_and_for_long_again_afterwards() {
-    let mut cell = Cell::new(4);
+    let mut cell = TestCell::new(4);
     cell.run(200);
     let calm = waits(&mut cell);
     assert!(calm.contains(&LONG_WAIT), "{calm:?}");
     // Half of the time the answers of one worker are lost; the next ones come.
     for turn in 0..400 {
-        cell.workers[turn % 4].mute = true;
+        cell.workers[turn % 4].drops_answers = true;
         cell.run(5);
-        cell.workers[turn % 4].mute = false;
+        cell.workers[turn % 4].drops_answers = false;
         cell.run(5);
     }
     waits(&mut cell);
@@ -100,12 +100,12 @@
 
 #[test]
 fn lost_answers_make_no_task_run_twice() {
-    let mut cell = Cell::new(4);
+    let mut cell = TestCell::new(4);
     for id in 0..40 {
         cell.submit(id, QUICK, job(vec![step(2, 1_000, 100)]));
-        cell.workers[id as usize % 4].mute = true;
+        cell.workers[id as usize % 4].drops_answers = true;
         cell.run(15);
-        cell.workers[id as usize % 4].mute = false;
+        cell.workers[id as usize % 4].drops_answers = false;
         cell.run(15);
     }
     cell.run(1_000);
@@ -115,23 +115,23 @@
 }
 
 /// Has the worker's lists answered now, whatever is lost on the way.
-fn lists_of(cell: &mut Cell, at: usize) -> LookAnswer {
+fn lists_of(cell: &mut TestCell, at: usize) -> LookAnswer {
     let w = &mut cell.workers[at];
-    let mute = std::mem::replace(&mut w.mute, false);
+    let drops_answers = std::mem::replace(&mut w.drops_answers, false);
     let answer = w.look(None, 0, 1);
-    w.mute = mute;
+    w.drops_answers = drops_answers;
     answer
 }
 
 #[test]
 fn an_end_that_is_listed_late_is_taken_in_and_its_task_runs_once() {
-    let mut cell = Cell::new(2);
+    let mut cell = TestCell::new(2);
     cell.submit(1, QUICK, job(vec![step(1, 1_000, 300)]));
     cell.run(50);
     let at = usize::from(cell.workers[0].running.is_empty());
     let id = cell.workers[at].life();
     // From here on its answers come after their time limits.
-    cell.workers[at].mute = true;
+    cell.workers[at].drops_answers = true;
     cell.run(1_000);
     let late = lists_of(&mut cell, at);
     let sent = cell.now;
@@ -144,7 +144,7 @@
 
 #[test]
 fn late_lists_that_are_older_than_what_is_known_change_nothing() {
-    let mut cell = Cell::new(1);
+    let mut cell = TestCell::new(1);
     cell.submit(1, QUICK, job(vec![step(1, 1_000, 300)]));
     cell.run(50);
     let old = lists_of(&mut cell, 0);
@@ -158,11 +158,11 @@
 
 #[test]
 fn a_start_that_is_confirmed_late_counts_and_a_late_refusal_does_not() {
-    let mut cell = Cell::new(1);
+    let mut cell = TestCell::new(1);
     cell.submit(1, QUICK, job(vec![step(1, 1_000, 2_000)]));
-    cell.workers[0].mute = true;
+    cell.workers[0].drops_answers = true;
     cell.run(60);
-    cell.workers[0].mute = false;
+    cell.workers[0].drops_answers = false;
     let (id, task) = (cell.workers[0].life(), StepKey { job: JobId(1), round: 0, step: 0 }.task(0));
     let clock = cell.workers[0].clock();
     let (sent, now) = (cell.now, cell.now);
@@ -180,16 +180,16 @@
 // How it came about: their starts had been ordered, at workers that were down.
 #[test]
 fn a_job_whose_start_got_no_answer_waits() {
-    let mut cell = Cell::new(1);
+    let mut cell = TestCell::new(1);
     cell.workers[0].crash();
     cell.submit(1, QUICK, job(vec![step(1, 1_000, 2_000)]));
-    cell.turn();
-    cell.turn();
+    cell.poll_and_execute();
+    cell.poll_and_execute();
     assert_eq!(cell.engine.stats().started, 1, "its start was ordered");
     assert_eq!(cell.engine.waiting(QUICK), 1);
     assert_eq!(cell.state(1), Some(JobState::Queued));
     cell.workers[0].restart("next");
-    cell.list();
+    cell.update_worker_list();
     cell.run(500);
     assert_eq!(cell.engine.waiting(QUICK), 0);
     assert_eq!(cell.state(1), Some(JobState::Running));
--- a/crates/hollowford-jobs/tests/attempts.rs
+++ b/crates/hollowford-jobs/tests/attempts.rs
@@ -5,24 +5,24 @@
 use common::*;
 use hollowford_jobs::*;
 
-const POISON: JobId = JobId(1);
+const FAILING_JOB: JobId = JobId(1);
 
 /// A cell in which the job fails wherever it runs.
-fn poisoned(workers: usize) -> Cell {
-    let mut cell = Cell::new(workers);
+fn cell_with_failing_job(workers: usize) -> TestCell {
+    let mut cell = TestCell::new(workers);
     for w in &mut cell.workers {
-        w.poison.insert(POISON);
+        w.failing_jobs.insert(FAILING_JOB);
     }
     cell
 }
 
-fn starts(cell: &Cell) -> u64 {
+fn starts(cell: &TestCell) -> u64 {
     cell.workers.iter().map(|w| w.starts).sum()
 }
 
 #[test]
 fn a_job_fails_after_its_attempts() {
-    let mut cell = poisoned(4);
+    let mut cell = cell_with_failing_job(4);
     cell.submit(1, QUICK, job(vec![step(1, 1_000, 100)]));
     cell.run(2_000);
     assert_eq!(cell.state(1), Some(JobState::Failed));
@@ -31,7 +31,7 @@
 
 #[test]
 fn attempts_that_were_not_written_down_count_after_a_takeover() {
-    let mut cell = poisoned(4);
+    let mut cell = cell_with_failing_job(4);
     cell.submit(1, QUICK, job(vec![step(1, 1_000, 100)]));
     cell.run(20);
     cell.store_up = false;
@@ -47,7 +47,7 @@
 
 #[test]
 fn an_attempt_that_is_told_again_counts_once() {
-    let mut cell = poisoned(4);
+    let mut cell = cell_with_failing_job(4);
     cell.submit(1, QUICK, job(vec![step(1, 1_000, 100)]));
     while starts(&cell) < 2 {
         cell.run(5);
@@ -64,7 +64,7 @@
 
 #[test]
 fn a_gang_counts_one_attempt_for_all_its_members() {
-    let mut cell = poisoned(4);
+    let mut cell = cell_with_failing_job(4);
     let gang = RawStep { gang: true, ..step(4, 4_000, 100) };
     cell.submit(1, LARGE, job(vec![gang]));
     cell.run(3_000);
@@ -74,40 +74,40 @@
 
 #[test]
 fn a_task_returns_to_the_worker_that_has_failed_it_while_no_other_has_room() {
-    let mut cell = Cell::new(2);
+    let mut cell = TestCell::new(2);
     cell.submit(1, QUICK, job(vec![step(1, 16_000, 60_000)]));
     cell.run(50);
     let free = cell.workers.iter().position(|w| w.running.is_empty()).expect("a free worker");
-    cell.workers[free].failing = true;
+    cell.workers[free].fails_all = true;
     cell.submit(2, QUICK, job(vec![step(2, 1_000, 100)]));
     cell.run(150);
-    cell.workers[free].failing = false;
+    cell.workers[free].fails_all = false;
     cell.run(4_000);
     assert_eq!(cell.state(2), Some(JobState::Completed));
 }
 
 #[test]
 fn a_task_that_has_failed_keeps_no_other_task_of_its_step_back() {
-    let mut cell = Cell::new(2);
+    let mut cell = TestCell::new(2);
     cell.submit(1, QUICK, job(vec![step(1, 16_000, 60_000)]));
     cell.run(50);
     let free = cell.workers.iter().position(|w| w.running.is_empty()).expect("a free worker");
-    cell.workers[free].failing = true;
+    cell.workers[free].fails_all = true;
     // Two of the tasks fit at a time: the first ones fail, and the others are still to come.
     cell.submit(2, QUICK, job(vec![step(4, 8_000, 100)]));
     cell.run(115);
-    cell.workers[free].failing = false;
+    cell.workers[free].fails_all = false;
     cell.run(300);
     assert_eq!(cell.engine.stats().done, 2);
 }
 
 #[test]
 fn a_task_may_return_to_the_only_worker_that_has_failed_it() {
-    let mut cell = Cell::new(1);
-    cell.workers[0].failing = true;
+    let mut cell = TestCell::new(1);
+    cell.workers[0].fails_all = true;
     cell.submit(1, QUICK, job(vec![step(1, 1_000, 100)]));
     cell.run(300);
-    cell.workers[0].failing = false;
+    cell.workers[0].fails_all = false;
     cell.run(4_000);
     assert_eq!(cell.state(1), Some(JobState::Completed));
 }
@@ -117,7 +117,7 @@
 /// how many the queue allows (ortaksahne hunt-d986-15).
 #[test]
 fn attempts_that_are_told_before_the_queues_are_known_count() {
-    let mut cell = poisoned(4);
+    let mut cell = cell_with_failing_job(4);
     cell.submit(1, QUICK, job(vec![step(1, 1_000, 100)]));
     cell.run(20);
     cell.store_up = false;
--- a/crates/hollowford-jobs/tests/backlog.rs
+++ b/crates/hollowford-jobs/tests/backlog.rs
@@ -6,11 +6,11 @@
 use hollowford_jobs::*;
 
 /// A cell of two workers with one task on each, and `waiting` jobs that need a whole worker.
-fn backlog(waiting: u64) -> Cell {
-    let mut cell = Cell::new(2);
+fn backlog(waiting: u64) -> TestCell {
+    let mut cell = TestCell::new(2);
     cell.submit(1, QUICK, job(vec![step(2, 9_000, 60_000)]));
     cell.run(50);
-    assert_eq!(cell.running(), 2);
+    assert_eq!(cell.running_tasks(), 2);
     for id in 0..waiting {
         cell.submit(100 + id, QUICK, job(vec![step(1, 16_000, 100)]));
     }
@@ -18,7 +18,7 @@
     cell
 }
 
-fn tried(cell: &Cell) -> u64 {
+fn tried(cell: &TestCell) -> u64 {
     cell.engine.stats().tried
 }
 
@@ -60,7 +60,7 @@
 
 #[test]
 fn a_large_task_is_not_passed_over_for_ever_by_small_ones() {
-    let mut cell = Cell::new(1);
+    let mut cell = TestCell::new(1);
     for i in 0..100 {
         // More small ones come than fit, and each end leaves room for one of them only.
         cell.submit(i, LARGE, job(vec![step(1, 4_000, 100)]));
@@ -74,7 +74,7 @@
 
 #[test]
 fn small_tasks_that_end_in_time_go_before_a_large_one() {
-    let mut cell = Cell::new(1);
+    let mut cell = TestCell::new(1);
     cell.submit(1, LARGE, job(vec![step(1, 8_000, 1_000)]));
     cell.run(50);
     cell.submit(2, LARGE, job(vec![step(1, 12_000, 100)]));
--- a/crates/hollowford-jobs/tests/batches.rs
+++ b/crates/hollowford-jobs/tests/batches.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn a_refused_batch_is_written_again_whole() {
-    let mut cell = Cell::new(1);
+    let mut cell = TestCell::new(1);
     cell.submit(1, LARGE, job(vec![step(2, 1_000, 100), step(1, 1_000, 60_000)]));
     cell.run(50);
     cell.store_up = false;
@@ -29,7 +29,7 @@
 
 #[test]
 fn an_end_whose_batch_is_refused_is_shown_later() {
-    let mut cell = Cell::new(1);
+    let mut cell = TestCell::new(1);
     cell.submit(1, LARGE, job(vec![step(1, 1_000, 100)]));
     cell.run(50);
     cell.store_up = false;
@@ -44,7 +44,7 @@
 
 #[test]
 fn a_job_that_is_taken_back_never_runs_and_may_come_again() {
-    let mut cell = Cell::new(1);
+    let mut cell = TestCell::new(1);
     cell.run(50);
     cell.store_up = false;
     cell.submit(1, LARGE, job(vec![step(1, 1_000, 100)]));
@@ -68,28 +68,28 @@
     i.wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
 
-fn kept(cell: &Cell, ids: impl Iterator<Item = u64>) -> Vec<bool> {
+fn kept(cell: &TestCell, ids: impl Iterator<Item = u64>) -> Vec<bool> {
     ids.map(|i| cell.engine.is_kept(JobId(scattered(i))) == Some(true)).collect()
 }
 
 #[test]
 fn what_came_first_is_written_first_and_a_batch_takes_more_than_eighty_jobs() {
-    let mut cell = Cell::new(1);
+    let mut cell = TestCell::new(1);
     for i in 0..200 {
         cell.submit(scattered(i), LARGE, job(vec![step(1, 16_000, 60_000)]));
     }
-    cell.write();
+    cell.write_batches();
     let first = kept(&cell, 0..200);
     let written = first.iter().filter(|&&k| k).count();
     assert!(written > 80, "{written} in the first batch");
     assert!(first[..written].iter().all(|&k| k), "in the order of arrival");
-    cell.write();
+    cell.write_batches();
     assert!(kept(&cell, 0..2 * written as u64).iter().all(|&k| k));
 }
 
 #[test]
 fn progress_is_written_beside_acceptances_that_never_end() {
-    let mut cell = Cell::new(8);
+    let mut cell = TestCell::new(8);
     // Each of these has a task that ends and one that goes on.
     for i in 0..20 {
         let spec = job(vec![step(1, 1_000, 50), step(1, 1_000, 60_000)]);
@@ -105,7 +105,7 @@
             let id = scattered(1_000 + round * 100 + i);
             cell.submit(id, LARGE, job(vec![step(1, 16_000, 60_000)]));
         }
-        cell.write();
+        cell.write_batches();
     }
     let progress = cell.rows.keys().filter(|k| k.starts_with("p/")).count();
     assert_eq!(progress, 20);
@@ -113,7 +113,7 @@
 
 #[test]
 fn one_job_is_taken_back_unless_it_was_sent() {
-    let mut cell = Cell::new(1);
+    let mut cell = TestCell::new(1);
     cell.run(50);
     cell.store_up = false;
     cell.submit(1, LARGE, job(vec![step(1, 1_000, 100)]));
@@ -130,7 +130,7 @@
 
 #[test]
 fn the_batches_ahead_grow_with_what_waits_to_be_written() {
-    let mut cell = Cell::new(1);
+    let mut cell = TestCell::new(1);
     cell.run(50);
     cell.store_up = false;
     assert_eq!(cell.engine.batches_ahead(), 1);
@@ -148,22 +148,22 @@
 const JOBS: u64 = 60;
 
 /// Does one random thing to the batches under way, or to the owner.
-fn disturb(cell: &mut Cell, random: &mut fastrand::Rng) {
-    let under_way = cell.pending.len();
+fn disturb(cell: &mut TestCell, random: &mut fastrand::Rng) {
+    let under_way = cell.pending_batches.len();
     match random.u32(0..12) {
         0..=3 if under_way < SIDE_BY_SIDE => {
-            cell.cut();
+            cell.add_pending_batch();
         }
-        4..=8 if under_way > 0 => cell.write_one(random.usize(..under_way)),
+        4..=8 if under_way > 0 => cell.write_batch(random.usize(..under_way)),
         9 if under_way > 0 => {
-            let batch = cell.pending.swap_remove(random.usize(..under_way));
+            let batch = cell.pending_batches.swap_remove(random.usize(..under_way));
             cell.engine.batch_refused(batch.number);
         }
         10 if random.u32(0..4) == 0 => {
             // Of the batches under way some were made, in any order, and nobody was told.
             for _ in 0..random.usize(..=under_way) {
-                let left = cell.pending.len();
-                cell.write_unheard(random.usize(..left));
+                let left = cell.pending_batches.len();
+                cell.write_batch_unconfirmed(random.usize(..left));
             }
             cell.take_over();
         }
@@ -177,7 +177,7 @@
 fn batches_made_in_any_order_lose_nothing_and_start_nothing_twice() {
     for seed in 1..=40 {
         let mut random = fastrand::Rng::with_seed(seed);
-        let mut cell = Cell::new(4);
+        let mut cell = TestCell::new(4);
         cell.store_up = false;
         let mut kept = std::collections::BTreeSet::new();
         for turn in 0..2_000 {
@@ -204,15 +204,15 @@
 
 #[test]
 fn rows_of_old_jobs_are_removed_though_the_batch_that_should_is_refused() {
-    let mut cell = Cell::new(1);
+    let mut cell = TestCell::new(1);
     cell.submit(1, LARGE, job(vec![step(1, 1_000, 20)]));
     cell.run(200);
     assert_eq!(cell.state(1), Some(JobState::Completed));
     cell.now = cell.now + BOUNDS.keep_ended + BOUNDS.keep_ended;
-    assert!(cell.cut());
+    assert!(cell.add_pending_batch());
     cell.refuse_pending();
     assert!(cell.rows.keys().any(|k| k.starts_with("j/")));
-    cell.write();
+    cell.write_batches();
     assert!(!cell.rows.keys().any(|k| k.starts_with("j/")), "{:?}", cell.rows.keys());
 }
 
@@ -224,7 +224,7 @@
 /// refused ones were to remove came on top of each other, until no transaction could hold it.
 #[test]
 fn a_batch_after_many_refused_ones_still_fits_a_transaction() {
-    let mut cell = Cell::new(8);
+    let mut cell = TestCell::new(8);
     for i in 0..200 {
         cell.submit(scattered(i), LARGE, job(vec![step(1, 100, 20)]));
     }
@@ -235,13 +235,13 @@
         cell.submit(scattered(i), LARGE, job(vec![step(1, 16_000, 60_000)]));
     }
     for _ in 0..20 {
-        assert!(cell.cut());
-        let entries = cell.pending[0].rows.len();
+        assert!(cell.add_pending_batch());
+        let entries = cell.pending_batches[0].rows.len();
         assert!(entries <= MOST_ENTRIES, "{entries}");
         cell.refuse_pending();
     }
     for _ in 0..60 {
-        cell.write();
+        cell.write_batches();
     }
     assert_eq!(kept(&cell, 200..400), [true; 200]);
     assert_eq!(cell.rows.keys().filter(|k| k.starts_with("j/")).count(), 200, "the new ones");
--- a/crates/hollowford-jobs/tests/cancels.rs
+++ b/crates/hollowford-jobs/tests/cancels.rs
@@ -16,14 +16,14 @@
 
 /// Hands in a job whose start gets no answer, and cancels it. Returns the order, which the
 /// worker has not carried out yet.
-fn cancelled_with_a_start_under_way(cell: &mut Cell) -> Order {
+fn cancelled_with_a_start_under_way(cell: &mut TestCell) -> Order {
     let start = |o: &&Order| matches!(o, Order::Worker { call: WorkerCall::Start { .. }, .. });
     cell.submit(1, QUICK, job(vec![step(1, 1_000, 60_000)]));
     let order = loop {
         let orders = cell.poll();
         let found = orders.iter().find(start).cloned();
         cell.workers[0].reachable = found.is_none();
-        cell.carry_out_all(orders);
+        cell.execute_all(orders);
         cell.now = cell.now + Millis(5);
         if let Some(order) = found {
             break order;
@@ -36,7 +36,7 @@
 }
 
 /// The worker carries an order of the owner at `epoch` out now; the answer is lost.
-fn carry_out_late(cell: &mut Cell, order: &Order, epoch: u64) {
+fn carry_out_late(cell: &mut TestCell, order: &Order, epoch: u64) {
     let Order::Worker { call: WorkerCall::Start { task, run, lease_until, .. }, .. } = order else {
         panic!("not a start: {order:?}");
     };
@@ -48,37 +48,37 @@
 
 #[test]
 fn a_task_that_begins_after_its_job_was_cancelled_is_stopped() {
-    let mut cell = Cell::new(1);
+    let mut cell = TestCell::new(1);
     let order = cancelled_with_a_start_under_way(&mut cell);
     carry_out_late(&mut cell, &order, 1);
-    assert_eq!(cell.running(), 1);
+    assert_eq!(cell.running_tasks(), 1);
     cell.run(GONE_WITHIN);
-    assert_eq!(cell.running(), 0);
+    assert_eq!(cell.running_tasks(), 0);
 }
 
 #[test]
 fn a_task_that_begins_late_after_its_owner_is_gone_is_stopped() {
-    let mut cell = Cell::new(1);
+    let mut cell = TestCell::new(1);
     let order = cancelled_with_a_start_under_way(&mut cell);
     cell.take_over();
     cell.run(200);
     carry_out_late(&mut cell, &order, 1);
-    assert_eq!(cell.running(), 1, "the worker has not heard of the new owner");
+    assert_eq!(cell.running_tasks(), 1, "the worker has not heard of the new owner");
     cell.run(GONE_WITHIN);
-    assert_eq!(cell.running(), 0);
+    assert_eq!(cell.running_tasks(), 0);
 }
 
 #[test]
 fn an_order_that_a_worker_carries_out_after_the_stop_begins_nothing() {
-    let mut cell = Cell::new(1);
+    let mut cell = TestCell::new(1);
     let order = cancelled_with_a_start_under_way(&mut cell);
     cell.workers[0].reachable = true;
     cell.run(500);
     carry_out_late(&mut cell, &order, 1);
-    assert_eq!(cell.running(), 0);
+    assert_eq!(cell.running_tasks(), 0);
     let until = cell.now + Millis(2_000);
     while cell.now < until {
         cell.run(100);
-        assert_eq!(cell.running(), 0);
+        assert_eq!(cell.running_tasks(), 0);
     }
 }
--- a/crates/hollowford-jobs/tests/common/crashes.rs
+++ b/crates/hollowford-jobs/tests/common/crashes.rs
@@ -1,66 +1,69 @@
-//! Tasks that crash the workers that start them, and workers that come back.
+//! Tasks that crash the workers that run them, and the restarts of these workers.
 
 use super::worker::SimWorker;
 use hollowford_core::Millis;
 use hollowford_jobs::{JobId, TaskKey};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A crashed worker's entry goes from the list after three heartbeats of 1.5 s.
+/// The platform removes a crashed worker from its list after three missed heartbeats of 1.5 s.
 const UNLISTED_AFTER: Millis = Millis(4_500);
-/// A task may be started so often after so many workers have crashed under it, less once.
-const CRASHES: u32 = 3;
-const STARTS_MORE: u32 = 3;
+/// After this many crashes, only a few more starts of the task are allowed.
+const CRASH_LIMIT: u32 = 3;
+/// The start at which `assert_start_limit` fails, counted from the first one after `CRASH_LIMIT`
+/// crashes.
+const EXTRA_START_LIMIT: u32 = 3;
 
-/// Which tasks crash their workers, and what came of it.
+/// Crashes workers under chosen jobs, and records the effects.
 #[derive(Debug)]
-pub struct Crashes {
-    /// Each task of these jobs crashes the worker that starts it.
+pub struct CrashInjector {
+    /// Jobs whose tasks crash the workers that run them.
     pub jobs: BTreeSet<JobId>,
-    /// How long such a task runs until then.
-    pub after: Millis,
-    /// How long a crashed worker is down.
-    pub down: Millis,
-    /// It starts again under the id that it had.
+    /// Time from the start of such a task to the crash.
+    pub crash_after: Millis,
+    /// Time from a crash to the restart.
+    pub downtime: Millis,
+    /// Whether crashed workers restart under the same id.
     pub same_id: bool,
-    /// Workers that have crashed under each task, whether it was its doing or not.
-    pub under: BTreeMap<TaskKey, u32>,
-    /// Starts of each task after the third of them, by an owner in touch.
-    pub starts_more: BTreeMap<TaskKey, u32>,
-    /// The store has been well for a while, so that starts count.
-    pub in_touch: bool,
-    /// Crashes so far.
+    /// Number of workers that have crashed while they ran each task, whatever the cause.
+    pub by_task: BTreeMap<TaskKey, u32>,
+    /// Starts of each crashing task after `CRASH_LIMIT` crashes, while `store_healthy` was true.
+    pub extra_starts: BTreeMap<TaskKey, u32>,
+    /// Whether the store has worked for a while. Only then does the limit on starts hold, since an
+    /// owner that can't write may lose its count of crashes.
+    pub store_healthy: bool,
+    /// Number of crashes.
     pub count: u32,
-    /// Work that was under way on crashed workers, in core-milliseconds.
-    pub lost_work: u64,
+    /// Work lost on crashed workers, in core-milliseconds.
+    pub lost_core_ms: u64,
 }
 
-impl Default for Crashes {
-    fn default() -> Crashes {
-        Crashes {
+impl Default for CrashInjector {
+    fn default() -> CrashInjector {
+        CrashInjector {
             jobs: BTreeSet::new(),
-            after: Millis(10),
-            down: Millis(3_200),
+            crash_after: Millis(10),
+            downtime: Millis(3_200),
             same_id: false,
-            under: BTreeMap::new(),
-            starts_more: BTreeMap::new(),
-            in_touch: true,
+            by_task: BTreeMap::new(),
+            extra_starts: BTreeMap::new(),
+            store_healthy: true,
             count: 0,
-            lost_work: 0,
+            lost_core_ms: 0,
         }
     }
 }
 
-impl Crashes {
-    /// Crashes workers, and brings those back that were down for long enough. Tells whether the
-    /// platform's list has changed.
+impl CrashInjector {
+    /// Crashes the workers that are due, and restarts those that were down for `downtime`. Returns
+    /// true if the platform's list of workers has changed.
     pub fn tick(&mut self, workers: &mut [SimWorker], now: Millis) -> bool {
         let mut changed = false;
         for w in workers {
-            if self.crashes(w, now) {
+            if self.must_crash(w, now) {
                 self.crash(w);
             }
             let Some(since) = w.down_since else { continue };
-            if now - since >= self.down {
+            if now - since >= self.downtime {
                 self.restart(w, now);
                 changed = true;
             } else if w.listed && now - since >= UNLISTED_AFTER {
@@ -73,35 +76,38 @@
 
     fn restart(&self, w: &mut SimWorker, now: Millis) {
         if self.same_id {
-            w.restart_as_itself();
+            w.restart_with_same_id();
         } else {
             w.restart(&format!("life-{}-{}", w.address, now.0));
         }
     }
 
-    fn crashes(&self, w: &SimWorker, now: Millis) -> bool {
-        let due = |r: &super::worker::Run| now - r.since >= self.after;
+    fn must_crash(&self, w: &SimWorker, now: Millis) -> bool {
+        let due = |r: &super::worker::Run| now - r.started_at >= self.crash_after;
         w.up && w.running.iter().any(|(t, r)| self.jobs.contains(&t.step.job) && due(r))
     }
 
-    /// Crashes a worker under all that it runs.
+    /// Crashes a worker, and counts the crash for every task on it.
     pub fn crash(&mut self, w: &mut SimWorker) {
         self.count += 1;
         for (task, r) in &w.running {
-            self.lost_work += (w.now - r.since).0 * u64::from(r.room.cpu_milli) / 1_000;
-            *self.under.entry(*task).or_default() += 1;
+            self.lost_core_ms += (w.now - r.started_at).0 * u64::from(r.reserved.cpu_milli) / 1_000;
+            *self.by_task.entry(*task).or_default() += 1;
         }
         w.crash();
     }
 
-    /// Panics when a task that crashes its workers is started too often.
-    pub fn judge_start(&mut self, task: TaskKey) {
-        let crashed = self.under.get(&task).is_some_and(|&n| n >= CRASHES);
-        if !crashed || !self.in_touch || !self.jobs.contains(&task.step.job) {
+    /// Records a start, and panics if a task that crashes its workers is started too often.
+    pub fn assert_start_limit(&mut self, task: TaskKey) {
+        let crashed = self.by_task.get(&task).is_some_and(|&n| n >= CRASH_LIMIT);
+        if !crashed || !self.store_healthy || !self.jobs.contains(&task.step.job) {
             return;
         }
-        let more = self.starts_more.entry(task).or_default();
+        let more = self.extra_starts.entry(task).or_default();
         *more += 1;
-        assert!(*more < STARTS_MORE, "{task} was started {more} times after {CRASHES} crashes");
+        assert!(
+            *more < EXTRA_START_LIMIT,
+            "{task} was started {more} times after {CRASH_LIMIT} crashes"
+        );
     }
 }
--- a/crates/hollowford-jobs/tests/common/mod.rs
+++ b/crates/hollowford-jobs/tests/common/mod.rs
@@ -1,13 +1,13 @@
-//! A cell for tests: the engine, workers that keep its orders, rows and advice, on a virtual
-//! clock. The workers judge: they panic when an order breaks what must always hold.
+//! A simulated cell for tests: the engine with workers, a store and an advice service on a virtual
+//! clock. It panics when an invariant is broken, for example when a task runs on two workers.
 #![allow(dead_code, clippy::expect_used)]
 
+pub mod crash_load;
 pub mod crashes;
-pub mod plays;
-pub mod storm;
+pub mod scenario;
 pub mod worker;
 
-use crashes::Crashes;
+use crashes::CrashInjector;
 use hollowford_core::{InstanceId, Millis, Resources};
 use hollowford_jobs::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -50,91 +50,92 @@
 
 pub fn job(steps: Vec<RawStep>) -> Arc<JobSpec> {
     let raw = RawJob { template: "t".into(), steps, schedule: None };
-    Arc::new(JobSpec::try_from(raw).expect("a valid job"))
+    Arc::new(JobSpec::try_from(raw).expect("job specification should be valid"))
 }
 
-/// An answer of the service for advice that is on its way.
-pub struct AdviceDue {
+/// An answer of the advice service that has not arrived yet.
+pub struct PendingAdvice {
+    /// Time of arrival.
     pub at: Millis,
     pub seat: Seat,
     pub step: StepKey,
     pub rows: Advised,
 }
 
-/// An engine with its surroundings.
-pub struct Cell {
+/// An engine with simulated workers, store and advice service.
+pub struct TestCell {
     pub engine: Engine,
     pub now: Millis,
     pub workers: Vec<SimWorker>,
     pub rows: BTreeMap<String, Vec<u8>>,
     pub queues: Vec<Queue>,
-    /// Workers that advice bars from every step.
-    pub barred: BTreeSet<InstanceId>,
-    /// Percent of the workers that may run a step, by queue; all of them in queues that it lacks.
-    pub good_percent: BTreeMap<Arc<str>, u64>,
-    /// Instances that make no calls for advice, though asked to.
-    pub dead_seats: BTreeSet<String>,
-    /// Answers of the service for advice take the time that the queue tells; else none.
-    pub advice_takes_time: bool,
-    /// Answers of that service that are on their way.
-    pub advice_due: Vec<AdviceDue>,
-    /// Batches are not made while false.
+    /// Workers that the advice service rejects for every step.
+    pub excluded_workers: BTreeSet<InstanceId>,
+    /// Percentage of the workers that the advice service accepts for a step, by queue; default 100.
+    pub eligible_percent: BTreeMap<Arc<str>, u64>,
+    /// Addresses of instances that never answer a request for advice.
+    pub unresponsive_instances: BTreeSet<String>,
+    /// Whether advice arrives after the duration in the queue's `AdviceCost`, or else at once.
+    pub delay_advice: bool,
+    /// Answers of the advice service that have not arrived yet.
+    pub pending_advice: Vec<PendingAdvice>,
+    /// Whether the store commits batches.
     pub store_up: bool,
-    /// Batches under way; `run` has one at a time.
-    pub pending: Vec<Batch>,
+    /// Batches in flight; `run` keeps at most one.
+    pub pending_batches: Vec<Batch>,
     pub specs: BTreeMap<JobId, Arc<JobSpec>>,
     /// The queue of each job.
-    pub queue_of: BTreeMap<JobId, Arc<str>>,
+    pub job_queues: BTreeMap<JobId, Arc<str>>,
     /// The client account of each job.
-    pub account_of: BTreeMap<JobId, String>,
-    /// Entries of lives that are over, which the list still shows.
-    pub stale: Vec<WorkerListing>,
-    /// Orders carried out, for tests that look at them.
-    pub log: Vec<Order>,
-    /// Tasks that crash the workers that start them.
-    pub crashes: Crashes,
-    /// The next owner comes after an outage of the store.
+    pub job_accounts: BTreeMap<JobId, String>,
+    /// Listings of earlier incarnations of workers.
+    pub stale_listings: Vec<WorkerListing>,
+    /// Every order that was executed, oldest first.
+    pub executed_orders: Vec<Order>,
+    /// Crashes workers under chosen jobs, and restarts them.
+    pub crashes: CrashInjector,
+    /// Whether the next takeover follows an outage of the store.
     pub outage_before: bool,
 }
 
-impl Cell {
-    pub fn new(workers: usize) -> Cell {
+impl TestCell {
+    pub fn new(workers: usize) -> TestCell {
         let now = Millis(100_000);
         let queues = vec![queue(QUICK, 0, None), queue(LARGE, 1, None)];
-        let mut cell = Cell {
+        let mut cell = TestCell {
             engine: Engine::new(1, BOUNDS, now),
             now,
             workers: (0..workers).map(|i| SimWorker::new(i, now)).collect(),
             rows: BTreeMap::new(),
             queues,
-            barred: BTreeSet::new(),
-            good_percent: BTreeMap::new(),
-            dead_seats: BTreeSet::new(),
-            advice_takes_time: false,
-            advice_due: Vec::new(),
+            excluded_workers: BTreeSet::new(),
+            eligible_percent: BTreeMap::new(),
+            unresponsive_instances: BTreeSet::new(),
+            delay_advice: false,
+            pending_advice: Vec::new(),
             store_up: true,
-            pending: Vec::new(),
+            pending_batches: Vec::new(),
             specs: BTreeMap::new(),
-            queue_of: BTreeMap::new(),
-            account_of: BTreeMap::new(),
-            stale: Vec::new(),
-            log: Vec::new(),
-            crashes: Crashes::default(),
+            job_queues: BTreeMap::new(),
+            job_accounts: BTreeMap::new(),
+            stale_listings: Vec::new(),
+            executed_orders: Vec::new(),
+            crashes: CrashInjector::default(),
             outage_before: false,
         };
-        cell.equip();
+        cell.configure_engine();
         cell.run(100);
         cell
     }
 
-    fn equip(&mut self) {
+    fn configure_engine(&mut self) {
         self.engine.set_queues(&self.queues, self.now);
         self.engine.set_seats(&[Seat { address: "".into() }]);
-        self.list();
+        self.update_worker_list();
     }
 
-    /// Hands the list of workers to the engine.
-    pub fn list(&mut self) {
+    /// Passes the current list of workers to the engine.
+    pub fn update_worker_list(&mut self) {
         let list: Vec<_> =
             self.workers.iter().filter(|w| w.listed).map(SimWorker::listing).collect();
         self.engine.list_workers(&list, self.now);
@@ -149,7 +150,7 @@
         self.submit_for(NO_ACCOUNT, id, queue, spec)
     }
 
-    /// Hands in a job of a client account.
+    /// Submits a job for a client account.
     pub fn submit_for(
         &mut self,
         account: &str,
@@ -158,8 +159,8 @@
         spec: Arc<JobSpec>,
     ) -> SubmitAnswer {
         self.specs.insert(JobId(id), spec.clone());
-        self.queue_of.insert(JobId(id), queue.into());
-        self.account_of.insert(JobId(id), account.to_owned());
+        self.job_queues.insert(JobId(id), queue.into());
+        self.job_accounts.insert(JobId(id), account.to_owned());
         self.engine.submit(JobId(id), account, queue, spec, self.now)
     }
 
@@ -167,7 +168,7 @@
         self.engine.state(JobId(id))
     }
 
-    /// Lets time pass in steps of 5 ms.
+    /// Advances the clock by `ms` in steps of 5 ms, and polls the engine at each step.
     pub fn run(&mut self, ms: u64) {
         let until = self.now + Millis(ms);
         while self.now < until {
@@ -175,71 +176,72 @@
             let now = self.now;
             self.workers.iter_mut().for_each(|w| w.tick(now));
             if self.crashes.tick(&mut self.workers, now) {
-                self.list();
+                self.update_worker_list();
             }
-            self.turn();
+            self.poll_and_execute();
         }
     }
 
-    /// Polls the engine once and carries out what it wants.
-    pub fn turn(&mut self) {
-        self.answer_advice();
+    /// Delivers due advice, polls the engine once and executes its orders.
+    pub fn poll_and_execute(&mut self) {
+        self.deliver_due_advice();
         let orders = self.poll();
-        self.carry_out_all(orders);
+        self.execute_all(orders);
     }
 
-    /// Polls the engine once.
+    /// Polls the engine once and returns its orders without executing them.
     pub fn poll(&mut self) -> Vec<Order> {
         let mut orders = Vec::new();
         self.engine.poll(self.now, &mut orders);
         orders
     }
 
-    /// Carries out what the engine wants, and writes its batch.
-    pub fn carry_out_all(&mut self, orders: Vec<Order>) {
+    /// Executes orders, writes the next batch and checks the invariants.
+    pub fn execute_all(&mut self, orders: Vec<Order>) {
         for order in orders {
-            self.log.push(order.clone());
-            self.carry_out(order);
+            self.executed_orders.push(order.clone());
+            self.execute(order);
         }
-        self.write();
-        self.judge_room();
-        self.judge_twice();
+        self.write_batches();
+        self.assert_within_capacity();
+        self.assert_no_duplicates();
     }
 
-    /// Writes the next batch to the store.
-    pub fn write(&mut self) {
-        if self.pending.is_empty() {
-            self.pending.extend(self.engine.cut_batch(self.now));
+    /// Builds a batch if none is in flight, and writes all batches if the store is up.
+    pub fn write_batches(&mut self) {
+        if self.pending_batches.is_empty() {
+            self.pending_batches.extend(self.engine.cut_batch(self.now));
         }
         if self.store_up {
             self.write_pending();
         }
     }
 
-    /// Cuts one more batch beside those under way. Tells whether there was one to cut.
-    pub fn cut(&mut self) -> bool {
+    /// Adds one more batch to those in flight. Returns false if there was nothing to write.
+    pub fn add_pending_batch(&mut self) -> bool {
         let batch = self.engine.cut_batch(self.now);
         let cut = batch.is_some();
-        self.pending.extend(batch);
+        self.pending_batches.extend(batch);
         cut
     }
 
-    /// Writes all batches under way.
+    /// Writes all batches in flight.
     pub fn write_pending(&mut self) {
-        while !self.pending.is_empty() {
-            self.write_one(0);
+        while !self.pending_batches.is_empty() {
+            self.write_batch(0);
         }
     }
 
-    /// Writes one of the batches under way.
-    pub fn write_one(&mut self, at: usize) {
-        let number = self.write_unheard(at);
+    /// Writes the batch in flight at this position.
+    pub fn write_batch(&mut self, at: usize) {
+        let number = self.write_batch_unconfirmed(at);
         self.engine.committed(number, self.now);
     }
 
-    /// Writes one of the batches under way, and its answer is lost. Returns its number.
-    pub fn write_unheard(&mut self, at: usize) -> u64 {
-        let batch = self.pending.remove(at);
+    /// Writes the batch in flight at this position, but loses the store's answer. Returns the
+    /// batch number.
+    pub fn write_batch_unconfirmed(&mut self, at: usize) -> u64 {
+        let batch = self.pending_batches.remove(at);
         for row in batch.rows {
             match row.value {
                 Some(value) => self.rows.insert(row.key, value),
@@ -249,38 +251,38 @@
         batch.number
     }
 
-    /// The store refuses all batches under way.
+    /// Makes the store refuse all batches in flight.
     pub fn refuse_pending(&mut self) {
-        for batch in std::mem::take(&mut self.pending) {
+        for batch in std::mem::take(&mut self.pending_batches) {
             self.engine.batch_refused(batch.number);
         }
     }
 
-    fn carry_out(&mut self, order: Order) {
+    fn execute(&mut self, order: Order) {
         let fence = self.engine.epoch();
         match order {
             Order::Worker { call, .. } => self.call(call, fence),
             Order::Advice { seat, step, workers } => {
-                let seat = self.engine.seat(seat).expect("a seat").clone();
-                if self.dead_seats.contains(&*seat.address) {
+                let seat = self.engine.seat(seat).expect("the engine should know the seat").clone();
+                if self.unresponsive_instances.contains(&*seat.address) {
                     return;
                 }
-                let good = workers.iter().filter(|w| self.may_run(step, w));
+                let good = workers.iter().filter(|w| self.is_eligible(step, w));
                 let rows = good.map(|w| (w.clone(), self.ticket_of(w))).collect();
-                let at = self.now + self.advice_time(step.job, workers.len());
-                self.advice_due.push(AdviceDue { at, seat, step, rows });
-                self.answer_advice();
+                let at = self.now + self.advice_delay(step.job, workers.len());
+                self.pending_advice.push(PendingAdvice { at, seat, step, rows });
+                self.deliver_due_advice();
             }
         }
     }
 
-    /// Tells whether advice lets a step run on a worker.
-    pub fn may_run(&self, step: StepKey, id: &InstanceId) -> bool {
-        let queue = self.queue_of.get(&step.job);
-        let percent = queue.and_then(|q| self.good_percent.get(q)).copied().unwrap_or(100);
+    /// Returns true if the advice service accepts the worker for the step.
+    pub fn is_eligible(&self, step: StepKey, id: &InstanceId) -> bool {
+        let queue = self.job_queues.get(&step.job);
+        let percent = queue.and_then(|q| self.eligible_percent.get(q)).copied().unwrap_or(100);
         let mut hasher = DefaultHasher::new();
         (step, id).hash(&mut hasher);
-        !self.barred.contains(id) && hasher.finish() % 100 < percent
+        !self.excluded_workers.contains(id) && hasher.finish() % 100 < percent
     }
 
     fn ticket_of(&self, id: &InstanceId) -> Arc<str> {
@@ -288,40 +290,41 @@
         w.map_or_else(|| "".into(), SimWorker::ticket)
     }
 
-    /// Returns how long a call for advice takes that names so many workers.
-    fn advice_time(&self, job: JobId, workers: usize) -> Millis {
-        let queue = self.queue_of.get(&job).filter(|_| self.advice_takes_time);
+    /// Returns how long a request for advice about `workers` workers takes.
+    fn advice_delay(&self, job: JobId, workers: usize) -> Millis {
+        let queue = self.job_queues.get(&job).filter(|_| self.delay_advice);
         let queue = queue.and_then(|name| self.queues.iter().find(|q| q.name == *name));
         queue.and_then(|q| q.advice).map_or(Millis(0), |cost| Millis(cost.of(workers) as u64))
     }
 
-    /// Hands over the answers of the service for advice that are there.
-    fn answer_advice(&mut self) {
+    /// Passes the answers of the advice service that have arrived to the engine.
+    fn deliver_due_advice(&mut self) {
         let now = self.now;
-        for due in self.advice_due.extract_if(.., |d| d.at <= now).collect::<Vec<_>>() {
+        for due in self.pending_advice.extract_if(.., |d| d.at <= now).collect::<Vec<_>>() {
             let answer = Some((due.rows, Millis(2_000)));
             self.engine.advised(&due.seat, due.step, answer, now);
         }
     }
 
-    /// Carries out a call at once. A life that is over is answered for by the next one.
+    /// Executes a call at once. If the worker has restarted under the same id, its new incarnation
+    /// answers.
     pub fn call(&mut self, call: WorkerCall, fence: u64) {
         let now = self.now;
         match call {
             WorkerCall::Start { worker, task, run, lease_until, saved, ticket, .. } => {
                 let spec = self.specs[&task.step.job].clone();
                 let need = &spec.steps[task.step.step as usize];
-                let starts = self.starts();
+                let starts = self.total_starts();
                 let answer = self.worker(worker.id()).map_or(StartAnswer::OtherLife, |w| {
                     if !ticket.is_empty() && ticket != w.ticket() {
                         return StartAnswer::Ticket;
                     }
                     w.start(task, run, lease_until, fence, need, saved)
                 });
-                if self.starts() > starts {
-                    self.crashes.judge_start(task);
+                if self.total_starts() > starts {
+                    self.crashes.assert_start_limit(task);
                 }
-                self.judge_once(task);
+                self.assert_runs_once(task);
                 self.engine.start_answered(&worker, (task, run), answer, now, now);
             }
             WorkerCall::Stop { worker, task, run, .. } => {
@@ -348,61 +351,62 @@
         self.workers.iter_mut().find(|w| w.id == *id)
     }
 
-    /// A new owner takes over with what the store holds.
+    /// Replaces the engine by that of a new owner, which recovers from the rows in the store.
     pub fn take_over(&mut self) {
-        self.take_over_unlisted();
-        self.equip();
+        self.take_over_without_worker_list();
+        self.configure_engine();
     }
 
-    /// A new owner takes over that doesn't know the queues yet.
+    /// A new owner takes over before it knows the queues.
     pub fn take_over_without_queues(&mut self) {
         let queues = std::mem::take(&mut self.queues);
         self.take_over();
         self.queues = queues;
     }
 
-    /// A new owner takes over, and is not told the list of workers yet.
-    pub fn take_over_unlisted(&mut self) {
+    /// A new owner takes over before it knows the list of workers.
+    pub fn take_over_without_worker_list(&mut self) {
         let epoch = self.engine.epoch() + 1;
-        self.pending.clear();
+        self.pending_batches.clear();
         self.engine = Engine::new(epoch, BOUNDS, self.now);
         self.engine.set_queues(&self.queues, self.now);
         if self.outage_before {
             self.engine.note_outage_before();
         }
         let rows: Vec<_> = self.rows.iter().map(|(k, v)| (k.clone(), v.clone())).collect();
-        self.engine.recover(&rows, self.now).expect("rows that can be read");
+        self.engine.recover(&rows, self.now).expect("rows should be readable");
     }
 
-    /// Panics when a worker holds more than it has.
-    pub fn judge_room(&self) {
+    /// Panics if the tasks on a worker take more than its capacity.
+    pub fn assert_within_capacity(&self) {
         for w in &self.workers {
-            assert!(w.used().fits(&w.capacity), "{} holds {:?}", w.id, w.used());
+            assert!(w.used().fits(&w.capacity), "tasks on {} take {:?}", w.id, w.used());
         }
     }
 
-    /// Panics when this task runs in two places.
-    pub fn judge_once(&self, task: TaskKey) {
+    /// Panics if this task runs on more than one worker.
+    pub fn assert_runs_once(&self, task: TaskKey) {
         let runs = self.workers.iter().filter(|w| w.up && w.running.contains_key(&task)).count();
-        assert!(runs <= 1, "{task} runs {runs} times");
+        assert!(runs <= 1, "{task} runs on {runs} workers");
     }
 
-    /// Panics when any task runs in two places.
-    pub fn judge_twice(&self) {
+    /// Panics if any task runs on more than one worker.
+    pub fn assert_no_duplicates(&self) {
         let mut seen = BTreeSet::new();
         for w in self.workers.iter().filter(|w| w.up) {
             for task in w.running.keys() {
-                assert!(seen.insert(*task), "{task} runs twice");
+                assert!(seen.insert(*task), "{task} runs on two workers");
             }
         }
     }
 
-    /// Returns how many runs the workers of today have begun.
-    pub fn starts(&self) -> u64 {
+    /// Returns how many runs the current incarnations of the workers have started.
+    pub fn total_starts(&self) -> u64 {
         self.workers.iter().map(|w| w.starts).sum()
     }
 
-    pub fn running(&self) -> usize {
+    /// Returns how many tasks run on all workers.
+    pub fn running_tasks(&self) -> usize {
         self.workers.iter().map(|w| w.running.len()).sum()
     }
 }
--- /dev/null
+++ b/crates/hollowford-jobs/tests/common/scenario.rs
@@ -0,0 +1,457 @@
+//! Random scenarios: jobs, some of which crash the workers that run them, and external failures.
+//!
+//! A scenario is drawn from its seed. The cell checks the invariants at each step (no task runs
+//! twice, no worker is over its capacity, few starts after crashes); the final states are checked here.
+
+use super::worker::SimWorker;
+use super::{LARGE, QUICK, TestCell, job, step};
+use fastrand::Rng;
+use hollowford_core::Millis;
+use hollowford_jobs::*;
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+/// Duration of one step, in milliseconds.
+const TICK_MS: u64 = 5;
+/// How long jobs are submitted, in milliseconds.
+const ARRIVALS_MS: u64 = 40_000;
+/// Mean time between two changes of the downtime after a crash, in milliseconds.
+const DOWNTIME_CHANGE_MS: u64 = 3_000;
+/// How long failures occur, in milliseconds.
+const FAILURES_MS: u64 = 60_000;
+/// Time after the last failure within which all jobs must end, in milliseconds.
+const SETTLE_TIMEOUT_MS: u64 = 240_000;
+/// The limit on starts holds once the store has worked for this long.
+const STORE_HEALTHY_AFTER: Millis = Millis(2_000);
+/// Shortest outage of the store that a new owner takes into account.
+const MIN_OUTAGE: Millis = Millis(500);
+/// A new owner takes an outage into account if it ended less than this long ago.
+const RECENT_OUTAGE: Millis = Millis(2_000);
+/// Longest time until a leaving worker is replaced by another one at its address, in milliseconds.
+const MAX_LEAVE_MS: u64 = 2_500;
+/// A gang member ends if its gang is incomplete for this long.
+const GANG_TIMEOUT: Millis = Millis(3_000);
+
+/// The failures of a scenario: the mean time between two of a kind in milliseconds, 0 for none.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Failures {
+    pub takeovers: u64,
+    pub outages: u64,
+    /// Percentage of the outages that are followed by a takeover.
+    pub owner_lost: u32,
+    /// The store refuses the batches in flight.
+    pub refusals: u64,
+    /// A worker is unreachable for a while; its tasks go on.
+    pub disconnects: u64,
+    /// A worker's answers are lost for a while; it executes the orders.
+    pub lost_answers: u64,
+    /// A worker crashes for a reason unrelated to its tasks.
+    pub crashes: u64,
+    /// Several workers crash at once.
+    pub rack_crashes: u64,
+    /// A worker leaves and is replaced.
+    pub departures: u64,
+    /// Whether crashed workers may restart under the same id, and also without any downtime.
+    pub reuse_ids: bool,
+}
+
+/// The state of a scenario.
+pub struct Scenario {
+    pub cell: TestCell,
+    rng: Rng,
+    failures: Failures,
+    /// Factor by which failures are more frequent than `failures` says.
+    failure_factor: u64,
+    /// Maximum time that the store takes for a batch, in milliseconds; 0: none.
+    batch_ms: u64,
+    started_at: Millis,
+    /// All jobs: time of submission, id, queue and specification.
+    submissions: Vec<(Millis, u64, &'static str, Arc<JobSpec>)>,
+    /// Jobs that the engine has reported as durable.
+    durable: BTreeSet<u64>,
+    /// Final states of the jobs that have ended.
+    ended: BTreeMap<u64, JobState>,
+    /// Number of tasks of each job that runs until it is cancelled.
+    lasting_jobs: BTreeMap<u64, usize>,
+    /// End of the last outage of the store.
+    store_back_at: Millis,
+    /// Start and end of the last outage of the store.
+    last_outage: (Millis, Millis),
+    /// Whether a takeover follows at the end of the outage.
+    owner_lost: bool,
+    /// Last time at which the store was down or refused a batch.
+    store_failed_at: Millis,
+    /// When the batch in flight will be committed.
+    write_due_at: Option<Millis>,
+    /// When silent workers answer again, by address.
+    silent_until: BTreeMap<Arc<str>, Millis>,
+    /// When leaving workers are gone, by address.
+    leaving: BTreeMap<Arc<str>, Millis>,
+    /// Number of workers that have replaced one that left.
+    replacements: u64,
+    /// Whether to print the engine's events.
+    pub traced: bool,
+}
+
+impl Scenario {
+    /// Draws the jobs and the cell of a scenario.
+    pub fn new(seed: u64, failures: Failures) -> Scenario {
+        let mut rng = Rng::with_seed(seed);
+        let cell = TestCell::new(rng.usize(6..=15));
+        let (failure_factor, started_at) = (rng.u64(1..=4), cell.now);
+        let mut scenario = Scenario {
+            cell,
+            rng,
+            failures,
+            failure_factor,
+            batch_ms: 0,
+            started_at,
+            submissions: Vec::new(),
+            durable: BTreeSet::new(),
+            ended: BTreeMap::new(),
+            lasting_jobs: BTreeMap::new(),
+            store_back_at: Millis(0),
+            last_outage: (Millis(0), Millis(0)),
+            owner_lost: false,
+            store_failed_at: Millis(0),
+            write_due_at: None,
+            silent_until: BTreeMap::new(),
+            leaving: BTreeMap::new(),
+            replacements: 0,
+            traced: false,
+        };
+        scenario.draw_jobs();
+        scenario
+    }
+
+    fn draw_jobs(&mut self) {
+        self.cell.crashes.crash_after = Millis(self.rng.u64(10..=400));
+        self.draw_downtime();
+        self.batch_ms = [0, 20, 60][self.rng.usize(0..3)];
+        let crashing = [10, 30, 60][self.rng.usize(0..3)];
+        for w in &mut self.cell.workers {
+            w.runs_until_stopped = true;
+        }
+        for id in 1..=self.rng.u64(2..=12) {
+            let at = self.started_at + Millis(self.rng.u64(0..ARRIVALS_MS));
+            let (queue, spec) = self.draw_job(id, at);
+            if id == 1 || self.rng.u32(0..100) < crashing {
+                self.cell.crashes.jobs.insert(JobId(id));
+            }
+            self.submissions.push((at, id, queue, spec));
+        }
+    }
+
+    fn draw_downtime(&mut self) {
+        if !self.failures.reuse_ids {
+            self.cell.crashes.downtime = Millis(self.rng.u64(800..13_000));
+            return;
+        }
+        let least = [0, 800][self.rng.usize(0..2)];
+        self.cell.crashes.downtime = Millis(self.rng.u64(least..13_000));
+        self.cell.crashes.same_id = self.rng.u32(0..4) > 0;
+    }
+
+    fn draw_job(&mut self, id: u64, at: Millis) -> (&'static str, Arc<JobSpec>) {
+        let rng = &mut self.rng;
+        let ms = rng.u64(200..2_500);
+        match rng.u32(0..10) {
+            0..3 => (QUICK, job(vec![step(rng.u32(1..4), 1_400, ms)])),
+            3..5 => (LARGE, job(vec![step(rng.u32(2..20), rng.u32(500..8_000), ms)])),
+            5..7 => {
+                // Small enough to fit into the smallest cell beside all lasting tasks.
+                let (tasks, cpu) = (rng.u32(2..9), rng.u32(1_000..6_000));
+                let gang = RawStep { gang: true, ..step(tasks, cpu, ms + rng.u64(0..4_000)) };
+                (LARGE, job(vec![gang]))
+            }
+            7 => {
+                let last = RawStep { depends: vec![0], ..step(2, 1_000, ms) };
+                (QUICK, job(vec![step(2, 1_000, ms), last]))
+            }
+            8 => {
+                let tasks = rng.u32(1..3);
+                self.lasting_jobs.insert(id, tasks as usize);
+                (LARGE, job(vec![RawStep { lasting: true, ..step(tasks, 1_000, 0) }]))
+            }
+            _ => (QUICK, scheduled_job(at, step(1, 1_000, ms))),
+        }
+    }
+
+    /// Runs the scenario to its end, and returns the faults found.
+    pub fn run(mut self) -> Vec<String> {
+        while self.age() < FAILURES_MS {
+            self.inject_failures();
+            self.tick();
+        }
+        self.stop_failures();
+        let until = self.age() + SETTLE_TIMEOUT_MS;
+        while self.age() < until && !self.is_settled() {
+            self.tick();
+        }
+        self.find_faults()
+    }
+
+    fn age(&self) -> u64 {
+        self.cell.now.since(self.started_at).0
+    }
+
+    fn tick(&mut self) {
+        self.submit_due();
+        let now = self.cell.now;
+        let restarted = self.replace_departed(now);
+        self.silent_until.retain(|_, until| *until > now);
+        let silent_until = &self.silent_until;
+        for w in &mut self.cell.workers {
+            w.runs_until_stopped = true;
+            if !silent_until.contains_key(&w.address) {
+                (w.reachable, w.drops_answers) = (true, false);
+            }
+        }
+        if restarted {
+            self.cell.update_worker_list();
+        }
+        self.write_due_batch(now);
+        let well =
+            now >= self.store_back_at && now.since(self.store_failed_at) >= STORE_HEALTHY_AFTER;
+        self.cell.crashes.store_healthy = well;
+        // With a delay, `write_due_batch` writes the batches instead of the cell.
+        self.cell.store_up = self.batch_ms == 0 && now >= self.store_back_at;
+        self.cell.run(TICK_MS);
+        self.end_broken_gangs();
+        self.record_ends();
+        self.assert_none_stuck();
+        let age = self.age();
+        for note in self.cell.engine.take_notes() {
+            if self.traced {
+                eprintln!("{age:>6} {note}");
+            }
+        }
+    }
+
+    /// Submits the jobs that are due, and resubmits those that were lost with an earlier owner.
+    fn submit_due(&mut self) {
+        let now = self.cell.now;
+        for (at, id, queue, spec) in self.submissions.clone() {
+            if now < at || self.durable.contains(&id) {
+                continue;
+            }
+            match self.cell.engine.is_kept(JobId(id)) {
+                Some(true) => drop(self.durable.insert(id)),
+                Some(false) => {}
+                None => drop(self.cell.submit(id, queue, spec)),
+            }
+        }
+    }
+
+    /// Writes the batch in flight once it is due, if the store is up.
+    fn write_due_batch(&mut self, now: Millis) {
+        if now < self.store_back_at {
+            (self.store_failed_at, self.write_due_at) = (now, None);
+            return;
+        }
+        if std::mem::take(&mut self.owner_lost) {
+            self.take_over();
+        }
+        if self.cell.pending_batches.is_empty() {
+            self.write_due_at = None;
+            return;
+        }
+        let at = *self.write_due_at.get_or_insert(now + Millis(self.rng.u64(0..=self.batch_ms)));
+        if now >= at {
+            self.cell.write_batch(0);
+            self.write_due_at = None;
+        }
+    }
+
+    /// Another owner takes over. Some of the batches in flight are committed, the others are lost.
+    fn take_over(&mut self) {
+        if self.traced {
+            eprintln!("{:>6} takeover", self.age());
+        }
+        while !self.cell.pending_batches.is_empty() && self.rng.bool() {
+            self.cell.write_batch_unconfirmed(0);
+        }
+        self.write_due_at = None;
+        let (from, until) = self.last_outage;
+        let is_recent = self.cell.now.since(until) < RECENT_OUTAGE;
+        self.cell.outage_before = is_recent && until.since(from) >= MIN_OUTAGE;
+        self.cell.take_over();
+    }
+
+    /// Draws whether a failure that occurs every `every` milliseconds on average occurs in this step.
+    fn occurs(&mut self, every: u64) -> bool {
+        every > 0 && self.rng.u64(0..every) < TICK_MS * self.failure_factor
+    }
+
+    fn inject_failures(&mut self) {
+        let f = self.failures;
+        let now = self.cell.now;
+        let is_store_down = now < self.store_back_at;
+        if self.occurs(f.takeovers) && !is_store_down {
+            self.take_over();
+        }
+        if self.occurs(f.outages) && !is_store_down {
+            self.store_back_at = now + Millis(self.rng.u64(300..9_000));
+            self.last_outage = (now, self.store_back_at);
+            self.owner_lost = self.rng.u32(0..100) < f.owner_lost;
+        }
+        if self.occurs(f.refusals) && !is_store_down {
+            self.cell.refuse_pending();
+            self.store_failed_at = now;
+        }
+        if self.occurs(f.disconnects) {
+            let until = now + Millis(self.rng.u64(100..7_000));
+            self.with_random_worker(|scenario, at| {
+                scenario.silence(at, until, |w| w.reachable = false)
+            });
+        }
+        if self.occurs(f.lost_answers) {
+            let until = now + Millis(self.rng.u64(50..1_500));
+            self.with_random_worker(|scenario, at| {
+                scenario.silence(at, until, |w| w.drops_answers = true)
+            });
+        }
+        self.inject_worker_failures(f);
+    }
+
+    fn inject_worker_failures(&mut self, f: Failures) {
+        if self.occurs(DOWNTIME_CHANGE_MS) {
+            self.draw_downtime();
+        }
+        if self.occurs(f.crashes) {
+            self.with_random_worker(Scenario::crash);
+        }
+        if self.occurs(f.rack_crashes) {
+            for _ in 0..self.rng.u32(2..5) {
+                self.with_random_worker(Scenario::crash);
+            }
+        }
+        if self.occurs(f.departures) {
+            self.with_random_worker(Scenario::start_leaving);
+        }
+    }
+
+    fn with_random_worker(&mut self, act: impl FnOnce(&mut Scenario, usize)) {
+        let at = self.rng.usize(0..self.cell.workers.len());
+        if self.cell.workers[at].up {
+            act(self, at);
+        }
+    }
+
+    fn silence(&mut self, at: usize, until: Millis, how: impl FnOnce(&mut SimWorker)) {
+        let w = &mut self.cell.workers[at];
+        how(w);
+        self.silent_until.insert(w.address.clone(), until);
+    }
+
+    fn crash(&mut self, at: usize) {
+        let cell = &mut self.cell;
+        cell.crashes.crash(&mut cell.workers[at]);
+    }
+
+    fn start_leaving(&mut self, at: usize) {
+        let w = &mut self.cell.workers[at];
+        if std::mem::replace(&mut w.leaving, true) {
+            return;
+        }
+        let gone = w.now + Millis(self.rng.u64(500..MAX_LEAVE_MS));
+        self.leaving.insert(w.address.clone(), gone);
+        self.cell.update_worker_list();
+    }
+
+    /// Replaces the workers that have left. Returns true if there were any.
+    fn replace_departed(&mut self, now: Millis) -> bool {
+        let gone: Vec<_> = self.leaving.extract_if(.., |_, at| *at <= now).collect();
+        for (address, _) in &gone {
+            let w = self.cell.workers.iter_mut().find(|w| w.address == *address);
+            if let Some(w) = w.filter(|w| w.up && w.leaving) {
+                self.replacements += 1;
+                w.restart(&format!("next-{}", self.replacements));
+            }
+        }
+        !gone.is_empty()
+    }
+
+    /// Ends the members of gangs that have been incomplete for too long.
+    fn end_broken_gangs(&mut self) {
+        let now = self.cell.now;
+        let mut members: BTreeMap<(StepKey, u32), u32> = BTreeMap::new();
+        for w in &self.cell.workers {
+            for (task, r) in &w.running {
+                *members.entry((task.step, r.run)).or_default() += 1;
+            }
+        }
+        for w in &mut self.cell.workers {
+            for (task, r) in w.running.clone() {
+                let spec = &self.cell.specs[&task.step.job].steps[task.step.step as usize];
+                let count = members.get(&(task.step, r.run)).copied().unwrap_or(0);
+                if spec.gang && count < spec.count && now.since(r.started_at) > GANG_TIMEOUT {
+                    w.end(task, EndKind::Alone);
+                }
+            }
+        }
+    }
+
+    fn record_ends(&mut self) {
+        for id in &self.durable {
+            if let Some(state) = self.cell.state(*id).filter(|s| s.is_final()) {
+                self.ended.insert(*id, state);
+            }
+        }
+    }
+
+    /// Panics if a task waits for something that can't happen.
+    fn assert_none_stuck(&self) {
+        if let Some(stuck) = self.cell.engine.stuck_tasks().first() {
+            panic!("{stuck}");
+        }
+    }
+
+    fn stop_failures(&mut self) {
+        self.failures = Failures::default();
+        self.store_back_at = Millis(0);
+        self.silent_until.clear();
+    }
+
+    fn is_settled(&self) -> bool {
+        self.submissions.iter().all(|(_, id, ..)| self.is_as_expected(*id))
+    }
+
+    /// Returns true if a job has ended, or runs all tasks that run until it is cancelled.
+    fn is_as_expected(&self, id: u64) -> bool {
+        let tasks = self.cell.workers.iter().flat_map(|w| w.running.keys());
+        let running = tasks.filter(|t| t.step.job == JobId(id)).count();
+        self.ended.contains_key(&id) || self.lasting_jobs.get(&id).is_some_and(|&n| n == running)
+    }
+
+    fn find_faults(&self) -> Vec<String> {
+        let mut wrong = Vec::new();
+        for (_, id, ..) in &self.submissions {
+            let state = self.ended.get(id).copied();
+            if !self.durable.contains(id) {
+                wrong.push(format!("job {id} was never durable"));
+            } else if !self.is_as_expected(*id) {
+                let running = self.cell.running_tasks();
+                wrong.push(format!(
+                    "job {id} has not ended: {state:?}, {running} tasks run in the cell"
+                ));
+            } else if state == Some(JobState::Failed) && !self.crashed_twice(*id) {
+                wrong.push(format!("job {id} failed without two crashes under one of its tasks"));
+            }
+        }
+        wrong
+    }
+
+    /// Returns true if two workers have crashed under the same task of a job.
+    fn crashed_twice(&self, id: u64) -> bool {
+        let under = &self.cell.crashes.by_task;
+        under.iter().any(|(t, &n)| t.step.job == JobId(id) && n >= 2)
+    }
+}
+
+/// Returns a job that runs its step in three rounds, from half a second after `at`.
+fn scheduled_job(at: Millis, step: RawStep) -> Arc<JobSpec> {
+    let schedule = Schedule { first_unix_ms: at.0 + 500, interval_ms: 4_000, rounds: 3 };
+    let raw = RawJob { template: "t".into(), steps: vec![step], schedule: Some(schedule) };
+    Arc::new(JobSpec::try_from(raw).expect("job specification should be valid"))
+}
--- a/crates/hollowford-jobs/tests/common/worker.rs
+++ b/crates/hollowford-jobs/tests/common/worker.rs
@@ -1,82 +1,91 @@
-//! A worker as PROTOCOL describes it: fences, leases on its own clock, ends that are listed
-//! until they are forgotten.
+//! A simulated worker: it rejects calls of earlier owners by their epochs, keeps leases on its own
+//! clock, and lists ended tasks until they are acknowledged.
 
 use hollowford_core::{InstanceId, Millis, Resources};
 use hollowford_jobs::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// A worker's clock is this far from the cell's, until it starts again.
-const CLOCK_AHEAD: u64 = 5_000;
-/// A longer lease is cut to this one.
-const LONGEST_LEASE: u64 = 6_000;
-/// A gang that is not complete for so long ends.
-const GANG_TIMEOUT: u64 = 3_000;
+/// Difference between a worker's clock and the cell's clock, until the first restart.
+const CLOCK_OFFSET_MS: u64 = 5_000;
+/// Longer leases are shortened to this duration.
+const MAX_LEASE_MS: u64 = 6_000;
+/// A gang member ends if its gang is incomplete for this long.
+const GANG_TIMEOUT_MS: u64 = 3_000;
 
+/// A running task.
 #[derive(Clone, Debug)]
 pub struct Run {
     pub run: u32,
-    pub room: Resources,
-    pub until: Millis,
+    pub reserved: Resources,
+    pub ends_at: Millis,
     pub gang: u32,
-    pub since: Millis,
+    pub started_at: Millis,
 }
 
 impl Run {
     fn progress(&self, now: Millis) -> u32 {
-        let whole = self.until.since(self.since).0.max(1);
-        (now.since(self.since).0.min(whole) * 100 / whole) as u32
+        let whole = self.ends_at.since(self.started_at).0.max(1);
+        (now.since(self.started_at).0.min(whole) * 100 / whole) as u32
     }
 }
 
+/// A simulated worker with its faults.
 pub struct SimWorker {
     pub id: InstanceId,
     pub address: Arc<str>,
     pub capacity: Resources,
     pub running: BTreeMap<TaskKey, Run>,
     pub ended: Vec<End>,
-    pub numbers: u64,
+    /// Number of the last end in this incarnation, 0 for none.
+    pub last_end_number: u64,
+    /// Highest epoch of an owner that has called; calls of earlier owners are rejected.
     pub fence: u64,
+    /// Reading of this worker's clock at which the lease ends.
     pub lease_until: u64,
-    pub over: BTreeMap<TaskKey, u32>,
+    /// Highest run of each task that has ended or was stopped here.
+    pub ended_runs: BTreeMap<TaskKey, u32>,
+    /// Whether the platform's list contains the worker.
     pub listed: bool,
     pub leaving: bool,
-    /// The least time that it stays, once it leaves.
+    /// Minimum time until a leaving worker is gone.
     pub remaining: Option<Millis>,
-    /// Answers arrive; what it runs goes on either way.
+    /// Whether calls reach the worker. Its tasks run on in any case.
     pub reachable: bool,
-    /// Orders are carried out but not answered.
-    pub mute: bool,
-    /// An order that was just being carried out when a new fence came: it begins after the
-    /// answer to the look that brought the fence.
-    pub in_progress: Option<(TaskKey, Run)>,
-    /// Tasks whose guessed time is zero run until they are ended.
-    pub lasts: bool,
-    /// Shares that tasks were told to work at.
+    /// Whether calls are executed but their answers are lost.
+    pub drops_answers: bool,
+    /// A start of the earlier owner that is still being executed when the next owner calls first:
+    /// the task begins only after the answer to that call.
+    pub delayed_start: Option<(TaskKey, Run)>,
+    /// Whether tasks with an estimate of zero run until they are stopped, instead of ending at once.
+    pub runs_until_stopped: bool,
+    /// Pace of each task, in percent of its full speed.
     pub paces: BTreeMap<TaskKey, u32>,
-    /// Tail of serving tasks' answer times without any disturbance, in milliseconds.
-    pub base_tail: u32,
-    /// What it runs stands still; it answers.
-    pub hung: bool,
-    /// Its tasks take so many times their guess.
-    pub slow: u64,
-    /// Fails all that it starts.
-    pub failing: bool,
-    /// What is stopped ends after so many milliseconds, and is listed as running until then.
-    pub stop_takes: u64,
-    /// When what is being stopped ends.
+    /// Tail latency of serving tasks without fillers beside them, in milliseconds.
+    pub base_latency_ms: u32,
+    /// Whether its tasks make no progress although the worker answers calls.
+    pub stalled: bool,
+    /// Factor by which its tasks exceed their estimates.
+    pub slowdown: u64,
+    /// Whether every task that it starts fails.
+    pub fails_all: bool,
+    /// Time from a stop to the end of the task, in milliseconds. The task is listed as running
+    /// meanwhile.
+    pub stop_delay_ms: u64,
+    /// When each task that is being stopped ends.
     pub stopping: BTreeMap<TaskKey, Millis>,
-    /// Not crashed.
+    /// False after a crash, until the restart.
     pub up: bool,
-    /// When it crashed, while it is down.
+    /// Time of the crash, while it is down.
     pub down_since: Option<Millis>,
     pub now: Millis,
-    /// When it last started again under its id; its clock begins anew then.
+    /// Time of the last restart under the same id. The worker's clock starts from there.
     pub restarted_at: Option<Millis>,
-    /// It says which of its lives it is.
-    pub tells_lives: bool,
-    /// Tasks that fail wherever they run.
-    pub poison: BTreeSet<JobId>,
+    /// Whether answers and listings name its incarnation.
+    pub reports_incarnation: bool,
+    /// Jobs whose tasks fail on this worker.
+    pub failing_jobs: BTreeSet<JobId>,
+    /// Runs started in this incarnation.
     pub starts: u64,
 }
 
@@ -88,47 +97,47 @@
             capacity: Resources::new(16_000, 64_000, 0),
             running: BTreeMap::new(),
             ended: Vec::new(),
-            numbers: 0,
+            last_end_number: 0,
             fence: 0,
             lease_until: 0,
-            over: BTreeMap::new(),
+            ended_runs: BTreeMap::new(),
             listed: true,
             leaving: false,
             remaining: None,
             reachable: true,
-            mute: false,
-            lasts: false,
+            drops_answers: false,
+            runs_until_stopped: false,
             paces: BTreeMap::new(),
-            base_tail: 50,
-            in_progress: None,
-            hung: false,
-            slow: 1,
-            failing: false,
-            stop_takes: 0,
+            base_latency_ms: 50,
+            delayed_start: None,
+            stalled: false,
+            slowdown: 1,
+            fails_all: false,
+            stop_delay_ms: 0,
             stopping: BTreeMap::new(),
             up: true,
             down_since: None,
             now,
             restarted_at: None,
-            tells_lives: true,
-            poison: BTreeSet::new(),
+            reports_incarnation: true,
+            failing_jobs: BTreeSet::new(),
             starts: 0,
         }
     }
 
     pub fn clock(&self) -> u64 {
-        self.restarted_at.map_or(self.now.0 + CLOCK_AHEAD, |at| self.now.since(at).0 + 1)
+        self.restarted_at.map_or(self.now.0 + CLOCK_OFFSET_MS, |at| self.now.since(at).0 + 1)
     }
 
     pub fn incarnation(&self) -> Option<Incarnation> {
-        self.tells_lives.then(|| Incarnation(self.restarted_at.unwrap_or_default().0))
+        self.reports_incarnation.then(|| Incarnation(self.restarted_at.unwrap_or_default().0))
     }
 
     pub fn life(&self) -> WorkerLife {
         WorkerLife::new(self.id.clone(), self.incarnation())
     }
 
-    /// Returns the ticket that this life of it takes.
+    /// Returns the ticket that this incarnation accepts.
     pub fn ticket(&self) -> Arc<str> {
         format!("{}-{:?}", self.id, self.restarted_at).into()
     }
@@ -147,7 +156,7 @@
     }
 
     pub fn used(&self) -> Resources {
-        self.running.values().fold(Resources::default(), |a, r| a.plus(&r.room))
+        self.running.values().fold(Resources::default(), |a, r| a.plus(&r.reserved))
     }
 
     pub fn tick(&mut self, now: Millis) {
@@ -155,11 +164,11 @@
         if !self.up {
             return;
         }
-        if self.hung {
-            // All times of what runs move on with the clock.
+        if self.stalled {
+            // Moves the times of all tasks with the clock, so that none makes progress.
             for r in self.running.values_mut() {
-                r.since = r.since + Millis(5);
-                r.until = r.until + Millis(5);
+                r.started_at = r.started_at + Millis(5);
+                r.ends_at = r.ends_at + Millis(5);
             }
         }
         for (task, _) in self.stopping.extract_if(.., |_, at| *at <= now).collect::<Vec<_>>() {
@@ -168,10 +177,10 @@
         let lapsed = self.clock() >= self.lease_until;
         let runs: Vec<_> = self.running.iter().map(|(t, r)| (*t, r.clone())).collect();
         for (task, r) in runs {
-            let failed = self.failing || self.poison.contains(&task.step.job);
+            let failed = self.fails_all || self.failing_jobs.contains(&task.step.job);
             if lapsed {
                 self.end(task, EndKind::Lapsed);
-            } else if r.until <= now && !(self.lasts && r.until == r.since) {
+            } else if r.ends_at <= now && !(self.runs_until_stopped && r.ends_at == r.started_at) {
                 self.end(task, if failed { EndKind::Failed } else { EndKind::Done });
             }
         }
@@ -179,59 +188,60 @@
 
     pub fn end(&mut self, task: TaskKey, kind: EndKind) {
         let Some(r) = self.running.remove(&task) else { return };
-        self.numbers += 1;
-        self.over.insert(task, r.run);
-        let number = self.numbers;
+        self.last_end_number += 1;
+        self.ended_runs.insert(task, r.run);
+        let number = self.last_end_number;
         self.ended.push(End { number, task, run: r.run, kind, saved: "".into() });
     }
 
-    /// Returns how many tasks have ended well here and are not forgotten.
+    /// Returns how many tasks have completed here whose ends are not yet acknowledged.
     pub fn done(&self) -> usize {
         self.ended.iter().filter(|e| e.kind == EndKind::Done).count()
     }
 
-    /// Returns the tail that a task's users see: what fills adds to it at its pace.
-    fn tail(&self, task: &TaskKey) -> u32 {
+    /// Returns the tail latency of a task. Each other task adds 1 ms per percent of its pace.
+    fn latency_ms(&self, task: &TaskKey) -> u32 {
         let fills = self.running.keys().filter(|t| *t != task);
         let paces = fills.map(|t| self.paces.get(t).copied().unwrap_or(100));
-        self.base_tail + paces.sum::<u32>()
+        self.base_latency_ms + paces.sum::<u32>()
     }
 
-    /// Lets a task work at a share of its pace.
+    /// Sets the pace of a task. Returns true if the caller gets the answer.
     pub fn pace(&mut self, task: TaskKey, percent: u32, fence: u64) -> bool {
         if !self.up || !self.reachable || fence < self.fence {
             return false;
         }
         self.paces.insert(task, percent);
-        !self.mute
+        !self.drops_answers
     }
 
-    /// Crashes, and is silent until it is started again.
+    /// Crashes. The worker answers no calls until it is restarted.
     pub fn crash(&mut self) {
         self.up = false;
         self.down_since = Some(self.now);
         self.running.clear();
     }
 
-    /// Crashes and comes back under another id.
+    /// Crashes and restarts under another id at the same address.
     pub fn restart(&mut self, id: &str) {
-        let (now, address, lasts) = (self.now, self.address.clone(), self.lasts);
+        let (now, address, runs_until_stopped) =
+            (self.now, self.address.clone(), self.runs_until_stopped);
         *self = SimWorker::new(0, now);
-        self.lasts = lasts;
+        self.runs_until_stopped = runs_until_stopped;
         self.id = id.into();
         self.address = address;
     }
 
-    /// Crashes and starts again under the id and at the address that it had: it knows nothing of
-    /// before, and its counts and its clock begin anew.
-    pub fn restart_as_itself(&mut self) {
+    /// Crashes and restarts under the same id and address. Nothing is kept from the earlier
+    /// incarnation; end numbers and the clock start anew.
+    pub fn restart_with_same_id(&mut self) {
         let id = self.id.clone();
         self.restart(id.as_str());
         self.restarted_at = Some(self.now);
     }
 
-    fn extend_lease(&mut self, until: u64) {
-        self.lease_until = self.lease_until.max(until.min(self.clock() + LONGEST_LEASE));
+    fn extend_lease(&mut self, lease_until: u64) {
+        self.lease_until = self.lease_until.max(lease_until.min(self.clock() + MAX_LEASE_MS));
     }
 
     pub fn start(
@@ -253,15 +263,16 @@
         self.extend_lease(lease_until);
         let here = self.running.get(&task).map(|r| r.run);
         if here != Some(run) {
-            if self.over.get(&task).is_some_and(|&o| run <= o) || here.is_some() {
+            if self.ended_runs.get(&task).is_some_and(|&o| run <= o) || here.is_some() {
                 return StartAnswer::Old;
             }
             self.starts += 1;
-            let room = spec.room();
-            let until = self.now + Millis(spec.estimate_ms * self.slow);
-            self.running.insert(task, Run { run, room, until, gang: 0, since: self.now });
+            let reserved = spec.room();
+            let ends_at = self.now + Millis(spec.estimate_ms * self.slowdown);
+            self.running
+                .insert(task, Run { run, reserved, ends_at, gang: 0, started_at: self.now });
         }
-        if self.mute { StartAnswer::Unanswered } else { StartAnswer::Runs(self.clock()) }
+        if self.drops_answers { StartAnswer::Unanswered } else { StartAnswer::Runs(self.clock()) }
     }
 
     pub fn stop(&mut self, task: TaskKey, run: u32, fence: u64) -> bool {
@@ -270,16 +281,16 @@
         }
         self.fence = fence;
         if self.running.get(&task).is_some_and(|r| r.run == run) {
-            if self.stop_takes > 0 {
-                self.stopping.entry(task).or_insert(self.now + Millis(self.stop_takes));
+            if self.stop_delay_ms > 0 {
+                self.stopping.entry(task).or_insert(self.now + Millis(self.stop_delay_ms));
             } else {
                 self.end(task, EndKind::Stopped);
             }
         } else {
-            let over = self.over.entry(task).or_insert(run);
-            *over = run.max(*over);
+            let ended_runs = self.ended_runs.entry(task).or_insert(run);
+            *ended_runs = run.max(*ended_runs);
         }
-        !self.mute
+        !self.drops_answers
     }
 
     pub fn look(&mut self, lease_until: Option<u64>, acknowledged: u64, fence: u64) -> LookAnswer {
@@ -292,7 +303,7 @@
         self.fence = fence;
         self.extend_lease(lease_until.unwrap_or(0));
         self.ended.retain(|e| e.number > acknowledged);
-        if self.mute {
+        if self.drops_answers {
             return LookAnswer::Unanswered;
         }
         let running = |(task, r): (&TaskKey, &Run)| Running {
@@ -300,7 +311,7 @@
             run: r.run,
             saved: "".into(),
             progress: r.progress(self.now),
-            load: self.tail(task),
+            load: self.latency_ms(task),
         };
         let look = Look {
             incarnation: self.incarnation(),
@@ -308,14 +319,14 @@
             running: self.running.iter().map(running).collect(),
             ended: self.ended.clone(),
         };
-        if let Some((task, run)) = self.in_progress.take() {
+        if let Some((task, run)) = self.delayed_start.take() {
             self.running.insert(task, run);
         }
         LookAnswer::Lists(look)
     }
 
-    /// Time after which a member that waits for its gang would end.
+    /// Time after which a member of an incomplete gang ends.
     pub fn gang_timeout() -> Millis {
-        Millis(GANG_TIMEOUT)
+        Millis(GANG_TIMEOUT_MS)
     }
 }
--- a/crates/hollowford-jobs/tests/crashes.rs
+++ b/crates/hollowford-jobs/tests/crashes.rs
@@ -26,15 +26,15 @@
 const CRASHER: u64 = 1;
 
 /// A cell in which that job's tasks crash workers, which are down for `down` milliseconds.
-fn cell(workers: usize, down: u64) -> Cell {
-    let mut cell = Cell::new(workers);
+fn cell(workers: usize, down: u64) -> TestCell {
+    let mut cell = TestCell::new(workers);
     cell.crashes.jobs.insert(JobId(CRASHER));
-    cell.crashes.down = Millis(down);
+    cell.crashes.downtime = Millis(down);
     cell
 }
 
 /// Returns the position of the first worker that runs something.
-fn running_at(cell: &Cell) -> usize {
+fn running_at(cell: &TestCell) -> usize {
     cell.workers.iter().position(|w| !w.running.is_empty()).expect("it runs")
 }
 
@@ -44,7 +44,7 @@
 }
 
 /// Lets time pass until the next worker has crashed, or the job has ended.
-fn until_crash(cell: &mut Cell) {
+fn until_crash(cell: &mut TestCell) {
     let before = cell.crashes.count;
     for _ in 0..20_000 {
         if cell.crashes.count > before || cell.state(CRASHER) == Some(JobState::Failed) {
@@ -116,8 +116,8 @@
     cell.submit(CRASHER, QUICK, job(vec![step(1, 1_000, 600)]));
     cell.run(10_000);
     assert_eq!(cell.state(CRASHER), Some(JobState::Failed));
-    let beside = cell.crashes.under.keys().filter(|t| t.step.job != JobId(CRASHER));
-    assert_eq!(beside.count(), 2, "what stood beside its first start: {:?}", cell.crashes.under);
+    let beside = cell.crashes.by_task.keys().filter(|t| t.step.job != JobId(CRASHER));
+    assert_eq!(beside.count(), 2, "what stood beside its first start: {:?}", cell.crashes.by_task);
 }
 
 // The second start comes beside another job that has worked for a while: the next life of the worker
@@ -133,9 +133,9 @@
         cell.run(5);
     }
     cell.workers[down].capacity.cpu_milli = 500;
-    cell.list();
+    cell.update_worker_list();
     until_crash(&mut cell);
-    assert_eq!(cell.crashes.under.len(), 2, "both were there: {:?}", cell.crashes.under);
+    assert_eq!(cell.crashes.by_task.len(), 2, "both were there: {:?}", cell.crashes.by_task);
     cell.run(2_000);
     let other =
         |n: &Note| matches!(n, Note::CrashedUnder { task, .. } if task.step.job == JobId(2));
@@ -159,8 +159,8 @@
     ] {
         let mut cell = cell(8, 3_300);
         // The first step ends before a worker would crash under it.
-        cell.crashes.after = Millis(50);
-        cell.workers.iter_mut().for_each(|w| w.lasts = true);
+        cell.crashes.crash_after = Millis(50);
+        cell.workers.iter_mut().for_each(|w| w.runs_until_stopped = true);
         cell.submit(CRASHER, QUICK, job(vec![step(2, 1_000, 20), last]));
         cell.run(90_000);
         assert_eq!(cell.state(CRASHER), Some(JobState::Failed));
@@ -216,7 +216,7 @@
     }
     cell.crashes.crash(&mut cell.workers[1]);
     cell.run(10_000);
-    assert_eq!(cell.crashes.under.len(), 0);
+    assert_eq!(cell.crashes.by_task.len(), 0);
     let fresh: Vec<_> = cell.engine.take_notes().iter().filter_map(counted_as_fresh).collect();
     assert_eq!(fresh, [false, false], "it was sent twice, and each counts as one of any kind");
     assert_eq!(cell.state(2), Some(JobState::Completed));
@@ -234,7 +234,7 @@
         let now = cell.now;
         cell.workers.iter_mut().for_each(|w| w.tick(now));
         if cell.crashes.tick(&mut cell.workers, now) {
-            cell.list();
+            cell.update_worker_list();
         }
         let orders = cell.poll();
         let started = orders.iter().find_map(|o| match o {
@@ -245,17 +245,17 @@
         if let Some(at) = at {
             sent += 1;
             if sent == 1 {
-                cell.carry_out_all(orders);
+                cell.execute_all(orders);
                 cell.run(10);
                 cell.crashes.crash(&mut cell.workers[at]);
                 continue;
             }
             cell.crashes.crash(&mut cell.workers[at]);
         }
-        cell.carry_out_all(orders);
+        cell.execute_all(orders);
     }
     cell.run(10_000);
-    assert_eq!(cell.crashes.under.values().sum::<u32>(), 1);
+    assert_eq!(cell.crashes.by_task.values().sum::<u32>(), 1);
     assert_eq!(cell.state(2), Some(JobState::Completed));
 }
 
@@ -266,17 +266,17 @@
     let mut cell = cell(2, 1_000);
     cell.submit(2, QUICK, job(vec![step(1, 1_000, 600)]));
     for _ in 0..2 {
-        while cell.running() == 0 {
+        while cell.running_tasks() == 0 {
             cell.run(5);
         }
         let at = running_at(&cell);
         cell.workers[at].reachable = false;
         cell.run(700);
-        assert_eq!(cell.running(), 0, "it has ended there");
+        assert_eq!(cell.running_tasks(), 0, "it has ended there");
         cell.crashes.crash(&mut cell.workers[at]);
     }
     cell.run(5_000);
-    assert_eq!(cell.crashes.under.len(), 0);
+    assert_eq!(cell.crashes.by_task.len(), 0);
     let fresh: Vec<_> = cell.engine.take_notes().iter().filter_map(counted_as_fresh).collect();
     assert_eq!(fresh, [true, true]);
     assert_eq!(cell.state(2), Some(JobState::Completed));
@@ -291,10 +291,10 @@
         cell.run(1_000);
         let at = running_at(&cell);
         cell.workers[at].leaving = true;
-        cell.list();
+        cell.update_worker_list();
         cell.run(500);
         cell.workers[at].restart(&format!("next-{life}"));
-        cell.list();
+        cell.update_worker_list();
         cell.run(500);
     }
     assert_eq!(cell.engine.stats().crashes, 0);
@@ -331,9 +331,9 @@
         cell.run(3_750);
         let w = cell.worker(&id).expect("the worker");
         w.leaving = true;
-        cell.list();
+        cell.update_worker_list();
         cell.worker(&id).expect("the worker").listed = false;
-        cell.list();
+        cell.update_worker_list();
     }
     cell.run(4_000);
     assert_eq!(cell.state(2), Some(JobState::Completed));
@@ -344,7 +344,7 @@
 fn a_task_that_lasts_is_not_given_up_for_crashes_far_apart() {
     let mut cell = cell(4, 3_300);
     let lasting = RawStep { lasting: true, ..step(1, 1_000, 0) };
-    cell.workers.iter_mut().for_each(|w| w.lasts = true);
+    cell.workers.iter_mut().for_each(|w| w.runs_until_stopped = true);
     cell.submit(2, LARGE, job(vec![lasting]));
     for _ in 0..6 {
         cell.run(12_000);
@@ -354,5 +354,5 @@
     }
     assert_eq!(cell.crashes.count, 6);
     assert_eq!(cell.state(2), Some(JobState::Running));
-    assert_eq!(cell.running(), 1);
+    assert_eq!(cell.running_tasks(), 1);
 }
--- a/crates/hollowford-jobs/tests/failing.rs
+++ b/crates/hollowford-jobs/tests/failing_workers.rs
@@ -10,9 +10,9 @@
 use hollowford_jobs::*;
 
 /// A cell whose first worker fails what it starts, and has done so once.
-fn with_a_failing_worker(workers: usize) -> Cell {
-    let mut cell = Cell::new(workers);
-    cell.workers[0].failing = true;
+fn with_a_failing_worker(workers: usize) -> TestCell {
+    let mut cell = TestCell::new(workers);
+    cell.workers[0].fails_all = true;
     cell.submit(1, QUICK, job(vec![step(1, 1_000, 50)]));
     cell.run(500);
     assert_eq!(cell.state(1), Some(JobState::Completed));
@@ -37,7 +37,7 @@
 #[test]
 fn a_gang_that_needs_such_a_worker_starts_there_all_the_same() {
     let mut cell = with_a_failing_worker(12);
-    cell.workers[0].failing = false;
+    cell.workers[0].fails_all = false;
     cell.submit(2, LARGE, gang(24));
     cell.run(600);
     assert_eq!(cell.state(2), Some(JobState::Completed));
--- a/crates/hollowford-jobs/tests/gangs.rs
+++ b/crates/hollowford-jobs/tests/gangs.rs
@@ -20,14 +20,14 @@
     AdviceCost { decide_ms: 390.0, per_worker_ms: 5.6, validity: Millis(2_000) };
 
 /// A cell in which the step of a gang may run on three workers of ten.
-fn cell() -> Cell {
-    let mut cell = Cell::new(WORKERS);
+fn cell() -> TestCell {
+    let mut cell = TestCell::new(WORKERS);
     cell.set_queues(vec![queue(QUICK, 0, None), queue(LARGE, 1, Some(SLOW))]);
     let seats: Vec<_> = (0..SEATS).map(|i| Seat { address: format!("s{i}").into() }).collect();
     cell.engine.set_seats(&seats);
-    cell.advice_takes_time = true;
-    let barred = (0..WORKERS).filter(|i| i % 10 >= 3);
-    cell.barred = barred.map(|i| format!("w{i}").as_str().into()).collect();
+    cell.delay_advice = true;
+    let excluded_workers = (0..WORKERS).filter(|i| i % 10 >= 3);
+    cell.excluded_workers = excluded_workers.map(|i| format!("w{i}").as_str().into()).collect();
     cell
 }
 
@@ -36,7 +36,7 @@
 }
 
 /// Lets time pass until a job has begun, at most `most`. Returns how long it took.
-fn until_begun(cell: &mut Cell, id: u64, most: u64) -> Option<u64> {
+fn until_begun(cell: &mut TestCell, id: u64, most: u64) -> Option<u64> {
     let began = cell.now;
     while cell.now.since(began).0 < most {
         if cell.state(id) == Some(JobState::Running) {
@@ -57,7 +57,7 @@
 }
 
 /// Keeps about `percent` of the cell's processors busy with tasks of one second, a second long.
-fn keep_busy(cell: &mut Cell, percent: usize, next: &mut u64, ms: u64) {
+fn keep_busy(cell: &mut TestCell, percent: usize, next: &mut u64, ms: u64) {
     let tasks = WORKERS * 16 / 4 * percent / 100;
     let each = 10;
     // A job of ten tasks of four processors, so many a second.
@@ -79,7 +79,7 @@
         cell.submit(id, LARGE, gang(count, cpu));
         keep_busy(&mut cell, 55, &mut next, 1_000);
     }
-    let waits = |cell: &Cell| (1..=4).any(|id| cell.state(id) == Some(JobState::Queued));
+    let waits = |cell: &TestCell| (1..=4).any(|id| cell.state(id) == Some(JobState::Queued));
     let began = cell.now;
     while waits(&cell) && cell.now.since(began).0 < 20_000 {
         keep_busy(&mut cell, 55, &mut next, 100);
@@ -102,7 +102,7 @@
         Order::Advice { workers, .. } => workers.len(),
         Order::Worker { .. } => 0,
     };
-    let named: usize = cell.log.iter().map(named).sum();
+    let named: usize = cell.executed_orders.iter().map(named).sum();
     assert!(named > 300, "{named} workers named while the cell is full");
     let took = until_begun(&mut cell, 1, 10_000).unwrap();
     assert!(took < 2_500, "{took} ms");
@@ -110,11 +110,11 @@
 
 #[test]
 fn a_gang_that_came_too_late_still_runs_while_others_keep_coming() {
-    let mut cell = Cell::new(20);
+    let mut cell = TestCell::new(20);
     let mut next = 100;
     // Ten gangs of 4 every 1.02 s, each of one second: nearly all of the 40 places, always, and
     // most of them wait for some moments, in time.
-    let mut burst = |cell: &mut Cell| {
+    let mut burst = |cell: &mut TestCell| {
         for _ in 0..10 {
             next += 1;
             cell.submit(next, QUICK, job(vec![RawStep { gang: true, ..step(4, 7_600, 1_000) }]));
--- a/crates/hollowford-jobs/tests/leaving.rs
+++ b/crates/hollowford-jobs/tests/leaving.rs
@@ -8,14 +8,14 @@
 use hollowford_jobs::*;
 
 /// A cell in which one of two workers runs a task and then says that it leaves.
-fn leaving(checkpoints: bool, ms: u64) -> (Cell, usize) {
-    let mut cell = Cell::new(2);
+fn leaving(checkpoints: bool, ms: u64) -> (TestCell, usize) {
+    let mut cell = TestCell::new(2);
     cell.submit(1, LARGE, job(vec![RawStep { checkpoints, ..step(1, 1_000, ms) }]));
     cell.run(1_500);
     let at = cell.workers.iter().position(|w| w.starts == 1).expect("a worker");
     cell.workers[at].leaving = true;
     cell.workers[at].remaining = Some(Millis(4_000));
-    cell.list();
+    cell.update_worker_list();
     (cell, at)
 }
 
@@ -54,7 +54,7 @@
     cell.run(1_300);
     let before = cell.now;
     cell.workers[at].listed = false;
-    cell.list();
+    cell.update_worker_list();
     cell.run(200);
     assert_eq!(cell.workers[1 - at].running.len(), 1);
     assert!(cell.now - before < Millis(300));
@@ -66,7 +66,7 @@
     cell.workers[at].reachable = false;
     for _ in 0..20 {
         cell.run(100);
-        cell.judge_twice();
+        cell.assert_no_duplicates();
     }
     assert_eq!(cell.workers[1 - at].running.len(), 0);
 }
--- a/crates/hollowford-jobs/tests/outages.rs
+++ b/crates/hollowford-jobs/tests/outages.rs
@@ -9,8 +9,8 @@
 use hollowford_jobs::*;
 
 /// A cell with one kept job, and the store away from then on.
-fn cell_in_an_outage(ms: u64) -> Cell {
-    let mut cell = Cell::new(3);
+fn cell_in_an_outage(ms: u64) -> TestCell {
+    let mut cell = TestCell::new(3);
     cell.submit(1, LARGE, job(vec![step(1, 1_000, ms)]));
     cell.run(50);
     assert_eq!(cell.engine.is_kept(JobId(1)), Some(true));
@@ -19,7 +19,7 @@
 }
 
 /// Another owner takes over as the store is back.
-fn go_on(cell: &mut Cell) {
+fn go_on(cell: &mut TestCell) {
     cell.take_over();
     cell.store_up = true;
     cell.run(15_000);
@@ -30,12 +30,12 @@
 fn attempts_that_failed_in_an_outage_count_for_the_next_owner() {
     let mut cell = cell_in_an_outage(300);
     for w in &mut cell.workers {
-        w.poison.insert(JobId(1));
+        w.failing_jobs.insert(JobId(1));
     }
     cell.run(5_000);
     go_on(&mut cell);
     assert_eq!(cell.state(1), Some(JobState::Failed));
-    assert_eq!(cell.starts(), 3);
+    assert_eq!(cell.total_starts(), 3);
 }
 
 #[test]
@@ -44,7 +44,7 @@
     cell.run(5_000);
     go_on(&mut cell);
     assert_eq!(cell.state(1), Some(JobState::Completed));
-    assert_eq!(cell.starts(), 1);
+    assert_eq!(cell.total_starts(), 1);
 }
 
 // It was told as pending only, so the next owner may go on with the job, until the caller cancels it again.
@@ -59,7 +59,7 @@
     cell.engine.cancel(JobId(1), cell.now);
     cell.run(2_000);
     assert_eq!(cell.state(1), Some(JobState::Cancelled));
-    assert_eq!(cell.running(), 0);
+    assert_eq!(cell.running_tasks(), 0);
 }
 
 // Its process was suspended for 8 s, which its steady clock doesn't count, and another owner has claimed the workers.
@@ -67,21 +67,21 @@
 #[test]
 fn an_owner_that_was_suspended_starts_nothing() {
     let is_start = |o: &Order| matches!(o, Order::Worker { call: WorkerCall::Start { .. }, .. });
-    let mut cell = Cell::new(3);
+    let mut cell = TestCell::new(3);
     cell.submit(1, QUICK, job(vec![step(1, 1_000, 600)]));
     let mut orders = Vec::new();
     while !orders.iter().any(is_start) {
-        cell.carry_out_all(orders);
+        cell.execute_all(orders);
         cell.now = cell.now + Millis(5);
         orders = cell.poll();
     }
     // The answer to the start is lost.
-    cell.workers.iter_mut().for_each(|w| w.mute = true);
-    cell.carry_out_all(orders);
+    cell.workers.iter_mut().for_each(|w| w.drops_answers = true);
+    cell.execute_all(orders);
     let behind = cell.now;
     let other = Engine::new(2, BOUNDS, cell.now);
     let mut suspended = std::mem::replace(&mut cell.engine, other);
-    cell.workers.iter_mut().for_each(|w| w.mute = false);
+    cell.workers.iter_mut().for_each(|w| w.drops_answers = false);
     cell.take_over();
     cell.run(8_000);
     assert_eq!(cell.state(1), Some(JobState::Completed));
@@ -93,26 +93,26 @@
             cell.call(call, suspended.epoch());
         }
     }
-    assert_eq!(cell.starts(), 1);
+    assert_eq!(cell.total_starts(), 1);
 }
 
 // The start of a task that may crash its worker waits for its row; its worker says meanwhile that it has less room.
 #[test]
 fn a_start_that_waits_for_its_row_is_not_sent_to_a_room_that_has_shrunk() {
-    let mut cell = Cell::new(1);
+    let mut cell = TestCell::new(1);
     cell.crashes.jobs.insert(JobId(1));
     cell.submit(1, QUICK, job(vec![step(1, 1_000, 600)]));
     while cell.crashes.count == 0 {
         cell.run(5);
     }
     while cell.engine.stats().started < 2 {
-        cell.store_up = cell.pending.is_empty() || cell.running() == 0;
+        cell.store_up = cell.pending_batches.is_empty() || cell.running_tasks() == 0;
         cell.run(5);
     }
     cell.store_up = false;
-    assert_eq!(cell.running(), 0, "it waits for its row");
+    assert_eq!(cell.running_tasks(), 0, "it waits for its row");
     cell.workers[0].capacity.cpu_milli = 500;
-    cell.list();
+    cell.update_worker_list();
     cell.store_up = true;
     cell.run(3_000);
     assert_eq!(cell.crashes.count, 1);
@@ -124,7 +124,7 @@
 const KNOWN_AFTER: u64 = 500;
 
 /// Waits until the only task runs, and returns where.
-fn runs_at(cell: &mut Cell) -> usize {
+fn runs_at(cell: &mut TestCell) -> usize {
     for _ in 0..2_000 {
         if let Some(at) = cell.workers.iter().position(|w| !w.running.is_empty()) {
             return at;
@@ -134,13 +134,13 @@
     panic!("it doesn't run: {:?}", cell.state(1));
 }
 
-fn crash(cell: &mut Cell, at: usize) {
-    let Cell { crashes, workers, .. } = cell;
+fn crash(cell: &mut TestCell, at: usize) {
+    let TestCell { crashes, workers, .. } = cell;
     crashes.crash(&mut workers[at]);
 }
 
 /// The task's worker crashes just after the start, and the owner learns of it.
-fn crash_after_the_start(cell: &mut Cell) {
+fn crash_after_the_start(cell: &mut TestCell) {
     let at = runs_at(cell);
     cell.run(100);
     crash(cell, at);
@@ -149,11 +149,11 @@
 
 /// The task ends well in an outage, and its worker crashes later, for a reason of its own. Another owner
 /// goes on: no row tells it of the end, and no worker.
-fn crash_after_the_end_in_an_outage(cell: &mut Cell) {
+fn crash_after_the_end_in_an_outage(cell: &mut TestCell) {
     let at = runs_at(cell);
     cell.store_up = false;
     cell.run(2_000);
-    assert_eq!(cell.running(), 0);
+    assert_eq!(cell.running_tasks(), 0);
     crash(cell, at);
     cell.outage_before = true;
     cell.take_over();
@@ -163,9 +163,9 @@
 }
 
 /// A cell with one job, whose task takes less than two seconds.
-fn cell_with_a_task() -> Cell {
-    let mut cell = Cell::new(6);
-    cell.crashes.down = Millis(DOWN);
+fn cell_with_a_task() -> TestCell {
+    let mut cell = TestCell::new(6);
+    cell.crashes.downtime = Millis(DOWN);
     cell.submit(1, LARGE, job(vec![step(1, 1_000, 1_800)]));
     cell
 }
--- a/crates/hollowford-jobs/tests/restarts.rs
+++ b/crates/hollowford-jobs/tests/restarts.rs
@@ -24,17 +24,17 @@
 use std::collections::BTreeSet;
 
 /// Returns the runs of a job that were ordered.
-fn runs_of(cell: &Cell, id: u64) -> BTreeSet<(TaskKey, u32)> {
+fn runs_of(cell: &TestCell, id: u64) -> BTreeSet<(TaskKey, u32)> {
     let run = |order: &Order| match order {
         Order::Worker { call: WorkerCall::Start { task, run, .. }, .. } => Some((*task, *run)),
         _ => None,
     };
-    cell.log.iter().filter_map(run).filter(|(t, _)| t.step.job == JobId(id)).collect()
+    cell.executed_orders.iter().filter_map(run).filter(|(t, _)| t.step.job == JobId(id)).collect()
 }
 
 /// A cell whose workers have each done some tasks.
-fn cell_that_has_worked(workers: usize) -> Cell {
-    let mut cell = Cell::new(workers);
+fn cell_that_has_worked(workers: usize) -> TestCell {
+    let mut cell = TestCell::new(workers);
     cell.submit(1, QUICK, job(vec![step(16 * workers as u32, 1_000, 100)]));
     cell.run(1_000);
     assert_eq!(cell.state(1), Some(JobState::Completed));
@@ -42,9 +42,9 @@
 }
 
 /// The worker starts again under its id, and the owner has time to see it.
-fn restart(cell: &mut Cell, at: usize) {
-    cell.workers[at].restart_as_itself();
-    cell.list();
+fn restart(cell: &mut TestCell, at: usize) {
+    cell.workers[at].restart_with_same_id();
+    cell.update_worker_list();
     cell.run(500);
 }
 
@@ -64,7 +64,7 @@
     restart(&mut cell, 0);
     restart(&mut cell, 1);
     for w in &mut cell.workers {
-        w.poison.insert(JobId(2));
+        w.failing_jobs.insert(JobId(2));
     }
     cell.submit(2, QUICK, job(vec![step(1, 1_000, 100)]));
     cell.run(10_000);
@@ -75,9 +75,9 @@
 // The cell panics at the third start after the third crash.
 #[test]
 fn a_task_that_crashes_workers_that_are_back_under_their_ids_is_given_up() {
-    let mut cell = Cell::new(6);
+    let mut cell = TestCell::new(6);
     cell.crashes.jobs.insert(JobId(1));
-    (cell.crashes.down, cell.crashes.same_id) = (Millis(700), true);
+    (cell.crashes.downtime, cell.crashes.same_id) = (Millis(700), true);
     cell.submit(1, QUICK, job(vec![step(1, 1_000, 500)]));
     cell.run(60_000);
     assert_eq!(cell.state(1), Some(JobState::Failed));
@@ -88,16 +88,16 @@
     let mut cell = cell_that_has_worked(2);
     let listing = cell.workers[0].listing();
     cell.workers[0].restart("stranger");
-    cell.list();
+    cell.update_worker_list();
     cell.run(500);
     cell.workers[0].restart(listing.life.id().as_str());
     cell.workers[0].restarted_at = Some(cell.now);
     cell.workers[0].address = "10.0.0.77:1".into();
-    cell.list();
+    cell.update_worker_list();
     cell.run(500);
     cell.submit(2, QUICK, job(vec![step(2, 16_000, 200)]));
     cell.run(150);
-    assert_eq!(cell.running(), 2);
+    assert_eq!(cell.running_tasks(), 2);
 }
 
 #[test]
@@ -105,11 +105,11 @@
     let mut cell = cell_that_has_worked(1);
     cell.workers[0].address = "10.0.0.77:1".into();
     restart(&mut cell, 0);
-    cell.log.clear();
+    cell.executed_orders.clear();
     cell.run(500);
     let call =
         |o: &Order| if let Order::Worker { call, .. } = o { Some(call.clone()) } else { None };
-    let calls: Vec<_> = cell.log.iter().filter_map(call).collect();
+    let calls: Vec<_> = cell.executed_orders.iter().filter_map(call).collect();
     assert!(!calls.is_empty());
     assert!(calls.iter().all(|c| **c.address() == *"10.0.0.77:1"), "{calls:?}");
 }
@@ -123,12 +123,12 @@
     restart(&mut cell, 0);
     cell.submit(2, LARGE, job(vec![step(1, 1_000, 20_000)]));
     cell.run(200);
-    assert_eq!(cell.running(), 1);
+    assert_eq!(cell.running_tasks(), 1);
     cell.workers[0].reachable = false;
     cell.workers.push(worker::SimWorker::new(5, cell.now));
-    cell.list();
+    cell.update_worker_list();
     cell.run(15_000);
-    assert_eq!(cell.running(), 1);
+    assert_eq!(cell.running_tasks(), 1);
 }
 
 // A worker may be of another size when it is back. Until the list tells of that life, nothing is known
@@ -136,12 +136,12 @@
 #[test]
 fn nothing_is_started_on_a_life_that_the_list_does_not_tell_of() {
     let mut cell = cell_that_has_worked(1);
-    cell.workers[0].restart_as_itself();
+    cell.workers[0].restart_with_same_id();
     cell.workers[0].capacity = Resources::new(4_000, 64_000, 0);
     cell.run(500);
     cell.submit(2, QUICK, job(vec![step(16, 1_000, 200)]));
     cell.run(500);
-    cell.list();
+    cell.update_worker_list();
     cell.run(3_000);
     assert_eq!(cell.state(2), Some(JobState::Completed));
 }
@@ -153,34 +153,34 @@
     let mut cell = cell_that_has_worked(2);
     cell.submit(2, LARGE, job(vec![step(1, 1_000, 20_000)]));
     let orders = cell.poll();
-    cell.write();
+    cell.write_batches();
     let orders: Vec<_> = orders.into_iter().chain(cell.poll()).collect();
     let is_start = |o: &Order| matches!(o, Order::Worker { call: WorkerCall::Start { .. }, .. });
     let (starts, others): (Vec<_>, Vec<_>) = orders.into_iter().partition(is_start);
-    cell.carry_out_all(others);
+    cell.execute_all(others);
     let [Order::Worker { call, .. }] = &starts[..] else { panic!("{starts:?}") };
     let WorkerCall::Start { worker, task, run, lease_until, .. } = call.clone() else { return };
     cell.engine.start_answered(&worker, (task, run), StartAnswer::Unanswered, cell.now, cell.now);
     let at = cell.workers.iter().position(|w| w.id == *worker.id()).expect("it");
     cell.workers[at].reachable = false;
     cell.run(6_000);
-    assert_eq!(cell.running(), 1);
+    assert_eq!(cell.running_tasks(), 1);
     restart(&mut cell, at);
     let (epoch, spec) = (cell.engine.epoch(), cell.specs[&JobId(2)].clone());
     cell.workers[at].start(task, run, lease_until, epoch, &spec.steps[0], "".into());
-    cell.judge_once(task);
+    cell.assert_runs_once(task);
     cell.run(5_000);
-    assert_eq!(cell.running(), 1);
+    assert_eq!(cell.running_tasks(), 1);
 }
 
 #[test]
 fn tickets_of_the_earlier_life_are_not_used_for_the_next_one() {
-    let mut cell = Cell::new(1);
+    let mut cell = TestCell::new(1);
     let cost = AdviceCost { decide_ms: 5.0, per_worker_ms: 0.1, validity: Millis(60_000) };
     cell.set_queues(vec![queue(QUICK, 0, Some(cost)), queue(LARGE, 1, None)]);
     cell.submit(1, QUICK, job(vec![step(2, 16_000, 2_000)]));
     cell.run(100);
-    assert_eq!(cell.running(), 1);
+    assert_eq!(cell.running_tasks(), 1);
     restart(&mut cell, 0);
     cell.run(6_000);
     assert_eq!(cell.state(1), Some(JobState::Completed));
@@ -190,7 +190,7 @@
 #[test]
 fn what_put_the_earlier_life_aside_is_not_held_against_the_next_one() {
     let mut cell = cell_that_has_worked(2);
-    cell.workers[0].failing = true;
+    cell.workers[0].fails_all = true;
     for id in 2..20 {
         cell.submit(id, QUICK, job(vec![step(2, 8_000, 50)]));
         cell.run(150);
@@ -200,11 +200,11 @@
     restart(&mut cell, 0);
     cell.submit(50, LARGE, job(vec![step(2, 16_000, 5_000)]));
     cell.run(150);
-    assert_eq!(cell.running(), 2);
+    assert_eq!(cell.running_tasks(), 2);
 }
 
 /// A cell whose only worker has started again, with the life that is over.
-fn restarted() -> (Cell, WorkerLife) {
+fn restarted() -> (TestCell, WorkerLife) {
     let mut cell = cell_that_has_worked(1);
     let earlier = cell.workers[0].life();
     restart(&mut cell, 0);
@@ -212,7 +212,7 @@
 }
 
 /// Tells whether the worker is used.
-fn is_used(cell: &mut Cell, id: u64) -> bool {
+fn is_used(cell: &mut TestCell, id: u64) -> bool {
     cell.submit(id, LARGE, job(vec![step(1, 1_000, 60_000)]));
     cell.run(200);
     cell.workers[0].running.keys().any(|t| t.step.job == JobId(id))
@@ -227,7 +227,7 @@
     let (sent, now) = (cell.now - Millis(700), cell.now);
     cell.engine.looked_late(&earlier, LookAnswer::Lists(look), Millis(sent.0), now);
     cell.run(5_000);
-    assert_eq!(cell.running(), 1);
+    assert_eq!(cell.running_tasks(), 1);
     assert_eq!(cell.engine.stats().crashes, 1);
     assert_eq!(runs_of(&cell, 2).len(), 1);
 }
@@ -240,8 +240,8 @@
     let stale = WorkerListing { life: earlier, ..cell.workers[0].listing() };
     cell.engine.list_workers(&[stale], cell.now);
     cell.run(2_000);
-    assert_eq!(cell.running(), 1);
-    cell.list();
+    assert_eq!(cell.running_tasks(), 1);
+    cell.update_worker_list();
     assert!(is_used(&mut cell, 3));
     assert_eq!(runs_of(&cell, 2).len(), 1);
 }
@@ -249,9 +249,9 @@
 // A time of day jumps, also back.
 #[test]
 fn a_life_that_seems_to_have_begun_before_the_earlier_one_is_the_next_one() {
-    let mut cell = Cell::new(1);
+    let mut cell = TestCell::new(1);
     cell.workers[0].restarted_at = Some(cell.now + Millis(60_000));
-    cell.list();
+    cell.update_worker_list();
     cell.run(500);
     restart(&mut cell, 0);
     assert!(is_used(&mut cell, 2));
@@ -259,12 +259,12 @@
 
 #[test]
 fn a_worker_that_does_not_tell_its_lives_apart_works_on() {
-    let mut cell = Cell::new(1);
-    cell.workers[0].tells_lives = false;
+    let mut cell = TestCell::new(1);
+    cell.workers[0].reports_incarnation = false;
     cell.take_over();
-    cell.list();
+    cell.update_worker_list();
     assert!(is_used(&mut cell, 2));
-    cell.list();
+    cell.update_worker_list();
     cell.run(10_000);
     assert_eq!(runs_of(&cell, 2).len(), 1);
 }
@@ -272,45 +272,45 @@
 // A row of an earlier release, or a list that was written before, names an id only.
 #[test]
 fn a_life_that_was_known_by_its_id_is_told_apart_by_its_first_answer() {
-    let mut cell = Cell::new(1);
+    let mut cell = TestCell::new(1);
     assert!(is_used(&mut cell, 2));
     let listing = cell.workers[0].listing();
     let unnamed = |id: &WorkerLife| WorkerLife::new(id.id().clone(), None);
     let row = WorkerAddress { life: unnamed(&listing.life), address: listing.address.clone() };
     cell.rows.insert("workers".into(), encode_workers(&[row]));
-    cell.take_over_unlisted();
+    cell.take_over_without_worker_list();
     cell.engine.set_seats(&[Seat { address: "".into() }]);
     let old = WorkerListing { life: unnamed(&listing.life), ..listing };
     cell.engine.list_workers(&[old], cell.now);
     cell.run(500);
-    cell.list();
+    cell.update_worker_list();
     cell.run(5_000);
     assert!(is_used(&mut cell, 3));
     assert_eq!(runs_of(&cell, 2).len(), 1, "it was taken over as it ran");
     restart(&mut cell, 0);
     cell.run(500);
-    assert_eq!(cell.running(), 2);
+    assert_eq!(cell.running_tasks(), 2);
     assert_eq!(runs_of(&cell, 2).len(), 2);
 }
 
 #[test]
 fn a_next_owner_tells_the_life_that_was_meant_from_the_one_that_is_there() {
-    let mut cell = Cell::new(1);
+    let mut cell = TestCell::new(1);
     assert!(is_used(&mut cell, 2));
     cell.run(1_000);
-    cell.workers[0].restart_as_itself();
+    cell.workers[0].restart_with_same_id();
     cell.take_over();
     cell.run(1_000);
     assert_eq!(cell.engine.stats().crashes, 1);
-    assert_eq!(cell.running(), 1);
+    assert_eq!(cell.running_tasks(), 1);
     assert!(is_used(&mut cell, 3));
 }
 
 /// Has the engine order one start, and returns the call without carrying it out.
-fn ordered_start(cell: &mut Cell, id: u64) -> WorkerCall {
+fn ordered_start(cell: &mut TestCell, id: u64) -> WorkerCall {
     cell.submit(id, LARGE, job(vec![step(1, 1_000, 20_000)]));
     cell.poll();
-    cell.write();
+    cell.write_batches();
     let is_start = |c: &WorkerCall| matches!(c, WorkerCall::Start { .. });
     let calls = cell.poll().into_iter().filter_map(|o| match o {
         Order::Worker { call, .. } => Some(call),
@@ -320,7 +320,7 @@
 }
 
 /// Tells whether a start is the only run of its job.
-fn is_only_run(cell: &Cell, call: &WorkerCall) -> bool {
+fn is_only_run(cell: &TestCell, call: &WorkerCall) -> bool {
     let WorkerCall::Start { task, run, .. } = call else { return false };
     runs_of(cell, task.step.job.0).iter().all(|(_, r)| r == run)
 }
@@ -330,11 +330,11 @@
 fn what_the_next_life_has_begun_is_not_started_elsewhere() {
     let mut cell = cell_that_has_worked(1);
     let call = ordered_start(&mut cell, 2);
-    cell.workers[0].restart_as_itself();
+    cell.workers[0].restart_with_same_id();
     cell.call(call.clone(), cell.engine.epoch());
     cell.workers.push(worker::SimWorker::new(5, cell.now));
     cell.run(3_000);
-    assert_eq!(cell.running(), 1);
+    assert_eq!(cell.running_tasks(), 1);
     assert!(is_only_run(&cell, &call));
     assert_eq!(cell.engine.stats().vanished, 0);
 }
@@ -347,7 +347,7 @@
     let call = ordered_start(&mut cell, 2);
     cell.workers[0].reachable = false;
     cell.run(20);
-    cell.workers[0].restart_as_itself();
+    cell.workers[0].restart_with_same_id();
     let epoch = cell.engine.epoch();
     let WorkerCall::Start { worker, task, run, lease_until, .. } = call.clone() else { return };
     let spec = cell.specs[&JobId(2)].clone();
@@ -362,11 +362,11 @@
 
 /// Has a start go unanswered whose worker starts again meanwhile; then the next life answers it. Of the answer
 /// to a start nobody can tell whose it is.
-fn start_that_the_next_life_answers(cell: &mut Cell, id: u64, silent_ms: u64) -> WorkerCall {
+fn start_that_the_next_life_answers(cell: &mut TestCell, id: u64, silent_ms: u64) -> WorkerCall {
     let call = ordered_start(cell, id);
     cell.workers[0].reachable = false;
     cell.run(silent_ms);
-    cell.workers[0].restart_as_itself();
+    cell.workers[0].restart_with_same_id();
     cell.workers[0].reachable = true;
     cell.call(call.clone(), cell.engine.epoch());
     call
@@ -401,7 +401,7 @@
 // The first answer of a life may come late, when the next one is on the list already.
 #[test]
 fn a_late_first_answer_does_not_end_a_life_that_became_known_after_the_call() {
-    let mut cell = Cell::new(0);
+    let mut cell = TestCell::new(0);
     let mut w = worker::SimWorker::new(0, cell.now);
     cell.engine.list_workers(&[w.listing()], cell.now);
     let sent = cell.now;
@@ -410,16 +410,16 @@
     let earlier = w.life();
     cell.now = cell.now + Millis(100);
     w.tick(cell.now);
-    w.restart_as_itself();
+    w.restart_with_same_id();
     cell.workers.push(w);
-    cell.list();
+    cell.update_worker_list();
     cell.engine.looked_late(&earlier, LookAnswer::Lists(look), sent, cell.now);
     cell.run(1_000);
     assert!(is_used(&mut cell, 2));
 }
 
 /// Tells whether it was counted that a worker has crashed under a task of a job.
-fn is_blamed(cell: &mut Cell, id: u64) -> bool {
+fn is_blamed(cell: &mut TestCell, id: u64) -> bool {
     let blamed =
         |n: &Note| matches!(n, Note::CrashedUnder { task, .. } if task.step.job == JobId(id));
     cell.engine.take_notes().iter().any(blamed)
@@ -429,10 +429,10 @@
 fn what_the_next_life_has_begun_is_not_blamed_for_the_crash_before() {
     let mut cell = cell_that_has_worked(1);
     let call = ordered_start(&mut cell, 2);
-    cell.workers[0].restart_as_itself();
+    cell.workers[0].restart_with_same_id();
     cell.call(call, cell.engine.epoch());
     cell.run(500);
-    assert_eq!(cell.running(), 1);
+    assert_eq!(cell.running_tasks(), 1);
     assert!(!is_blamed(&mut cell, 2));
 }
 
@@ -443,7 +443,7 @@
     assert!(is_used(&mut cell, 2));
     cell.workers[0].address = "10.0.0.77:1".into();
     restart(&mut cell, 0);
-    assert_eq!(cell.running(), 1);
+    assert_eq!(cell.running_tasks(), 1);
 }
 
 #[test]
@@ -459,10 +459,10 @@
 // The answer about the earlier life is on its way when the next one becomes known.
 #[test]
 fn a_ticket_that_was_asked_for_the_earlier_life_is_not_used_for_the_next_one() {
-    let mut cell = Cell::new(1);
+    let mut cell = TestCell::new(1);
     let cost = AdviceCost { decide_ms: 1_000.0, per_worker_ms: 0.1, validity: Millis(60_000) };
     cell.set_queues(vec![queue(QUICK, 0, Some(cost)), queue(LARGE, 1, None)]);
-    cell.advice_takes_time = true;
+    cell.delay_advice = true;
     cell.submit(1, QUICK, job(vec![step(1, 1_000, 500)]));
     cell.run(200);
     restart(&mut cell, 0);
@@ -474,9 +474,9 @@
 // The row of the start names the life that was told; the next owner meets another one under the same id.
 #[test]
 fn a_next_owner_counts_a_crash_of_a_life_whose_id_is_there() {
-    let mut cell = Cell::new(3);
+    let mut cell = TestCell::new(3);
     cell.crashes.jobs.insert(JobId(1));
-    (cell.crashes.down, cell.crashes.same_id) = (Millis(700), true);
+    (cell.crashes.downtime, cell.crashes.same_id) = (Millis(700), true);
     cell.submit(1, QUICK, job(vec![step(1, 1_000, 500)]));
     while cell.crashes.count < 2 {
         cell.run(5);
@@ -490,11 +490,11 @@
 // Two calls were made while a life was known by its id only, and the first is answered late.
 #[test]
 fn a_life_that_is_named_meanwhile_is_known_by_its_earlier_name() {
-    let mut cell = Cell::new(1);
+    let mut cell = TestCell::new(1);
     let (life, address) = (cell.workers[0].life(), cell.workers[0].address.clone());
     let row = WorkerAddress { life: WorkerLife::new(life.id().clone(), None), address };
     cell.rows.insert("workers".into(), encode_workers(std::slice::from_ref(&row)));
-    cell.take_over_unlisted();
+    cell.take_over_without_worker_list();
     let answer = cell.workers[0].look(None, 0, 2);
     assert_eq!(cell.poll().len(), 1);
     cell.engine.looked(&row.life, LookAnswer::Unanswered, cell.now, cell.now);
@@ -503,7 +503,7 @@
     assert_eq!(cell.poll().len(), 1);
     cell.engine.looked_late(&row.life, answer.clone(), sent, cell.now);
     cell.engine.looked(&row.life, answer, cell.now, cell.now);
-    cell.list();
+    cell.update_worker_list();
     cell.engine.set_seats(&[Seat { address: "".into() }]);
     cell.run(1_000);
     assert!(is_used(&mut cell, 2));
@@ -513,9 +513,9 @@
 // life has begun has to be that life's.
 #[test]
 fn a_run_on_record_that_the_next_life_has_begun_is_open_there() {
-    let mut cell = Cell::new(1);
+    let mut cell = TestCell::new(1);
     cell.crashes.jobs.insert(JobId(1));
-    (cell.crashes.down, cell.crashes.same_id) = (Millis(700), true);
+    (cell.crashes.downtime, cell.crashes.same_id) = (Millis(700), true);
     cell.submit(1, LARGE, job(vec![step(1, 1_000, 20_000)]));
     while cell.engine.stats().crashes < 1 {
         cell.run(5);
@@ -528,14 +528,14 @@
         let is_start =
             |o: &Order| matches!(o, Order::Worker { call: WorkerCall::Start { .. }, .. });
         let (mut starts, others): (Vec<_>, Vec<_>) = orders.into_iter().partition(is_start);
-        cell.carry_out_all(others);
+        cell.execute_all(others);
         if let Some(Order::Worker { call, .. }) = starts.pop() {
             break call;
         }
     };
-    cell.workers[0].restart_as_itself();
+    cell.workers[0].restart_with_same_id();
     cell.call(call, cell.engine.epoch());
     cell.run(2_000);
-    assert_eq!(cell.running(), 1);
+    assert_eq!(cell.running_tasks(), 1);
     assert_eq!(cell.engine.stuck_tasks(), Vec::new());
 }
--- a/crates/hollowford-jobs/tests/sharing.rs
+++ b/crates/hollowford-jobs/tests/sharing.rs
@@ -15,18 +15,18 @@
 }
 
 /// A worker with one serving task, and two that fill and add 100 ms each at full pace.
-fn shared(latency_ms: u64) -> Cell {
-    let mut cell = Cell::new(1);
-    cell.workers[0].lasts = true;
+fn shared(latency_ms: u64) -> TestCell {
+    let mut cell = TestCell::new(1);
+    cell.workers[0].runs_until_stopped = true;
     cell.submit(1, QUICK, job(vec![serving(latency_ms)]));
     cell.submit(2, LARGE, job(vec![filling()]));
     cell.run(500);
-    assert_eq!(cell.running(), 3, "what fills takes no processors");
+    assert_eq!(cell.running_tasks(), 3, "what fills takes no processors");
     cell
 }
 
 /// Returns the longest time for which the tail was over the target.
-fn longest_miss(cell: &mut Cell, latency_ms: u32, ms: u64) -> Millis {
+fn longest_miss(cell: &mut TestCell, latency_ms: u32, ms: u64) -> Millis {
     let (mut longest, mut since) = (Millis(0), cell.now);
     let until = cell.now + Millis(ms);
     while cell.now < until {
@@ -50,7 +50,7 @@
         let mut cell = shared(latency_ms);
         let longest = longest_miss(&mut cell, latency_ms as u32, 20_000);
         assert!(longest < Millis(3_500), "{latency_ms} ms was missed for {longest:?}");
-        assert_eq!(cell.running(), 3, "nothing is stopped");
+        assert_eq!(cell.running_tasks(), 3, "nothing is stopped");
     }
 }
 
@@ -67,8 +67,8 @@
 
 #[test]
 fn a_task_that_lasts_starts_again_however_it_ends() {
-    let mut cell = Cell::new(2);
-    cell.workers.iter_mut().for_each(|w| w.lasts = true);
+    let mut cell = TestCell::new(2);
+    cell.workers.iter_mut().for_each(|w| w.runs_until_stopped = true);
     cell.submit(1, QUICK, job(vec![serving(200)]));
     cell.run(200);
     for kind in [EndKind::Failed, EndKind::Failed, EndKind::Failed, EndKind::Failed, EndKind::Done]
@@ -78,7 +78,7 @@
             tasks.into_iter().for_each(|t| w.end(t, kind));
         }
         cell.run(2_500);
-        assert_eq!(cell.running(), 1, "after {kind:?}");
+        assert_eq!(cell.running_tasks(), 1, "after {kind:?}");
         assert_eq!(cell.state(1), Some(JobState::Running));
     }
 }
--- a/crates/hollowford-jobs/tests/stalls.rs
+++ b/crates/hollowford-jobs/tests/stalls.rs
@@ -7,45 +7,45 @@
 
 #[test]
 fn short_tasks_that_stand_still_move_to_another_worker() {
-    let mut cell = Cell::new(2);
+    let mut cell = TestCell::new(2);
     for w in &mut cell.workers {
-        w.hung = true;
+        w.stalled = true;
     }
     cell.submit(1, QUICK, job(vec![step(4, 1_000, 500)]));
     cell.run(300);
-    let hung = cell.workers.iter().position(|w| w.starts > 0).expect("one that got them");
-    cell.workers[1 - hung].hung = false;
+    let stalled = cell.workers.iter().position(|w| w.starts > 0).expect("one that got them");
+    cell.workers[1 - stalled].stalled = false;
     cell.run(3_000);
     assert_eq!(cell.state(1), Some(JobState::Completed));
-    assert_eq!(cell.workers[hung].done(), 0);
+    assert_eq!(cell.workers[stalled].done(), 0);
 }
 
 #[test]
 fn a_worker_that_stands_still_gets_nothing_new() {
-    let mut cell = Cell::new(2);
+    let mut cell = TestCell::new(2);
     cell.submit(1, LARGE, job(vec![step(1, 1_000, 30_000)]));
     cell.run(1_500);
-    let hung = cell.workers.iter().position(|w| w.starts > 0).expect("one that got it");
-    cell.workers[hung].hung = true;
+    let stalled = cell.workers.iter().position(|w| w.starts > 0).expect("one that got it");
+    cell.workers[stalled].stalled = true;
     cell.run(4_000);
-    let before = cell.workers[hung].starts;
+    let before = cell.workers[stalled].starts;
     for id in 2..12 {
         cell.submit(id, QUICK, job(vec![step(2, 1_000, 200)]));
         cell.run(100);
     }
     cell.run(500);
-    assert_eq!(cell.workers[hung].starts, before);
+    assert_eq!(cell.workers[stalled].starts, before);
     assert!((2..12).all(|id| cell.state(id) == Some(JobState::Completed)));
 }
 
 #[test]
 fn a_long_task_that_stands_still_keeps_its_place() {
-    let mut cell = Cell::new(2);
+    let mut cell = TestCell::new(2);
     cell.submit(1, LARGE, job(vec![step(1, 1_000, 10_000)]));
     cell.run(2_000);
-    cell.workers.iter_mut().for_each(|w| w.hung = true);
+    cell.workers.iter_mut().for_each(|w| w.stalled = true);
     cell.run(4_000);
-    cell.workers.iter_mut().for_each(|w| w.hung = false);
+    cell.workers.iter_mut().for_each(|w| w.stalled = false);
     cell.run(12_000);
     assert_eq!(cell.state(1), Some(JobState::Completed));
     assert_eq!(cell.workers.iter().map(|w| w.starts).sum::<u64>(), 1);
@@ -53,8 +53,8 @@
 
 #[test]
 fn a_slow_worker_is_passed_over_while_others_have_room() {
-    let mut cell = Cell::new(3);
-    cell.workers[1].slow = 5;
+    let mut cell = TestCell::new(3);
+    cell.workers[1].slowdown = 5;
     for id in 1..40 {
         cell.submit(id, QUICK, job(vec![step(3, 2_000, 200)]));
         cell.run(60);
--- a/crates/hollowford-jobs/tests/steps.rs
+++ b/crates/hollowford-jobs/tests/steps.rs
@@ -14,13 +14,13 @@
     Arc::new(JobSpec::try_from(raw).unwrap())
 }
 
-fn begun(cell: &Cell) -> u64 {
+fn begun(cell: &TestCell) -> u64 {
     cell.workers.iter().map(|w| w.starts).sum()
 }
 
 #[test]
 fn a_step_starts_after_all_that_it_depends_on() {
-    let mut cell = Cell::new(2);
+    let mut cell = TestCell::new(2);
     let last = RawStep { depends: vec![0, 1], ..step(2, 1_000, 100) };
     cell.submit(1, LARGE, job(vec![step(3, 1_000, 300), step(1, 1_000, 700), last]));
     cell.run(600);
@@ -33,7 +33,7 @@
 
 #[test]
 fn rounds_start_at_their_times_and_not_before() {
-    let mut cell = Cell::new(1);
+    let mut cell = TestCell::new(1);
     let unix = 1_900_000_000_000;
     cell.engine.set_unix_offset(unix - cell.now.0 as i64);
     cell.submit(1, LARGE, scheduled(unix as u64 + 1_000, 500, 3));
@@ -50,7 +50,7 @@
 
 #[test]
 fn a_new_owner_goes_on_with_the_rounds() {
-    let mut cell = Cell::new(1);
+    let mut cell = TestCell::new(1);
     let offset = 1_900_000_000_000 - cell.now.0 as i64;
     cell.engine.set_unix_offset(offset);
     cell.submit(1, LARGE, scheduled((cell.now.0 as i64 + offset) as u64, 400, 4));
@@ -65,16 +65,16 @@
 
 #[test]
 fn a_step_spreads_over_workers_as_far_as_it_asks() {
-    let mut cell = Cell::new(4);
+    let mut cell = TestCell::new(4);
     cell.submit(1, LARGE, job(vec![RawStep { spread: 2, ..step(7, 1_000, 1_000) }]));
     cell.run(300);
-    assert_eq!(cell.running(), 7);
+    assert_eq!(cell.running_tasks(), 7);
     assert!(cell.workers.iter().all(|w| w.running.len() <= 2));
 }
 
 #[test]
 fn a_step_runs_only_on_workers_with_the_label_that_it_requires() {
-    let mut cell = Cell::new(2);
+    let mut cell = TestCell::new(2);
     let wanted = RawStep { requires: "b".into(), ..step(1, 1_000, 100) };
     cell.submit(1, LARGE, job(vec![wanted]));
     cell.run(500);
@@ -87,7 +87,7 @@
 
 #[test]
 fn a_gang_starts_whole_or_not_at_all() {
-    let mut cell = Cell::new(2);
+    let mut cell = TestCell::new(2);
     cell.submit(1, LARGE, job(vec![step(6, 4_000, 2_000)]));
     cell.run(200);
     // Room for two members only.
@@ -104,7 +104,7 @@
 
 #[test]
 fn small_work_does_not_keep_a_gang_out_for_ever() {
-    let mut cell = Cell::new(2);
+    let mut cell = TestCell::new(2);
     let mut id = 10;
     cell.submit(1, LARGE, job(vec![RawStep { gang: true, ..step(2, 14_000, 300) }]));
     let until = cell.now + Millis(20_000);
--- a/crates/hollowford-jobs/tests/takeover.rs
+++ b/crates/hollowford-jobs/tests/takeover.rs
@@ -7,11 +7,11 @@
 use hollowford_jobs::*;
 
 /// Fills the cell with tasks that run for `ms`.
-fn busy(workers: usize, ms: u64) -> Cell {
-    let mut cell = Cell::new(workers);
+fn busy(workers: usize, ms: u64) -> TestCell {
+    let mut cell = TestCell::new(workers);
     cell.submit(1, LARGE, job(vec![step(workers as u32 * 4, 4_000, ms)]));
     cell.run(200);
-    assert_eq!(cell.running(), workers * 4);
+    assert_eq!(cell.running_tasks(), workers * 4);
     cell
 }
 
@@ -21,7 +21,7 @@
     cell.take_over();
     cell.submit(2, QUICK, job(vec![step(4, 4_000, 300)]));
     cell.run(1_000);
-    assert_eq!(cell.running(), 12, "nothing is stopped, and nothing is put on top");
+    assert_eq!(cell.running_tasks(), 12, "nothing is stopped, and nothing is put on top");
     assert_eq!(cell.engine.stats().lapsed, 0);
     cell.run(4_000);
     assert_eq!(cell.state(1), Some(JobState::Completed));
@@ -37,11 +37,11 @@
     let lapse = cell.now + BOUNDS.earlier_lease;
     while cell.now < lapse {
         cell.run(100);
-        cell.judge_twice();
+        cell.assert_no_duplicates();
     }
     cell.run(7_000);
-    cell.judge_twice();
-    assert_eq!(cell.running(), 4, "the others still run where they were");
+    cell.assert_no_duplicates();
+    assert_eq!(cell.running_tasks(), 4, "the others still run where they were");
 }
 
 #[test]
@@ -49,7 +49,7 @@
     let mut cell = busy(1, 300);
     cell.store_up = false;
     cell.run(400);
-    assert_eq!(cell.running(), 0);
+    assert_eq!(cell.running_tasks(), 0);
     cell.store_up = true;
     cell.take_over();
     cell.run(500);
@@ -83,13 +83,13 @@
     }
     cell.take_over();
     cell.run(200);
-    assert_eq!(cell.running(), 0);
+    assert_eq!(cell.running_tasks(), 0);
     assert_eq!(cell.state(1), Some(JobState::Cancelled));
 }
 
 #[test]
 fn runs_of_a_new_owner_are_above_all_that_came_before() {
-    let mut cell = Cell::new(1);
+    let mut cell = TestCell::new(1);
     cell.submit(1, LARGE, job(vec![step(1, 1_000, 60_000)]));
     cell.run(100);
     // The worker crashes, and with it all knowledge of the run.
@@ -102,81 +102,81 @@
 
 #[test]
 fn a_restarted_worker_frees_what_its_earlier_life_held() {
-    let mut cell = Cell::new(1);
+    let mut cell = TestCell::new(1);
     cell.submit(1, LARGE, job(vec![step(1, 1_000, 60_000)]));
     cell.run(100);
     let before = cell.now;
     cell.workers[0].restart("w9");
-    cell.list();
+    cell.update_worker_list();
     cell.run(200);
-    assert_eq!(cell.running(), 1);
+    assert_eq!(cell.running_tasks(), 1);
     assert!(cell.now - before < Millis(300));
 }
 
 #[test]
 fn two_lives_at_one_address_in_the_list_free_nothing_that_runs() {
-    let mut cell = Cell::new(1);
+    let mut cell = TestCell::new(1);
     let old = cell.workers[0].listing();
     cell.workers[0].restart("a-later-life");
-    cell.stale.push(old);
-    cell.list();
+    cell.stale_listings.push(old);
+    cell.update_worker_list();
     cell.submit(1, LARGE, job(vec![step(4, 4_000, 60_000)]));
     cell.run(200);
-    assert_eq!(cell.running(), 4);
+    assert_eq!(cell.running_tasks(), 4);
     // Both entries are listed again and again, and by a new owner in either order.
-    cell.list();
+    cell.update_worker_list();
     cell.run(200);
     cell.take_over();
     cell.run(300);
-    cell.list();
+    cell.update_worker_list();
     cell.submit(2, QUICK, job(vec![step(4, 4_000, 60_000)]));
     cell.run(300);
-    assert_eq!(cell.running(), 4);
+    assert_eq!(cell.running_tasks(), 4);
     assert_eq!(cell.workers[0].starts, 4);
 }
 
 #[test]
 fn an_order_that_was_being_carried_out_at_the_claim_is_counted() {
-    let mut cell = Cell::new(2);
+    let mut cell = TestCell::new(2);
     cell.submit(1, LARGE, job(vec![step(1, 12_000, 60_000)]));
     cell.run(100);
     let at = cell.workers.iter().position(|w| w.starts == 1).expect("a worker");
     let (task, run) = cell.workers[at].running.pop_first().expect("the task");
-    cell.workers[at].in_progress = Some((task, run));
+    cell.workers[at].delayed_start = Some((task, run));
     cell.take_over();
     for id in 2..6 {
         cell.submit(id, QUICK, job(vec![step(2, 8_000, 200)]));
     }
     for _ in 0..100 {
         cell.run(5);
-        cell.judge_room();
-        cell.judge_twice();
+        cell.assert_within_capacity();
+        cell.assert_no_duplicates();
     }
     cell.run(3_000);
     assert!((2..6).all(|id| cell.state(id) == Some(JobState::Completed)));
-    assert_eq!(cell.running(), 1);
+    assert_eq!(cell.running_tasks(), 1);
 }
 
 #[test]
 fn what_is_being_stopped_of_an_ended_job_counts_before_the_workers_size_is_known() {
-    let mut cell = Cell::new(1);
-    cell.workers[0].stop_takes = 400;
+    let mut cell = TestCell::new(1);
+    cell.workers[0].stop_delay_ms = 400;
     cell.submit(1, LARGE, job(vec![step(2, 6_000, 60_000)]));
     cell.run(100);
-    assert_eq!(cell.running(), 2);
+    assert_eq!(cell.running_tasks(), 2);
     // The cancellation is in the store; the owner is lost before it has told the worker.
     cell.engine.cancel(JobId(1), cell.now);
-    cell.write();
+    cell.write_batches();
     assert_eq!(cell.state(1), Some(JobState::Cancelled));
-    cell.take_over_unlisted();
+    cell.take_over_without_worker_list();
     cell.run(100);
-    cell.list();
+    cell.update_worker_list();
     for id in 2..6 {
         cell.submit(id, QUICK, job(vec![step(1, 8_000, 100)]));
     }
     for _ in 0..100 {
         cell.run(5);
-        cell.judge_room();
+        cell.assert_within_capacity();
     }
     cell.run(1_000);
     assert!((2..6).all(|id| cell.state(id) == Some(JobState::Completed)));
--- a/crates/hollowford-jobs/tests/unwritten.rs
+++ b/crates/hollowford-jobs/tests/unsaved_state.rs
@@ -27,18 +27,18 @@
 const CRASHER: u64 = 1;
 
 /// A cell in which that job's tasks crash workers so long after their start.
-fn cell(after: u64) -> Cell {
-    let mut cell = Cell::new(8);
+fn cell(after: u64) -> TestCell {
+    let mut cell = TestCell::new(8);
     cell.crashes.jobs.insert(JobId(CRASHER));
-    cell.crashes.after = Millis(after);
+    cell.crashes.crash_after = Millis(after);
     cell
 }
 
-fn submit(cell: &mut Cell) {
+fn submit(cell: &mut TestCell) {
     cell.submit(CRASHER, QUICK, job(vec![step(1, 1_000, 600)]));
 }
 
-fn until(cell: &mut Cell, what: impl Fn(&Cell) -> bool) {
+fn until(cell: &mut TestCell, what: impl Fn(&TestCell) -> bool) {
     for _ in 0..20_000 {
         if what(cell) {
             return;
@@ -57,16 +57,16 @@
 )]
 fn an_outage_and_another_owner_hide_one_crash_at_most(after: u64, outage: u64) {
     let mut cell = cell(after);
-    cell.crashes.down = Millis(1_000);
+    cell.crashes.downtime = Millis(1_000);
     submit(&mut cell);
     until(&mut cell, |c| c.engine.is_kept(JobId(CRASHER)) == Some(true));
     cell.store_up = false;
-    cell.crashes.in_touch = false;
+    cell.crashes.store_healthy = false;
     cell.run(outage);
     assert!(cell.crashes.count >= 1, "it was started in the outage");
     cell.take_over();
     cell.store_up = true;
-    cell.crashes.in_touch = true;
+    cell.crashes.store_healthy = true;
     until(&mut cell, |c| c.state(CRASHER) == Some(JobState::Failed));
     assert!(cell.crashes.count <= 5, "{} crashes", cell.crashes.count);
 }
@@ -89,13 +89,13 @@
 }
 
 /// Lets time pass, with batches that take 30 ms each.
-fn until_slowly(cell: &mut Cell, what: impl Fn(&Cell) -> bool) {
+fn until_slowly(cell: &mut TestCell, what: impl Fn(&TestCell) -> bool) {
     let mut since = cell.now;
     while !what(cell) {
-        if cell.pending.is_empty() {
+        if cell.pending_batches.is_empty() {
             since = cell.now;
         } else if cell.now.since(since) >= Millis(30) {
-            cell.write_one(0);
+            cell.write_batch(0);
             since = cell.now;
         }
         cell.run(5);
@@ -105,7 +105,7 @@
 // The round has begun, and the next owner doesn't know: the worker that runs it doesn't answer at first.
 #[test]
 fn a_round_of_another_owner_runs_once_with_failing_workers() {
-    let mut cell = Cell::new(3);
+    let mut cell = TestCell::new(3);
     let schedule = Schedule { first_unix_ms: cell.now.0 + 500, interval_ms: 60_000, rounds: 1 };
     let raw = RawJob {
         template: "t".into(),
@@ -116,13 +116,13 @@
     cell.submit(2, QUICK, spec);
     cell.run(100);
     cell.store_up = false;
-    until(&mut cell, |c| c.running() == 1);
+    until(&mut cell, |c| c.running_tasks() == 1);
     let at = cell.workers.iter().position(|w| !w.running.is_empty()).expect("it runs");
     cell.workers[at].reachable = false;
     cell.take_over();
     cell.store_up = true;
     cell.run(1_000);
-    assert_eq!(cell.running(), 1, "it runs in one place");
+    assert_eq!(cell.running_tasks(), 1, "it runs in one place");
     cell.workers[at].reachable = true;
     cell.run(9_000);
     assert_eq!(cell.state(2), Some(JobState::Completed));
@@ -131,7 +131,7 @@
 // One job runs, one waits, and the worker of a third is cut off for good, two seconds after its start.
 #[test]
 fn what_has_crashed_nothing_goes_on_in_an_outage() {
-    let mut cell = Cell::new(2);
+    let mut cell = TestCell::new(2);
     for id in 2..4 {
         cell.submit(id, LARGE, job(vec![step(1, 16_000, 3_000)]));
     }
--- a/crates/hollowford-jobs/tests/conserving.rs
+++ b/crates/hollowford-jobs/tests/work_conserving.rs
@@ -45,21 +45,21 @@
     Some(AdviceCost { decide_ms, per_worker_ms, validity: Millis(2_000) })
 }
 
-fn cell() -> Cell {
-    let mut cell = Cell::new(WORKERS);
+fn cell() -> TestCell {
+    let mut cell = TestCell::new(WORKERS);
     cell.set_queues(vec![
         Queue { stretch: 1.5, slack: Millis(250), ..queue(QUICK, 0, cost(5.6, 0.08)) },
         Queue { max_attempts: 4, ..queue(SURVEY, 2, cost(42.0, 0.6)) },
         Queue { max_attempts: 4, ..queue(LARGE, 1, cost(480.0, 6.8)) },
     ]);
-    cell.good_percent = [(QUICK, 70), (SURVEY, 45), (LARGE, 30)]
+    cell.eligible_percent = [(QUICK, 70), (SURVEY, 45), (LARGE, 30)]
         .into_iter()
         .map(|(q, percent)| (q.into(), percent))
         .collect();
-    cell.advice_takes_time = true;
+    cell.delay_advice = true;
     let seats: Vec<_> = (0..SEATS).map(|i| Seat { address: format!("s{i}").into() }).collect();
     cell.engine.set_seats(&seats);
-    (cell.crashes.down, cell.crashes.after) = (Millis(3_300), Millis(10));
+    (cell.crashes.downtime, cell.crashes.crash_after) = (Millis(3_300), Millis(10));
     cell
 }
 
@@ -86,7 +86,7 @@
 }
 
 impl Judge {
-    fn look(&mut self, cell: &Cell) {
+    fn look(&mut self, cell: &TestCell) {
         let waits = cell.engine.step_waits(cell.now);
         let could = |w: &&StepWait| w.cause != WaitCause::HeldBack && could_run(cell, w.step);
         let now: BTreeMap<_, _> = waits.iter().filter(could).map(|w| (w.step, *w)).collect();
@@ -101,7 +101,7 @@
 }
 
 /// Tells whether a step has nothing running, and has room twice over while less than half of the cell is in use.
-fn could_run(cell: &Cell, step: StepKey) -> bool {
+fn could_run(cell: &TestCell, step: StepKey) -> bool {
     let up = || cell.workers.iter().filter(|w| w.up);
     let used: u32 = up().map(|w| w.used().cpu_milli).sum();
     let all: u32 = cell.workers.iter().map(|w| w.capacity.cpu_milli).sum();
@@ -115,7 +115,7 @@
         let (need, free) = (spec.room(), w.capacity.minus(&w.used()));
         (free.cpu_milli / need.cpu_milli.max(1)).min(free.memory_mib / need.memory_mib.max(1))
     };
-    up().filter(|w| cell.may_run(step, &w.id)).map(places).sum::<u32>() >= 2 * wanted
+    up().filter(|w| cell.is_eligible(step, &w.id)).map(places).sum::<u32>() >= 2 * wanted
 }
 
 /// Plays a day of whose surveys so many in a hundred crash their workers at first. Returns for how long a step
