--- a/crates/hollowford-jobs/tests/backlog.rs
+++ b/crates/hollowford-jobs/tests/backlog.rs
@@ -35,7 +35,7 @@
     }
     let before = steps_tried(&cell);
     cell.run(100);
-    // One full pass over all 2,100 steps, and at most 19 partial ones caused by answers to looks.
+    // One full pass over all 2,100 steps, and at most 19 partial ones, since workers answer looks meanwhile.
     assert!(
         steps_tried(&cell) - before <= 2_100 + 19 * 200,
         "{} tries",
--- a/crates/hollowford-jobs/tests/batches.rs
+++ b/crates/hollowford-jobs/tests/batches.rs
@@ -91,7 +91,7 @@
 #[test]
 fn progress_is_written_while_more_jobs_arrive_than_a_batch_takes() {
     let mut cell = TestCell::new(8);
-    // Each of these has a task that ends and one that goes on.
+    // Each of these has a task that ends and one that runs on.
     for i in 0..20 {
         let spec = job(vec![step(1, 1_000, 50), step(1, 1_000, 60_000)]);
         cell.submit(scattered_id(i), QUICK, spec);
--- a/crates/hollowford-jobs/tests/common/mod.rs
+++ b/crates/hollowford-jobs/tests/common/mod.rs
@@ -88,7 +88,7 @@
     pub job_queues: BTreeMap<JobId, Arc<str>>,
     /// The client account of each job.
     pub job_accounts: BTreeMap<JobId, String>,
-    /// Listings of earlier incarnations of workers.
+    /// Listings of earlier incarnations of workers; not passed to the engine.
     pub stale_listings: Vec<WorkerListing>,
     /// Every order that was executed, oldest first.
     pub executed_orders: Vec<Order>,
--- a/crates/hollowford-jobs/tests/common/scenario.rs
+++ b/crates/hollowford-jobs/tests/common/scenario.rs
@@ -38,10 +38,10 @@
     pub takeovers: u64,
     pub outages: u64,
     /// Percentage of the outages that are followed by a takeover.
-    pub owner_lost: u32,
+    pub owner_lost_percent: u32,
     /// The store refuses the batches in flight.
     pub refusals: u64,
-    /// A worker is unreachable for a while; its tasks go on.
+    /// A worker is unreachable for a while; its tasks run on.
     pub disconnects: u64,
     /// A worker's answers are lost for a while; it executes the orders.
     pub lost_answers: u64,
@@ -86,7 +86,7 @@
     /// When silent workers answer again, by address.
     silent_until: BTreeMap<Arc<str>, Millis>,
     /// When leaving workers are gone, by address.
-    leaving: BTreeMap<Arc<str>, Millis>,
+    departs_at: BTreeMap<Arc<str>, Millis>,
     /// Number of workers that have replaced one that left.
     replacements: u64,
     /// Whether to print the engine's events.
@@ -116,7 +116,7 @@
             store_failed_at: Millis(0),
             write_due_at: None,
             silent_until: BTreeMap::new(),
-            leaving: BTreeMap::new(),
+            departs_at: BTreeMap::new(),
             replacements: 0,
             traced: false,
         };
@@ -211,9 +211,9 @@
             self.cell.update_worker_list();
         }
         self.write_due_batch(now);
-        let well =
+        let is_healthy =
             now >= self.store_back_at && now.since(self.store_failed_at) >= STORE_HEALTHY_AFTER;
-        self.cell.crashes.store_healthy = well;
+        self.cell.crashes.store_healthy = is_healthy;
         // With a delay, `write_due_batch` writes the batches instead of the cell.
         self.cell.store_up = self.batch_ms == 0 && now >= self.store_back_at;
         self.cell.run(TICK_MS);
@@ -293,7 +293,7 @@
         if self.occurs(f.outages) && !is_store_down {
             self.store_back_at = now + Millis(self.rng.u64(300..9_000));
             self.last_outage = (now, self.store_back_at);
-            self.owner_lost = self.rng.u32(0..100) < f.owner_lost;
+            self.owner_lost = self.rng.u32(0..100) < f.owner_lost_percent;
         }
         if self.occurs(f.refusals) && !is_store_down {
             self.cell.refuse_pending();
@@ -355,13 +355,13 @@
             return;
         }
         let gone = w.now + Millis(self.rng.u64(500..MAX_LEAVE_MS));
-        self.leaving.insert(w.address.clone(), gone);
+        self.departs_at.insert(w.address.clone(), gone);
         self.cell.update_worker_list();
     }
 
     /// Replaces the workers that have left. Returns true if there were any.
     fn replace_departed(&mut self, now: Millis) -> bool {
-        let gone: Vec<_> = self.leaving.extract_if(.., |_, at| *at <= now).collect();
+        let gone: Vec<_> = self.departs_at.extract_if(.., |_, at| *at <= now).collect();
         for (address, _) in &gone {
             let w = self.cell.workers.iter_mut().find(|w| w.address == *address);
             if let Some(w) = w.filter(|w| w.up && w.leaving) {
@@ -425,21 +425,21 @@
     }
 
     fn find_faults(&self) -> Vec<String> {
-        let mut wrong = Vec::new();
+        let mut faults = Vec::new();
         for (_, id, ..) in &self.submissions {
             let state = self.ended.get(id).copied();
             if !self.durable.contains(id) {
-                wrong.push(format!("job {id} was never durable"));
+                faults.push(format!("job {id} was never durable"));
             } else if !self.is_as_expected(*id) {
                 let running = self.cell.running_tasks();
-                wrong.push(format!(
+                faults.push(format!(
                     "job {id} has not ended: {state:?}, {running} tasks run in the cell"
                 ));
             } else if state == Some(JobState::Failed) && !self.crashed_twice(*id) {
-                wrong.push(format!("job {id} failed without two crashes under one of its tasks"));
+                faults.push(format!("job {id} failed without two crashes under one of its tasks"));
             }
         }
-        wrong
+        faults
     }
 
     /// Returns true if two workers have crashed under the same task of a job.
--- a/crates/hollowford-jobs/tests/crash_scenarios.rs
+++ b/crates/hollowford-jobs/tests/crash_scenarios.rs
@@ -42,32 +42,32 @@
     let first = env_number("FIRST", 1);
     let (next, end) = (AtomicU64::new(first), first + env_number("PLAYS", DEFAULT_SEEDS));
     let worker = || {
-        let mut wrong = Vec::new();
+        let mut faults = Vec::new();
         loop {
             let seed = next.fetch_add(1, Ordering::Relaxed);
             if seed >= end {
-                return wrong;
+                return faults;
             }
-            wrong.extend(
+            faults.extend(
                 run_scenario(seed, failures).into_iter().map(|w| format!("seed {seed}: {w}")),
             );
         }
     };
-    let wrong: Vec<String> = thread::scope(|s| {
+    let faults: Vec<String> = thread::scope(|s| {
         let threads: Vec<_> = (0..THREADS).map(|_| s.spawn(worker)).collect();
         threads.into_iter().flat_map(|t| t.join().expect("thread should not panic")).collect()
     });
     assert!(
-        wrong.is_empty(),
+        faults.is_empty(),
         "{} faults, seeds {first}..{end}:\n{}",
-        wrong.len(),
-        wrong.join("\n")
+        faults.len(),
+        faults.join("\n")
     );
 }
 
 const OUTAGES: Failures = Failures {
     outages: 9_000,
-    owner_lost: 0,
+    owner_lost_percent: 0,
     takeovers: 0,
     refusals: 0,
     disconnects: 0,
@@ -79,7 +79,7 @@
 };
 const NONE: Failures = Failures { outages: 0, ..OUTAGES };
 const TAKEOVERS: Failures = Failures { takeovers: 4_000, ..NONE };
-const OUTAGES_AND_TAKEOVERS: Failures = Failures { owner_lost: 70, ..OUTAGES };
+const OUTAGES_AND_TAKEOVERS: Failures = Failures { owner_lost_percent: 70, ..OUTAGES };
 const WORKER_FAILURES: Failures = Failures {
     takeovers: 6_000,
     refusals: 4_000,
@@ -90,7 +90,7 @@
     departures: 8_000,
     ..NONE
 };
-const ALL: Failures = Failures { outages: 12_000, owner_lost: 50, ..WORKER_FAILURES };
+const ALL: Failures = Failures { outages: 12_000, owner_lost_percent: 50, ..WORKER_FAILURES };
 
 const REUSED_IDS: Failures = Failures { reuse_ids: true, ..NONE };
 const TAKEOVERS_AND_REUSED_IDS: Failures = Failures { reuse_ids: true, ..TAKEOVERS };
@@ -169,7 +169,7 @@
     assert_eq!(run_scenario(seed, ALL), Vec::<String>::new(), "seed {seed}");
 }
 
-// Known failure, see KNOWN-RED.txt. Crashes that the task did not cause still add up and fail its job: four crashes of any
+// Known failure, see KNOWN-RED.txt. Crashes that the task did not cause still add up and fail its job: four of any
 // kind, some of them after ends that were lost in an outage (the first three seeds), or three soon after a start.
 #[parameterized(
     four_of_any_kind = { 1954, ALL },
--- a/crates/hollowford-jobs/tests/work_conserving.rs
+++ b/crates/hollowford-jobs/tests/work_conserving.rs
@@ -61,11 +61,11 @@
 }
 
 fn draw_step(kind: usize, rng: &mut Rng) -> (&'static str, RawStep) {
-    let about = |rng: &mut Rng, n: u64| rng.u64(n / 2..n * 3 / 2);
+    let jitter = |rng: &mut Rng, n: u64| rng.u64(n / 2..n * 3 / 2);
     let mut sized = |count: u64, cpu: u64, memory: u64, ms: u64| {
-        let (count, cpu) = (about(rng, count).max(1) as u32, about(rng, cpu) as u32);
-        let raw = step(count, cpu, about(rng, ms));
-        RawStep { need: Resources::new(cpu, about(rng, memory) as u32, 0), ..raw }
+        let (count, cpu) = (jitter(rng, count).max(1) as u32, jitter(rng, cpu) as u32);
+        let raw = step(count, cpu, jitter(rng, ms));
+        RawStep { need: Resources::new(cpu, jitter(rng, memory) as u32, 0), ..raw }
     };
     match kind {
         0 => (QUICK, sized(2, 1_400, 5_000, 640)),
@@ -78,8 +78,9 @@
 #[derive(Default)]
 struct WaitTracker {
     runnable_since: BTreeMap<StepKey, Millis>,
-    longest: Millis,
-    worst: Option<StepWait>,
+    longest_wait: Millis,
+    /// The step with the longest wait, and what it waited for.
+    worst_wait: Option<StepWait>,
 }
 
 impl WaitTracker {
@@ -90,8 +91,8 @@
         self.runnable_since.retain(|step, _| now.contains_key(step));
         for (step, wait) in now {
             let waited = cell.now.since(*self.runnable_since.entry(step).or_insert(cell.now));
-            if waited > self.longest {
-                (self.longest, self.worst) = (waited, Some(wait));
+            if waited > self.longest_wait {
+                (self.longest_wait, self.worst_wait) = (waited, Some(wait));
             }
         }
     }
@@ -155,12 +156,22 @@
 )]
 fn a_step_that_could_run_does_not_wait(seed: u64, crashing_percent: u32) {
     let tracker = track_waits(seed, crashing_percent);
-    assert!(tracker.longest <= MAX_WAIT, "{:?}: {:?}", tracker.longest, tracker.worst);
+    assert!(
+        tracker.longest_wait <= MAX_WAIT,
+        "{:?}: {:?}",
+        tracker.longest_wait,
+        tracker.worst_wait
+    );
 }
 
 // Known failure, see KNOWN-RED.txt: more gangs wait at once than advice calls can be made for in that time.
 #[test]
 fn what_could_run_waits_in_a_long_backlog_of_gangs() {
     let tracker = track_waits(1, 6);
-    assert!(tracker.longest <= MAX_WAIT, "{:?}: {:?}", tracker.longest, tracker.worst);
+    assert!(
+        tracker.longest_wait <= MAX_WAIT,
+        "{:?}: {:?}",
+        tracker.longest_wait,
+        tracker.worst_wait
+    );
 }
