--- a/crates/hollowford-jobs/tests/restarts.rs
+++ b/crates/hollowford-jobs/tests/restarts.rs
@@ -3,8 +3,9 @@
 //! A restarted worker knows nothing of its earlier incarnation, and numbers its ends from 1. If the
 //! owner tells workers apart by their ids only, it ignores ends whose numbers it has already seen
 //! and acknowledges them unread. Completed tasks then start again, failed tasks start more often
-//! than their queue allows, and the crash is not counted. The owner must also not apply the lease,
-//! clock, capacity, address, tickets or health of the earlier incarnation to the next one.
+//! than their queue allows, and interrupted tasks are given up as vanished without counting the
+//! crash. The owner must also not apply the lease, clock, capacity, address, tickets or health of
+//! the earlier incarnation to the next one.
 #![allow(clippy::expect_used)]
 
 mod common;
