--- a/crates/hollowford-jobs/benches/ledger.rs
+++ b/crates/hollowford-jobs/benches/ledger.rs
@@ -108,12 +108,12 @@
         {
             let batch = entry.remove();
             written += batch.rows.len() as u64;
-            self.engine.committed(batch.number, Millis(self.now));
+            self.engine.batch_committed(batch.number, Millis(self.now));
             let rows = batch.rows.into_iter().filter_map(|r| Some((r.key, r.value?)));
             self.rows.extend(rows);
         }
         let may_cut = self.under_way.len() < self.lanes && self.now >= self.cut_at + GAP;
-        if may_cut && let Some(batch) = self.engine.cut_batch(Millis(self.now)) {
+        if may_cut && let Some(batch) = self.engine.next_batch(Millis(self.now)) {
             self.cut_at = self.now;
             let there = self.now + self.way / 2;
             self.turn_ends = self.turn_ends.max(there) + self.turn;
--- a/crates/hollowford-jobs/src/accounts.rs
+++ b/crates/hollowford-jobs/src/accounts.rs
@@ -237,7 +237,7 @@
     let mut sum = Totals::default();
     for round in &job.rounds {
         for (step, spec) in round.steps.iter().zip(&job.spec.steps) {
-            let tasks = step.tasks.iter().filter(|t| t.unsettled && t.at.is_none()).count();
+            let tasks = step.tasks.iter().filter(|t| t.unsettled && t.worker.is_none()).count();
             sum.plus(&Totals::of(&spec.room(), tasks as u32));
         }
     }
--- a/crates/hollowford-jobs/src/answers.rs
+++ b/crates/hollowford-jobs/src/answer_timeouts.rs
@@ -8,49 +8,49 @@
 
 /// Shortest time limit of a call. Workers answer within some milliseconds; the owner itself may
 /// be late by some tens.
-const LEAST_LIMIT: Millis = Millis(60);
+const MIN_ANSWER_TIMEOUT: Millis = Millis(60);
 /// Longest time limit of a call, and the one of a worker that has not answered yet.
-const MOST_LIMIT: Millis = Millis(400);
+const MAX_ANSWER_TIMEOUT: Millis = Millis(400);
 /// The limit doubles with each call without an answer, so many times at most.
-const MOST_DOUBLINGS: u32 = 3;
+const MAX_DOUBLINGS: u32 = 3;
 /// The pause after the first look without an answer; it doubles with each further one.
-const FIRST_PAUSE: Millis = Millis(40);
+const MIN_LOOK_PAUSE: Millis = Millis(40);
 /// The longest pause after a look without an answer.
-const MOST_PAUSE: Millis = Millis(250);
+const MAX_LOOK_PAUSE: Millis = Millis(250);
 
 /// Weight of the newest call in the share of lost answers: some 250 calls are remembered, which
 /// is about a second of a cell of 48 workers.
 const LOSS_WEIGHT: f32 = 1.0 / 256.0;
 /// Up to this share of lost answers looks wait for the longest time.
-const RARE_LOSS: f32 = 0.005;
+const MAX_RARE_LOSS_SHARE: f32 = 0.005;
 /// How long a look may wait for an end. Leases are renewed at this pace, three times in one.
-pub(crate) const LONGEST_WAIT: Millis = Millis(1_000);
+pub(crate) const MAX_LOOK_WAIT: Millis = Millis(1_000);
 /// How long a look may wait for an end however many answers are lost.
-const SHORTEST_WAIT: Millis = Millis(150);
+const MIN_LOOK_WAIT: Millis = Millis(150);
 
 /// Returns how long to wait for the next answer of a worker, after `unanswered` calls without one.
-pub(crate) fn limit(times: &AnswerTimes, unanswered: u32) -> Millis {
-    let Some(expected) = times.expected() else { return MOST_LIMIT };
-    let doubled = expected.max(LEAST_LIMIT).0 << unanswered.min(MOST_DOUBLINGS);
-    Millis(doubled).min(MOST_LIMIT)
+pub(crate) fn answer_timeout(times: &AnswerTimes, unanswered: u32) -> Millis {
+    let Some(expected) = times.expected() else { return MAX_ANSWER_TIMEOUT };
+    let doubled = expected.max(MIN_ANSWER_TIMEOUT).0 << unanswered.min(MAX_DOUBLINGS);
+    Millis(doubled).min(MAX_ANSWER_TIMEOUT)
 }
 
 /// Returns the pause until the next look, after `unanswered` calls without an answer.
-pub(crate) fn pause_after(unanswered: u32) -> Millis {
-    let doublings = unanswered.saturating_sub(1).min(MOST_DOUBLINGS);
-    Millis(FIRST_PAUSE.0 << doublings).min(MOST_PAUSE)
+pub(crate) fn look_pause(unanswered: u32) -> Millis {
+    let doublings = unanswered.saturating_sub(1).min(MAX_DOUBLINGS);
+    Millis(MIN_LOOK_PAUSE.0 << doublings).min(MAX_LOOK_PAUSE)
 }
 
 /// The share of calls whose answers were lost lately: workers that answered the next call had
 /// not answered these.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Losses {
+pub(crate) struct AnswerLoss {
     share: f32,
 }
 
-impl Losses {
+impl AnswerLoss {
     /// Takes in a call that was answered, or not.
-    pub fn note(&mut self, lost: bool) {
+    pub fn record(&mut self, lost: bool) {
         let newest = if lost { 1.0 } else { 0.0 };
         self.share += (newest - self.share) * LOSS_WEIGHT;
     }
@@ -62,10 +62,10 @@
 
     /// Returns how long a look may wait for an end.
     pub fn look_wait(&self) -> Millis {
-        if self.share <= RARE_LOSS {
-            return LONGEST_WAIT;
+        if self.share <= MAX_RARE_LOSS_SHARE {
+            return MAX_LOOK_WAIT;
         }
-        let wait = LONGEST_WAIT.0 as f32 * RARE_LOSS / self.share;
-        Millis(wait as u64).max(SHORTEST_WAIT)
+        let wait = MAX_LOOK_WAIT.0 as f32 * MAX_RARE_LOSS_SHARE / self.share;
+        Millis(wait as u64).max(MIN_LOOK_WAIT)
     }
 }
--- a/crates/hollowford-jobs/src/audit.rs
+++ b/crates/hollowford-jobs/src/audit.rs
@@ -7,7 +7,7 @@
 
 /// Why a task can never be started again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stuck {
+pub enum StuckTask {
     /// It is placed on a worker that doesn't hold it, so no end of it will be told.
     NotHeld {
         /// The task.
@@ -31,26 +31,26 @@
     },
 }
 
-impl Display for Stuck {
+impl Display for StuckTask {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Stuck::NotHeld { task, run } => write!(f, "{task} run {run} is held nowhere"),
-            Stuck::Unwritten { task, row } => {
+            StuckTask::NotHeld { task, run } => write!(f, "{task} run {run} is held nowhere"),
+            StuckTask::Unwritten { task, row } => {
                 write!(f, "{task} waits for row {row}, never written")
             }
-            Stuck::OpenNowhere { task, run } => write!(f, "{task} run {run} is open nowhere"),
+            StuckTask::OpenNowhere { task, run } => write!(f, "{task} run {run} is open nowhere"),
         }
     }
 }
 
 impl Engine {
     /// Returns the tasks that wait for what can't come; none as long as the engine is right.
-    pub fn stuck_tasks(&self) -> Vec<Stuck> {
+    pub fn stuck_tasks(&self) -> Vec<StuckTask> {
         let open = self.jobs.open().filter(|j| j.end.is_none());
         open.flat_map(|job| self.stuck_of_job(job)).collect()
     }
 
-    fn stuck_of_job(&self, job: &Job) -> Vec<Stuck> {
+    fn stuck_of_job(&self, job: &Job) -> Vec<StuckTask> {
         let mut out = Vec::new();
         for round in &job.rounds {
             for (step, s) in round.steps.iter().enumerate() {
@@ -65,26 +65,26 @@
         out
     }
 
-    fn stuck_of_task(&self, task: TaskKey, t: &Task, out: &mut Vec<Stuck>) {
-        if let Some(idx) = t.at {
+    fn stuck_of_task(&self, task: TaskKey, t: &Task, out: &mut Vec<StuckTask>) {
+        if let Some(idx) = t.worker {
             let held = self.workers.get(idx).and_then(|w| w.find(task, t.run));
             if held.is_none() {
-                out.push(Stuck::NotHeld { task, run: t.run });
+                out.push(StuckTask::NotHeld { task, run: t.run });
             }
         }
-        for r in t.suspicion.iter().flat_map(|s| &s.open_runs) {
+        for r in t.crash_record.iter().flat_map(|s| &s.open_runs) {
             let idx = self.workers.find(&r.worker);
             let w = idx.and_then(|idx| self.workers.get(idx));
-            if !w.is_some_and(|w| w.may_tell_of(task, r.run)) {
-                out.push(Stuck::OpenNowhere { task, run: r.run });
+            if !w.is_some_and(|w| w.tracks_run(task, r.run)) {
+                out.push(StuckTask::OpenNowhere { task, run: r.run });
             }
         }
     }
 }
 
 /// Tells whether a task waits for a row that is not to come: none is under way or to be cut.
-fn stuck_of_row(job: &Job, task: TaskKey, t: &Task) -> Option<Stuck> {
-    let row = t.suspicion.as_ref()?.unwritten_row?;
-    let to_come = job.progressed || row <= job.rows_cut;
-    (!to_come).then_some(Stuck::Unwritten { task, row })
+fn stuck_of_row(job: &Job, task: TaskKey, t: &Task) -> Option<StuckTask> {
+    let row = t.crash_record.as_ref()?.unwritten_row?;
+    let to_come = job.progress_unwritten || row <= job.progress_rows_built;
+    (!to_come).then_some(StuckTask::Unwritten { task, row })
 }
--- a/crates/hollowford-jobs/src/batch.rs
+++ b/crates/hollowford-jobs/src/batch.rs
@@ -4,32 +4,35 @@
 //! is in one of them at a time, so that its rows are written in order; what changes of it
 //! meanwhile goes into a later one.
 
-use crate::dirty::ONE_IN;
 use crate::engine::Engine;
-use crate::job::EndAt;
+use crate::job::EndRef;
 use crate::job::JobState;
 use crate::progress_rows::ProgressRow;
 use crate::rows::{JobRow, WorkerAddress, encode_workers};
 use crate::spec::JobId;
 use crate::worker::Worker;
+use crate::write_queue::BACKGROUND_POP_INTERVAL;
 use hollowford_core::Millis;
 use prost::Message;
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::BTreeMap;
 
 /// Most rows that one job writes: its own and its progress.
-const ROWS_OF_JOB: usize = 2;
+const MAX_ROWS_PER_JOB: usize = 2;
 /// Rows of jobs in one batch. A transaction takes 100 entries; the others are for the owner, the
 /// workers, and jobs that are forgotten.
-const MOST_ROWS: usize = 89;
-/// Jobs that somebody waits for in one batch, some: one in [`ONE_IN`] is another one, and as many
+const MAX_JOB_ROWS_PER_BATCH: usize = 89;
+/// Jobs that somebody waits for in one batch, some: one in [`BACKGROUND_POP_INTERVAL`] is another one, and as many
 /// write one row, for an acceptance, as write two, for an end.
-pub(crate) const WANTED_IN_BATCH: usize =
-    MOST_ROWS * (ONE_IN as usize - 1) / ONE_IN as usize * 2 / 3;
+pub(crate) const URGENT_JOBS_PER_BATCH: usize = MAX_JOB_ROWS_PER_BATCH
+    * (BACKGROUND_POP_INTERVAL as usize - 1)
+    / BACKGROUND_POP_INTERVAL as usize
+    * 2
+    / 3;
 /// Most bytes of values in one batch, before their encoding; a transaction takes 1 MB.
-const MOST_BYTES: usize = 500_000;
+const MAX_VALUE_BYTES_PER_BATCH: usize = 500_000;
 /// Most ended jobs forgotten by one batch.
-const MOST_EXPIRED: usize = 8;
+const MAX_EXPIRED_JOBS_PER_BATCH: usize = 8;
 
 /// A row to write or remove.
 #[derive(Clone, Debug, PartialEq)]
@@ -58,7 +61,7 @@
 
 /// What a batch under way will have made durable.
 #[derive(Debug, Default)]
-pub(crate) struct BatchNote {
+pub(crate) struct BatchContents {
     accepted: Vec<JobId>,
     /// Jobs with rows of their progress, and how many were cut of each with this one.
     progressed: Vec<(JobId, u64)>,
@@ -66,11 +69,11 @@
     /// Jobs whose rows are removed.
     expired: Vec<JobId>,
     /// Ends at workers that the rows contain, with the job of each.
-    ends: Vec<(JobId, EndAt)>,
+    ends: Vec<(JobId, EndRef)>,
     workers: Option<Vec<WorkerAddress>>,
 }
 
-impl BatchNote {
+impl BatchContents {
     /// Returns the jobs that have rows in the batch, some of them twice.
     fn jobs(&self) -> impl Iterator<Item = JobId> {
         let ended = self.ended.iter().map(|&(id, ..)| id);
@@ -83,13 +86,13 @@
 /// Batches that are cut and not made yet.
 #[derive(Debug, Default)]
 pub(crate) struct InFlight {
-    notes: BTreeMap<u64, BatchNote>,
+    notes: BTreeMap<u64, BatchContents>,
     /// Jobs with rows in one of them.
     jobs: FxHashSet<JobId>,
     /// Ended jobs whose rows were to be removed by a batch that was refused.
-    unremoved: Vec<JobId>,
+    pending_removals: Vec<JobId>,
     /// Jobs that have something to write once that one is made, and whether somebody waits.
-    waiting: FxHashMap<JobId, bool>,
+    deferred: FxHashMap<JobId, bool>,
 }
 
 /// Key of the row of workers.
@@ -107,12 +110,12 @@
     /// Tells whether somebody waits for the next batch: a caller for an acceptance or the
     /// end of a job.
     pub fn batch_is_urgent(&self) -> bool {
-        self.jobs.dirty.wanted_len() > 0
+        self.jobs.write_queue.urgent_len() > 0
     }
 
     /// Returns the next batch; none when there is nothing to write.
-    pub fn cut_batch(&mut self, now: Millis) -> Option<Batch> {
-        let mut note = BatchNote::default();
+    pub fn next_batch(&mut self, now: Millis) -> Option<Batch> {
+        let mut note = BatchContents::default();
         let mut rows = Vec::new();
         self.write_workers(&mut rows, &mut note);
         self.write_jobs(now, &mut rows, &mut note);
@@ -127,14 +130,15 @@
     }
 
     /// Removes the rows of jobs that ended long ago.
-    fn remove_expired(&mut self, now: Millis, rows: &mut Vec<RowWrite>, note: &mut BatchNote) {
+    fn remove_expired(&mut self, now: Millis, rows: &mut Vec<RowWrite>, note: &mut BatchContents) {
         let old = now - self.bounds.keep_ended;
-        let mut expired = std::mem::take(&mut self.in_flight.unremoved);
+        let mut expired = std::mem::take(&mut self.in_flight.pending_removals);
         // A job that came anew under the same id has a row of its own.
         expired.retain(|&id| self.jobs.get(id).is_none() && self.jobs.ended(id).is_none());
         // What several refused batches were to remove may be more than one takes.
-        self.in_flight.unremoved = expired.split_off(expired.len().min(MOST_EXPIRED));
-        expired.extend(self.jobs.expire(old, MOST_EXPIRED - expired.len()));
+        self.in_flight.pending_removals =
+            expired.split_off(expired.len().min(MAX_EXPIRED_JOBS_PER_BATCH));
+        expired.extend(self.jobs.expire(old, MAX_EXPIRED_JOBS_PER_BATCH - expired.len()));
         for id in expired {
             rows.push(RowWrite { key: job_key(id), value: None });
             note.expired.push(id);
@@ -142,16 +146,16 @@
     }
 
     /// A batch is in the store.
-    pub fn committed(&mut self, number: u64, now: Millis) {
+    pub fn batch_committed(&mut self, number: u64, now: Millis) {
         let Some(note) = self.take_in_flight(number) else { return };
         for &id in &note.accepted {
             if let Some(job) = self.jobs.get_mut(id) {
-                job.kept = true;
+                job.durable = true;
             }
         }
         for &(id, row) in &note.progressed {
-            if let Some(job) = self.jobs.get_mut(id).filter(|j| j.is_tracked) {
-                job.row_made(row);
+            if let Some(job) = self.jobs.get_mut(id).filter(|j| j.has_crash_record) {
+                job.row_written(row);
             }
         }
         for &(_, end) in &note.ends {
@@ -170,13 +174,13 @@
     }
 
     /// Takes a batch out of those under way; what waited for it may be written next.
-    fn take_in_flight(&mut self, number: u64) -> Option<BatchNote> {
+    fn take_in_flight(&mut self, number: u64) -> Option<BatchContents> {
         let note = self.in_flight.notes.remove(&number)?;
         for id in note.jobs() {
             self.in_flight.jobs.remove(&id);
-            match self.in_flight.waiting.remove(&id) {
-                Some(true) => self.jobs.dirty.want(id),
-                Some(false) => self.jobs.dirty.add(id),
+            match self.in_flight.deferred.remove(&id) {
+                Some(true) => self.jobs.write_queue.add_urgent(id),
+                Some(false) => self.jobs.write_queue.add_background(id),
                 None => {}
             }
         }
@@ -184,11 +188,11 @@
     }
 
     /// An end at a worker is in the store, or needs not be.
-    fn end_durable(&mut self, end: EndAt, now: Millis) {
+    fn end_durable(&mut self, end: EndRef, now: Millis) {
         let Some(w) = self.workers.get_mut(end.worker) else { return };
         w.unwritten_ends.remove(&end.number);
         if w.unwritten_ends.is_empty() {
-            w.look_at = now;
+            w.next_look_at = now;
         }
     }
 
@@ -204,22 +208,22 @@
         for id in note.accepted.iter().copied().chain(progressed) {
             let accepted = note.accepted.contains(&id);
             let Some(job) = self.jobs.get_mut(id) else { continue };
-            job.unwritten |= accepted;
-            job.progressed |= !accepted || job.has_progress;
+            job.acceptance_unwritten |= accepted;
+            job.progress_unwritten |= !accepted || job.has_progress_row;
             if accepted {
-                self.jobs.dirty.want(id);
+                self.jobs.write_queue.add_urgent(id);
             } else {
-                self.jobs.dirty.add(id);
+                self.jobs.write_queue.add_background(id);
             }
         }
-        self.in_flight.unremoved.extend(note.expired);
+        self.in_flight.pending_removals.extend(note.expired);
         for (id, ..) in note.ended {
-            self.jobs.dirty.want(id);
+            self.jobs.write_queue.add_urgent(id);
         }
     }
 
     /// Writes the row of workers when it lacks one that may get work.
-    fn write_workers(&mut self, rows: &mut Vec<RowWrite>, note: &mut BatchNote) {
+    fn write_workers(&mut self, rows: &mut Vec<RowWrite>, note: &mut BatchContents) {
         // Two lists under way could be made in the wrong order.
         let under_way = self.in_flight.notes.values().any(|n| n.workers.is_some());
         let lacking = self.workers.iter().any(|(_, w)| !w.recorded && w.listed);
@@ -245,12 +249,14 @@
         self.recorded = list;
     }
 
-    fn write_jobs(&mut self, now: Millis, rows: &mut Vec<RowWrite>, note: &mut BatchNote) {
+    fn write_jobs(&mut self, now: Millis, rows: &mut Vec<RowWrite>, note: &mut BatchContents) {
         let mut bytes = 0;
-        while rows.len() + ROWS_OF_JOB <= MOST_ROWS && bytes <= MOST_BYTES {
-            let Some((id, wanted)) = self.jobs.dirty.pop() else { return };
+        while rows.len() + MAX_ROWS_PER_JOB <= MAX_JOB_ROWS_PER_BATCH
+            && bytes <= MAX_VALUE_BYTES_PER_BATCH
+        {
+            let Some((id, wanted)) = self.jobs.write_queue.pop() else { return };
             if self.in_flight.jobs.contains(&id) {
-                *self.in_flight.waiting.entry(id).or_default() |= wanted;
+                *self.in_flight.deferred.entry(id).or_default() |= wanted;
                 continue;
             }
             let start = rows.len();
@@ -264,28 +270,28 @@
         id: JobId,
         now: Millis,
         rows: &mut Vec<RowWrite>,
-        note: &mut BatchNote,
+        note: &mut BatchContents,
     ) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let account = self.accounts.name(job.account);
         note.ends.extend(job.ends.drain(..).map(|end| (id, end)));
         if let Some(state) = job.end {
             rows.push(put(job_key(id), JobRow::ended(state, now.0, account).encode_to_vec()));
-            if job.has_progress {
+            if job.has_progress_row {
                 rows.push(RowWrite { key: progress_key(id), value: None });
             }
             note.ended.push((id, state, now));
             return;
         }
-        if std::mem::take(&mut job.unwritten) {
+        if std::mem::take(&mut job.acceptance_unwritten) {
             rows.push(put(job_key(id), JobRow::open(job, account).encode_to_vec()));
             note.accepted.push(id);
         }
-        if std::mem::take(&mut job.progressed) {
-            job.has_progress = true;
-            job.rows_cut += 1;
+        if std::mem::take(&mut job.progress_unwritten) {
+            job.has_progress_row = true;
+            job.progress_rows_built += 1;
             rows.push(put(progress_key(id), ProgressRow::of(job).encode_to_vec()));
-            note.progressed.push((id, job.rows_cut));
+            note.progressed.push((id, job.progress_rows_built));
         }
     }
 }
--- a/crates/hollowford-jobs/src/choose.rs
+++ b/crates/hollowford-jobs/src/choose.rs
@@ -36,7 +36,7 @@
             pool: w.pool.clone(),
             rack: rack_label(&w.labels).cloned(),
             capacity: w.capacity,
-            free: w.room(now),
+            free: w.available(now),
             reserved: Resources::default(),
             reserved_until: Millis(0),
             slowness: w.slowness,
--- a/crates/hollowford-jobs/src/engine.rs
+++ b/crates/hollowford-jobs/src/engine.rs
@@ -2,18 +2,18 @@
 
 use crate::accounts::Accounts;
 use crate::advice::GoodShare;
-use crate::answers::Losses;
+use crate::answer_timeouts::AnswerLoss;
 use crate::batch::InFlight;
 use crate::crashes::CrashedLife;
-use crate::health::Failures;
+use crate::event::Event;
+use crate::health::FailureRate;
 use crate::job::Round;
 use crate::jobs::Jobs;
-use crate::life::WorkerLife;
-use crate::note::Note;
 use crate::order::{Order, WorkerListing};
 use crate::queue::Queue;
 use crate::rows::WorkerAddress;
 use crate::seats::Seats;
+use crate::worker_life::WorkerLife;
 use crate::workers::{WorkerIdx, Workers};
 use hollowford_core::{InstanceId, Millis};
 use rustc_hash::FxHashMap;
@@ -99,9 +99,9 @@
     /// Which share of the workers may run a step, by queue.
     pub(crate) good_shares: FxHashMap<Arc<str>, GoodShare>,
     /// How often workers' answers are lost.
-    pub(crate) losses: Losses,
+    pub(crate) losses: AnswerLoss,
     /// How often tasks fail.
-    pub(crate) failures: Failures,
+    pub(crate) failures: FailureRate,
     /// Workers that may still run what an earlier owner ordered.
     pub(crate) unsettled: BTreeSet<WorkerIdx>,
     /// When none of them can any more.
@@ -132,7 +132,7 @@
     pub(crate) unix_offset: i64,
     pub(crate) stats: Stats,
     /// What was decided since the notes were taken last.
-    pub(crate) notes: Vec<Note>,
+    pub(crate) notes: Vec<Event>,
 }
 
 impl Engine {
@@ -155,8 +155,8 @@
             accounts: Accounts::default(),
             seats: Seats::default(),
             good_shares: FxHashMap::default(),
-            losses: Losses::default(),
-            failures: Failures::default(),
+            losses: AnswerLoss::default(),
+            failures: FailureRate::default(),
             unsettled: BTreeSet::new(),
             settled_at: now + bounds.earlier_lease,
             tasks_unsettled: false,
@@ -177,7 +177,7 @@
     }
 
     /// Takes what was decided since the last call, for the log.
-    pub fn take_notes(&mut self) -> Vec<Note> {
+    pub fn take_notes(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.notes)
     }
 
@@ -219,8 +219,8 @@
         if now.since(self.tended_at) >= TEND_EVERY {
             self.tended_at = now;
             self.rounds_due(now);
-            self.lapse(now);
-            self.look(now, out);
+            self.expire_leases(now);
+            self.order_looks(now, out);
             self.resend(now, out);
             self.order_paces(out);
         }
@@ -254,8 +254,8 @@
             // No row tells whether an earlier owner has begun the round.
             let round = job.rounds.last_mut().filter(|_| self.tasks_unsettled);
             round.into_iter().for_each(Round::mark_unsettled);
-            self.jobs.rounds_wait(id);
-            self.jobs.progressed(id);
+            self.jobs.mark_all_steps_waiting(id);
+            self.jobs.mark_progress_unwritten(id);
             self.dirty = true;
         }
     }
@@ -267,7 +267,7 @@
         }
         let unclaimed = self.unsettled.len();
         if now >= self.settled_at && unclaimed > 0 {
-            self.watch_unsettled();
+            self.track_unsettled_tasks();
             self.unsettled.clear();
         }
         if !self.unsettled.is_empty() {
@@ -275,7 +275,7 @@
         }
         self.mark_settled();
         self.tasks_unsettled = false;
-        self.notes.push(Note::Settled { unclaimed });
+        self.notes.push(Event::PartitionSettled { unclaimed });
         self.dirty = true;
     }
     /// Takes note that no task can run on a worker that this owner has not claimed.
--- a/crates/hollowford-jobs/src/note.rs
+++ b/crates/hollowford-jobs/src/event.rs
@@ -1,18 +1,18 @@
 //! What the engine has decided or come to believe, for the log.
 
 use crate::job::JobState;
-use crate::life::WorkerLife;
 use crate::order::{EndKind, StartAnswer};
 use crate::spec::{JobId, StepKey, TaskKey};
+use crate::worker_life::WorkerLife;
 use hollowford_core::{Millis, Resources};
 use std::fmt::{self, Display};
 use std::sync::Arc;
 
 /// One decision, or one change of what is believed, with the inputs that decided it.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
+pub enum Event {
     /// A job was taken.
-    Accepted {
+    JobAccepted {
         /// The job.
         job: JobId,
         /// The client account that handed it in; empty: none.
@@ -23,12 +23,12 @@
         steps: usize,
     },
     /// A job was taken back before its acceptance was sent to the store.
-    Withdrawn {
+    JobWithdrawn {
         /// The job.
         job: JobId,
     },
     /// A job's end is decided.
-    JobEnds {
+    JobEnded {
         /// The job.
         job: JobId,
         /// How.
@@ -37,7 +37,7 @@
         age: Millis,
     },
     /// A task is to start.
-    Starts {
+    TaskStarting {
         /// The task.
         task: TaskKey,
         /// Number of the start.
@@ -50,7 +50,7 @@
         age: Millis,
     },
     /// A worker refused a start.
-    Refused {
+    StartRefused {
         /// The task.
         task: TaskKey,
         /// Number of the start.
@@ -61,7 +61,7 @@
         answer: StartAnswer,
     },
     /// A task has ended.
-    Ended {
+    TaskEnded {
         /// The task.
         task: TaskKey,
         /// Number of the start.
@@ -76,7 +76,7 @@
         expected: bool,
     },
     /// A task was found running that an earlier owner started.
-    Adopted {
+    TaskAdopted {
         /// The task.
         task: TaskKey,
         /// Number of the start.
@@ -85,7 +85,7 @@
         worker: WorkerLife,
     },
     /// A task was found running that should not; it is stopped.
-    Foreign {
+    ForeignTask {
         /// The task.
         task: TaskKey,
         /// Number of the start.
@@ -94,7 +94,7 @@
         worker: WorkerLife,
     },
     /// A task was given up.
-    GivenUp {
+    TaskGivenUp {
         /// The task.
         task: TaskKey,
         /// Number of the start.
@@ -102,10 +102,10 @@
         /// Where it was.
         worker: WorkerLife,
         /// Why.
-        cause: GiveUp,
+        cause: GiveUpCause,
     },
     /// A worker answered this owner for the first time.
-    Claimed {
+    WorkerClaimed {
         /// The worker.
         worker: WorkerLife,
         /// How many tasks it runs.
@@ -114,7 +114,7 @@
         ended: usize,
     },
     /// A worker doesn't answer, or does again.
-    Silent {
+    WorkerSilent {
         /// The worker.
         worker: WorkerLife,
         /// Whether it doesn't answer.
@@ -123,28 +123,28 @@
         since: Millis,
     },
     /// A worker is put aside, since it fails what it starts.
-    PutAside {
+    WorkerQuarantined {
         /// The worker.
         worker: WorkerLife,
     },
     /// A worker answers, and what it runs stands still.
-    Stalled {
+    WorkerStalled {
         /// The worker.
         worker: WorkerLife,
         /// How many of its tasks.
         tasks: usize,
     },
     /// A life of a worker is over.
-    Dead {
+    WorkerDead {
         /// The worker.
         worker: WorkerLife,
         /// How it ended.
-        how: LifeEnd,
+        how: WorkerExit,
         /// Tasks that it held.
         tasks: usize,
     },
     /// A worker has crashed while a task was on it.
-    CrashedUnder {
+    WorkerCrashed {
         /// The task.
         task: TaskKey,
         /// Number of the start.
@@ -157,7 +157,7 @@
         crashes: usize,
     },
     /// A row of an earlier owner tells that workers have crashed under a task, or may have.
-    Recovered {
+    CrashRecordRecovered {
         /// The task.
         task: TaskKey,
         /// Workers that have crashed under it.
@@ -166,12 +166,12 @@
         open: usize,
     },
     /// A worker is leaving.
-    Leaving {
+    WorkerLeaving {
         /// The worker.
         worker: WorkerLife,
     },
     /// A call for advice was answered, or not.
-    Advised {
+    AdviceAnswered {
         /// The step.
         step: StepKey,
         /// How many workers were named.
@@ -180,7 +180,7 @@
         good: Option<usize>,
     },
     /// Tasks that waited for unclaimed workers wait no longer.
-    Settled {
+    PartitionSettled {
         /// Workers that were not claimed in time.
         unclaimed: usize,
     },
@@ -188,7 +188,7 @@
 
 /// How a life of a worker has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LifeEnd {
+pub enum WorkerExit {
     /// It was said to be leaving.
     Left,
     /// Another life answers at its address, and nobody had said that it would leave.
@@ -197,7 +197,7 @@
 
 /// Why a task was given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum GiveUp {
+pub enum GiveUpCause {
     /// Its worker's lease is surely over.
     Lapsed,
     /// This life of its worker is over.
@@ -210,66 +210,68 @@
     Unsent,
 }
 
-impl Display for Note {
+impl Display for Event {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Note::Accepted { job, account, queue, steps } => {
+            Event::JobAccepted { job, account, queue, steps } => {
                 write!(f, "job.accepted job={job} account={account} queue={queue} steps={steps}")
             }
-            Note::Withdrawn { job } => write!(f, "job.withdrawn job={job}"),
-            Note::JobEnds { job, state, age } => {
+            Event::JobWithdrawn { job } => write!(f, "job.withdrawn job={job}"),
+            Event::JobEnded { job, state, age } => {
                 write!(f, "job.ends job={job} state={state:?} age_ms={}", age.0)
             }
-            Note::Starts { task, run, worker, free, age } => write!(
+            Event::TaskStarting { task, run, worker, free, age } => write!(
                 f,
                 "task.starts task={task} run={run} worker={worker} free_milli={} free_mib={} \
                  age_ms={}",
                 free.cpu_milli, free.memory_mib, age.0
             ),
-            Note::Refused { task, run, worker, answer } => {
+            Event::StartRefused { task, run, worker, answer } => {
                 write!(f, "task.refused task={task} run={run} worker={worker} answer={answer:?}")
             }
-            Note::Ended { task, run, worker, kind, number, expected } => write!(
+            Event::TaskEnded { task, run, worker, kind, number, expected } => write!(
                 f,
                 "task.ended task={task} run={run} worker={worker} how={kind:?} number={number} \
                  expected={expected}"
             ),
-            Note::Adopted { task, run, worker } => {
+            Event::TaskAdopted { task, run, worker } => {
                 write!(f, "task.adopted task={task} run={run} worker={worker}")
             }
-            Note::Foreign { task, run, worker } => {
+            Event::ForeignTask { task, run, worker } => {
                 write!(f, "task.foreign task={task} run={run} worker={worker}")
             }
-            Note::GivenUp { task, run, worker, cause } => {
+            Event::TaskGivenUp { task, run, worker, cause } => {
                 write!(f, "task.given_up task={task} run={run} worker={worker} cause={cause:?}")
             }
-            Note::Claimed { worker, running, ended } => {
+            Event::WorkerClaimed { worker, running, ended } => {
                 write!(f, "worker.claimed worker={worker} running={running} ended={ended}")
             }
-            Note::Silent { worker, silent, since } => {
+            Event::WorkerSilent { worker, silent, since } => {
                 write!(f, "worker.silent worker={worker} silent={silent} since_ms={}", since.0)
             }
-            Note::PutAside { worker } => write!(f, "worker.put_aside worker={worker}"),
-            Note::Stalled { worker, tasks } => {
+            Event::WorkerQuarantined { worker } => write!(f, "worker.put_aside worker={worker}"),
+            Event::WorkerStalled { worker, tasks } => {
                 write!(f, "worker.stalled worker={worker} tasks={tasks}")
             }
-            Note::Dead { worker, how, tasks } => {
+            Event::WorkerDead { worker, how, tasks } => {
                 write!(f, "worker.dead worker={worker} how={how:?} tasks={tasks}")
             }
-            Note::CrashedUnder { task, run, worker, fresh, crashes } => write!(
+            Event::WorkerCrashed { task, run, worker, fresh, crashes } => write!(
                 f,
                 "task.crashed_under task={task} run={run} worker={worker} fresh={fresh} \
                  crashes={crashes}"
             ),
-            Note::Recovered { task, crashes, open } => {
+            Event::CrashRecordRecovered { task, crashes, open } => {
                 write!(f, "task.recovered task={task} crashes={crashes} open={open}")
             }
-            Note::Leaving { worker } => write!(f, "worker.leaving worker={worker}"),
-            Note::Advised { step, asked, good } => match good {
+            Event::WorkerLeaving { worker } => write!(f, "worker.leaving worker={worker}"),
+            Event::AdviceAnswered { step, asked, good } => match good {
                 Some(good) => write!(f, "advice.answered step={step} asked={asked} good={good}"),
                 None => write!(f, "advice.unanswered step={step} asked={asked}"),
             },
-            Note::Settled { unclaimed } => write!(f, "owner.settled unclaimed={unclaimed}"),
+            Event::PartitionSettled { unclaimed } => {
+                write!(f, "owner.settled unclaimed={unclaimed}")
+            }
         }
     }
 }
--- a/crates/hollowford-jobs/src/gang.rs
+++ b/crates/hollowford-jobs/src/gang.rs
@@ -104,7 +104,7 @@
         let Placing { key, account, spec, .. } = gang;
         let floor = self.jobs.get(key.job).map_or(0, |j| j.run_floor(self.epoch));
         let Some(step) = self.jobs.step_mut(key) else { return };
-        step.gang_since = pass.now;
+        step.gang_changed_at = pass.now;
         let run = step.tasks.iter().map(|t| t.run).max().unwrap_or(0).max(floor) + 1;
         let mut index = 0;
         for &(at, n) in seating {
--- a/crates/hollowford-jobs/src/held.rs
+++ b/crates/hollowford-jobs/src/held_task.rs
@@ -1,7 +1,7 @@
 //! A task that takes room on a worker, as the owner knows it.
 
 use crate::accounts::AccountIdx;
-use crate::crashes::{CLEARED_AFTER, FRESH_FOR};
+use crate::crashes::{CLEARING_RUN_TIME, FRESH_PERIOD};
 use crate::spec::TaskKey;
 use hollowford_core::{Millis, Resources};
 
@@ -21,7 +21,7 @@
 
 /// A task that takes room on a worker.
 #[derive(Clone, Debug)]
-pub(crate) struct Held {
+pub(crate) struct HeldTask {
     pub task: TaskKey,
     pub run: u32,
     /// The client account that it runs for.
@@ -30,9 +30,9 @@
     /// Workers have crashed under it before.
     pub suspect: bool,
     /// It has worked for a while: a crash now is not one soon after its start.
-    pub has_worked: bool,
+    pub is_stable: bool,
     /// It has worked for long enough not to be suspect.
-    pub proven: bool,
+    pub cleared: bool,
     pub phase: Phase,
     /// When it was ordered, or found.
     pub since: Millis,
@@ -58,7 +58,7 @@
     pub stop_answered: bool,
 }
 
-impl Held {
+impl HeldTask {
     /// Makes what takes `room` for an account in `phase` from `now` on. Its end is expected at
     /// once; callers that know better say so.
     pub fn new(
@@ -67,15 +67,15 @@
         room: Resources,
         phase: Phase,
         now: Millis,
-    ) -> Held {
-        Held {
+    ) -> HeldTask {
+        HeldTask {
             task,
             run,
             account,
             room,
             suspect: false,
-            has_worked: false,
-            proven: false,
+            is_stable: false,
+            cleared: false,
             phase,
             since: now,
             expected_end: now,
@@ -92,7 +92,7 @@
     }
 
     /// Takes in that a start that was ordered has come about.
-    pub fn has_begun(&mut self, now: Millis) {
+    pub fn mark_begun(&mut self, now: Millis) {
         if self.phase == Phase::Starting {
             self.phase = Phase::Running;
             self.since = now;
@@ -100,16 +100,16 @@
     }
 
     /// Tells once that it has worked for a while.
-    pub fn has_newly_worked(&mut self, now: Millis) -> bool {
-        let newly = !self.has_worked && now.since(self.since) >= FRESH_FOR;
-        self.has_worked |= newly;
+    pub fn becomes_stable(&mut self, now: Millis) -> bool {
+        let newly = !self.is_stable && now.since(self.since) >= FRESH_PERIOD;
+        self.is_stable |= newly;
         newly
     }
 
     /// Tells once that it has worked for so long that its start has crashed nothing.
-    pub fn is_newly_proven(&mut self, now: Millis) -> bool {
-        let newly = !self.proven && now.since(self.since) >= CLEARED_AFTER;
-        self.proven |= newly;
+    pub fn becomes_cleared(&mut self, now: Millis) -> bool {
+        let newly = !self.cleared && now.since(self.since) >= CLEARING_RUN_TIME;
+        self.cleared |= newly;
         newly
     }
 }
--- a/crates/hollowford-jobs/src/job.rs
+++ b/crates/hollowford-jobs/src/job.rs
@@ -2,8 +2,8 @@
 
 use crate::accounts::AccountIdx;
 use crate::advice::StepAdvice;
+use crate::crash_record::CrashRecord;
 use crate::spec::{JobId, JobSpec, StepSpec, TaskKey};
-use crate::suspicion::Suspicion;
 use crate::workers::WorkerIdx;
 use hollowford_core::Millis;
 use std::sync::Arc;
@@ -36,7 +36,7 @@
 
 /// An end that a worker keeps until it need not any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct EndAt {
+pub(crate) struct EndRef {
     pub worker: WorkerIdx,
     /// Its number in the worker's list.
     pub number: u64,
@@ -52,12 +52,12 @@
     /// claims, and has to count once.
     pub failed_runs: Vec<u32>,
     /// A worker has crashed under it, or may have.
-    pub suspicion: Option<Box<Suspicion>>,
+    pub crash_record: Option<Box<CrashRecord>>,
     pub saved: Option<Arc<str>>,
     /// Where it runs, or may run.
-    pub at: Option<WorkerIdx>,
+    pub worker: Option<WorkerIdx>,
     /// Where it failed last: tried elsewhere first.
-    pub avoid: Option<Avoid>,
+    pub avoid: Option<AvoidedWorker>,
     /// It may run on a worker that this owner has not claimed yet.
     pub unsettled: bool,
     /// Not started again before.
@@ -66,56 +66,56 @@
 
 /// A worker that a task keeps off for a while.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Avoid {
+pub(crate) struct AvoidedWorker {
     pub worker: WorkerIdx,
     pub until: Millis,
 }
 
 /// A task keeps off the worker that it failed on for so long, if it may run elsewhere: another
 /// one that never has room must not hold it up for ever.
-const AVOIDED_FOR: Millis = Millis(1_000);
+const AVOID_PERIOD: Millis = Millis(1_000);
 
 impl Task {
     /// Keeps off a worker for a while.
-    pub fn keep_off(&mut self, worker: WorkerIdx, now: Millis) {
-        self.avoid = Some(Avoid { worker, until: now + AVOIDED_FOR });
+    pub fn avoid_worker(&mut self, worker: WorkerIdx, now: Millis) {
+        self.avoid = Some(AvoidedWorker { worker, until: now + AVOID_PERIOD });
     }
 
     /// Returns the worker that the task keeps off at `now`.
-    pub fn avoided(&self, now: Millis) -> Option<WorkerIdx> {
+    pub fn avoided_worker(&self, now: Millis) -> Option<WorkerIdx> {
         self.avoid.filter(|a| now < a.until).map(|a| a.worker)
     }
 
     /// Tells whether a worker has crashed under the task.
     pub fn is_suspect(&self) -> bool {
-        self.suspicion.as_ref().is_some_and(|s| s.is_suspect())
+        self.crash_record.as_ref().is_some_and(|s| s.is_suspect())
     }
 
     /// Tells whether the task may be started at `now`.
-    pub fn waits(&self, now: Millis) -> bool {
+    pub fn is_startable(&self, now: Millis) -> bool {
         self.is_free() && !self.unsettled && self.not_before <= now && !self.is_held_back()
     }
 
     /// Tells whether the task waits until it is known what became of earlier runs of it, or until
     /// the store has what is known.
     pub fn is_held_back(&self) -> bool {
-        let held_back = |s: &Suspicion| s.holds_back() || s.is_unwritten();
-        self.is_free() && self.suspicion.as_deref().is_some_and(held_back)
+        let held_back = |s: &CrashRecord| s.blocks_start() || s.is_unwritten();
+        self.is_free() && self.crash_record.as_deref().is_some_and(held_back)
     }
 
     /// Tells whether the task has a record of crashes.
-    pub fn is_tracked(&self) -> bool {
-        self.suspicion.is_some()
+    pub fn has_crash_record(&self) -> bool {
+        self.crash_record.is_some()
     }
 
     /// Tells whether the store has what is known of crashes under the task.
     pub fn is_written(&self) -> bool {
-        self.suspicion.as_ref().is_none_or(|s| !s.is_unwritten())
+        self.crash_record.as_ref().is_none_or(|s| !s.is_unwritten())
     }
 
     /// Tells whether the task is neither done nor placed.
     fn is_free(&self) -> bool {
-        !self.done && self.at.is_none()
+        !self.done && self.worker.is_none()
     }
 }
 
@@ -124,40 +124,40 @@
 pub(crate) struct Step {
     pub tasks: Vec<Task>,
     /// Tasks that are not done.
-    pub left: u32,
+    pub remaining: u32,
     /// Runs of the gang that failed.
-    pub gang_failed: Vec<u32>,
+    pub failed_gang_runs: Vec<u32>,
     pub advice: StepAdvice,
     /// When the current run of the gang was started.
-    pub gang_since: Millis,
+    pub gang_changed_at: Millis,
     /// The gang is being stopped, to start again.
-    pub regroup: bool,
+    pub restarting: bool,
 }
 
 impl Step {
     pub fn new(spec: &StepSpec) -> Step {
         Step {
             tasks: vec![Task::default(); spec.count as usize],
-            left: spec.count,
-            gang_failed: Vec::new(),
+            remaining: spec.count,
+            failed_gang_runs: Vec::new(),
             advice: StepAdvice::default(),
-            gang_since: Millis(0),
-            regroup: false,
+            gang_changed_at: Millis(0),
+            restarting: false,
         }
     }
 
-    pub fn done(&self) -> bool {
-        self.left == 0
+    pub fn is_done(&self) -> bool {
+        self.remaining == 0
     }
 
     /// Tells whether some task is neither done nor placed.
     pub fn has_unplaced(&self) -> bool {
-        self.left > 0 && self.tasks.iter().any(|t| !t.done && t.at.is_none())
+        self.remaining > 0 && self.tasks.iter().any(|t| !t.done && t.worker.is_none())
     }
 
     /// Tells whether some task has a record of crashes.
-    pub fn is_tracked(&self) -> bool {
-        self.tasks.iter().any(Task::is_tracked)
+    pub fn has_crash_record(&self) -> bool {
+        self.tasks.iter().any(Task::has_crash_record)
     }
 
     /// Tells whether the store has what is known of crashes under its tasks.
@@ -166,13 +166,13 @@
     }
 
     /// Returns how many tasks could be started at `now`.
-    pub fn waiting(&self, now: Millis) -> usize {
-        self.tasks.iter().filter(|t| t.waits(now)).count()
+    pub fn count_startable(&self, now: Millis) -> usize {
+        self.tasks.iter().filter(|t| t.is_startable(now)).count()
     }
 
     /// Returns how many tasks of the step a worker holds.
-    pub fn on(&self, w: WorkerIdx) -> u32 {
-        self.tasks.iter().filter(|t| t.at == Some(w)).count() as u32
+    pub fn tasks_on(&self, w: WorkerIdx) -> u32 {
+        self.tasks.iter().filter(|t| t.worker == Some(w)).count() as u32
     }
 }
 
@@ -186,8 +186,8 @@
 }
 
 impl Round {
-    pub fn done(&self) -> bool {
-        self.steps.iter().all(Step::done)
+    pub fn is_done(&self) -> bool {
+        self.steps.iter().all(Step::is_done)
     }
 
     /// Takes note that its tasks may run on workers that this owner has not claimed yet.
@@ -197,8 +197,8 @@
     }
 
     /// Tells whether everything that the step depends on is done.
-    pub fn ready(&self, spec: &JobSpec, step: usize) -> bool {
-        spec.steps[step].depends.iter().all(|&d| self.steps[d as usize].done())
+    pub fn is_ready(&self, spec: &JobSpec, step: usize) -> bool {
+        spec.steps[step].depends.iter().all(|&d| self.steps[d as usize].is_done())
     }
 }
 
@@ -216,7 +216,7 @@
     pub epoch: u64,
     pub accepted_at: Millis,
     /// The acceptance is in the store.
-    pub kept: bool,
+    pub durable: bool,
     /// Rounds that have fallen due and are not done.
     pub rounds: Vec<Round>,
     /// How many rounds have fallen due.
@@ -226,17 +226,17 @@
     /// The end that is decided, and maybe not in the store yet.
     pub end: Option<JobState>,
     /// The acceptance is to be written.
-    pub unwritten: bool,
+    pub acceptance_unwritten: bool,
     /// The progress is to be written.
-    pub progressed: bool,
+    pub progress_unwritten: bool,
     /// A row with its progress is in the store.
-    pub has_progress: bool,
+    pub has_progress_row: bool,
     /// Rows of its progress that were cut for a batch.
-    pub rows_cut: u64,
+    pub progress_rows_built: u64,
     /// A task of it has a record of crashes.
-    pub is_tracked: bool,
+    pub has_crash_record: bool,
     /// Ends of its tasks that are in no batch yet.
-    pub ends: Vec<EndAt>,
+    pub ends: Vec<EndRef>,
 }
 
 impl Job {
@@ -256,37 +256,37 @@
     }
 
     /// Tells whether every round has fallen due and is done.
-    pub fn all_done(&self) -> bool {
-        self.due_rounds == self.spec.rounds() && self.rounds.iter().all(Round::done)
+    pub fn is_done(&self) -> bool {
+        self.due_rounds == self.spec.rounds() && self.rounds.iter().all(Round::is_done)
     }
 
     /// Tells whether a task that is neither done nor running, or a gang, has failed `most` times.
     pub fn is_exhausted(&self, most: u32) -> bool {
         let failed = |runs: &[u32]| runs.len() as u32 >= most;
-        let task = |t: &Task| !t.done && t.at.is_none() && failed(&t.failed_runs);
-        let step = |s: &Step| failed(&s.gang_failed) || s.tasks.iter().any(task);
+        let task = |t: &Task| !t.done && t.worker.is_none() && failed(&t.failed_runs);
+        let step = |s: &Step| failed(&s.failed_gang_runs) || s.tasks.iter().any(task);
         self.rounds.iter().any(|r| r.steps.iter().any(step))
     }
 
     /// Returns the record of crashes of one of its tasks, made when there is none, for a change.
     /// `first`: the next row of its progress has to tell it before the task is started again.
-    pub fn change_suspicion(&mut self, key: TaskKey, first: bool) -> Option<&mut Suspicion> {
-        let row = self.rows_cut + 1;
-        self.is_tracked = true;
+    pub fn crash_record_mut(&mut self, key: TaskKey, first: bool) -> Option<&mut CrashRecord> {
+        let row = self.progress_rows_built + 1;
+        self.has_crash_record = true;
         let step = self.round_mut(key.step.round)?.steps.get_mut(key.step.step as usize)?;
         let task = step.tasks.get_mut(key.index as usize).filter(|t| !t.done)?;
-        let suspicion = task.suspicion.get_or_insert_default();
+        let crash_record = task.crash_record.get_or_insert_default();
         if first {
-            suspicion.unwritten_row = Some(row);
+            crash_record.unwritten_row = Some(row);
         }
-        Some(suspicion)
+        Some(crash_record)
     }
 
     /// Takes note that a row of its progress is in the store, by its number.
-    pub fn row_made(&mut self, row: u64) {
+    pub fn row_written(&mut self, row: u64) {
         let steps = self.rounds.iter_mut().flat_map(|r| &mut r.steps);
-        let suspicions = steps.flat_map(|s| &mut s.tasks).filter_map(|t| t.suspicion.as_mut());
-        suspicions.for_each(|s| s.row_made(row));
+        let suspicions = steps.flat_map(|s| &mut s.tasks).filter_map(|t| t.crash_record.as_mut());
+        suspicions.for_each(|s| s.row_written(row));
     }
 
     /// Returns the run number after which the next start of a task has to come.
--- a/crates/hollowford-jobs/src/jobs.rs
+++ b/crates/hollowford-jobs/src/jobs.rs
@@ -1,10 +1,10 @@
 //! All jobs of the partition.
 
 use crate::accounts::AccountIdx;
-use crate::dirty::Dirty;
+use crate::crash_record::CrashRecord;
 use crate::job::{Job, JobState, Step, Task};
 use crate::spec::{JobId, StepKey, StepSpec, TaskKey};
-use crate::suspicion::Suspicion;
+use crate::write_queue::WriteQueue;
 use hollowford_core::Millis;
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::{BTreeSet, VecDeque};
@@ -25,7 +25,7 @@
     /// Ended jobs, the first that ended first.
     by_end: VecDeque<JobId>,
     /// Jobs with something to write.
-    pub dirty: Dirty,
+    pub write_queue: WriteQueue,
     /// Steps that may have tasks to start. A step is taken out once a pass finds none.
     waiting: FxHashSet<StepKey>,
     /// Open jobs with rounds that fall due.
@@ -47,23 +47,23 @@
             self.scheduled.insert(id);
         }
         self.open.insert(id, job);
-        self.rounds_wait(id);
+        self.mark_all_steps_waiting(id);
     }
 
     /// Removes an open job as if it had never been.
     pub fn remove(&mut self, id: JobId) {
         self.open.remove(&id);
-        self.dirty.remove(id);
+        self.write_queue.remove(id);
         self.scheduled.remove(&id);
     }
 
     /// Takes note that tasks of a step may have to be started.
-    pub fn step_waits(&mut self, key: StepKey) {
+    pub fn mark_step_waiting(&mut self, key: StepKey) {
         self.waiting.insert(key);
     }
 
     /// Takes note that tasks of any step of a job may have to be started.
-    pub fn rounds_wait(&mut self, id: JobId) {
+    pub fn mark_all_steps_waiting(&mut self, id: JobId) {
         let Some(job) = self.open.get(&id) else { return };
         for round in &job.rounds {
             let key = |step| StepKey { job: id, round: round.number, step };
@@ -76,13 +76,13 @@
         self.waiting.iter()
     }
 
-    /// Takes the steps that may have tasks to start; `keep_waiting` gives back those that do.
+    /// Takes the steps that may have tasks to start; `restore_waiting` gives back those that do.
     pub fn take_waiting(&mut self) -> FxHashSet<StepKey> {
         std::mem::take(&mut self.waiting)
     }
 
     /// Gives back the steps that do have tasks to start.
-    pub fn keep_waiting(&mut self, steps: FxHashSet<StepKey>) {
+    pub fn restore_waiting(&mut self, steps: FxHashSet<StepKey>) {
         if self.waiting.is_empty() {
             self.waiting = steps;
         } else {
@@ -158,24 +158,24 @@
 
     /// Returns the record of crashes of a task, made when there is none, for a change. The row that the
     /// record may wait for is always to come: a task waiting for one that isn't would wait for ever.
-    pub fn change_suspicion(&mut self, key: TaskKey, first: bool) -> Option<&mut Suspicion> {
-        self.progressed(key.step.job);
-        self.get_mut(key.step.job)?.change_suspicion(key, first)
+    pub fn crash_record_mut(&mut self, key: TaskKey, first: bool) -> Option<&mut CrashRecord> {
+        self.mark_progress_unwritten(key.step.job);
+        self.get_mut(key.step.job)?.crash_record_mut(key, first)
     }
 
     /// Takes note that a worker has begun a task of a job. An order to start one is not enough: its worker may be
     /// down, and callers are told how many jobs wait.
-    pub fn has_begun(&mut self, id: JobId) {
+    pub fn mark_begun(&mut self, id: JobId) {
         if let Some(job) = self.open.get_mut(&id) {
             job.begun = true;
         }
     }
 
     /// Marks a job's progress as to be written.
-    pub fn progressed(&mut self, id: JobId) {
+    pub fn mark_progress_unwritten(&mut self, id: JobId) {
         if let Some(job) = self.open.get_mut(&id) {
-            job.progressed = true;
-            self.dirty.add(id);
+            job.progress_unwritten = true;
+            self.write_queue.add_background(id);
         }
     }
 }
--- a/crates/hollowford-jobs/src/lib.rs
+++ b/crates/hollowford-jobs/src/lib.rs
@@ -10,30 +10,26 @@
 
 mod accounts;
 mod advice;
-mod answers;
+mod answer_timeouts;
 mod asking;
 mod audit;
 mod batch;
 mod choose;
+mod crash_record;
 mod crashes;
-mod dirty;
-mod ends;
 mod engine;
 mod evacuate;
+mod event;
 mod gang;
 mod gang_asking;
-mod gone;
 mod health;
 #[cfg(test)]
 mod health_tests;
-mod held;
+mod held_task;
 mod job;
 mod jobs;
 mod lease;
-mod life;
 mod listing;
-mod lives;
-mod note;
 mod order;
 mod pacing;
 mod pass;
@@ -48,24 +44,27 @@
 mod stall;
 mod starts;
 mod submit;
-mod suspicion;
+mod task_ends;
 mod urgency;
 mod view;
 mod waits;
 mod worker;
+mod worker_life;
+mod worker_removal;
+mod worker_restart;
 mod workers;
+mod write_queue;
 
 pub use accounts::{Account, AccountUse, NO_ACCOUNT};
-pub use audit::Stuck;
+pub use audit::StuckTask;
 pub use batch::{Batch, RowWrite};
 pub use choose::rack_label;
 pub use engine::{Bounds, Engine, Stats};
+pub use event::{Event, GiveUpCause, WorkerExit};
 pub use job::JobState;
 pub use lease::LookAnswer;
-pub use life::{Incarnation, WorkerLife};
-pub use note::{GiveUp, LifeEnd, Note};
 pub use order::{
-    Advised, End, EndKind, Look, Order, Running, StartAnswer, WorkerCall, WorkerListing,
+    End, EndKind, Look, Order, Running, StartAnswer, WorkerCall, WorkerListing, WorkerTickets,
 };
 pub use queue::{AdviceCost, Queue};
 pub use recover::Recovered;
@@ -75,4 +74,5 @@
 pub use submit::{CancelAnswer, SubmitAnswer};
 pub use view::EngineView;
 pub use waits::{StepWait, WaitCause};
-pub use worker::SLOWEST_CLOCK_PERCENT;
+pub use worker::MIN_CLOCK_RATE_PERCENT;
+pub use worker_life::{Incarnation, WorkerLife};
--- a/crates/hollowford-jobs/src/listing.rs
+++ b/crates/hollowford-jobs/src/listing.rs
@@ -1,17 +1,17 @@
 //! The platform's list of workers.
 
 use crate::engine::Engine;
-use crate::life::WorkerLife;
-use crate::note::Note;
+use crate::event::Event;
 use crate::order::WorkerListing;
 use crate::worker::Worker;
+use crate::worker_life::WorkerLife;
 use crate::workers::WorkerIdx;
 use hollowford_core::Millis;
 
 impl Engine {
     /// Takes over the platform's list of workers. It ends no life: it may be older than what a worker has
     /// answered, so that only an answer tells.
-    pub fn list_workers(&mut self, listings: &[WorkerListing], now: Millis) {
+    pub fn set_worker_list(&mut self, listings: &[WorkerListing], now: Millis) {
         self.listings.clear();
         for l in listings {
             let pool = self.workers.pool_name(&l.pool);
@@ -19,12 +19,12 @@
             self.listings.insert(l.life.id().clone(), l);
         }
         for idx in self.workers.indexes() {
-            self.take_listing(idx, now);
+            self.apply_listing(idx, now);
         }
         for l in listings {
             if !self.is_known(&l.life) && !self.ended_lives.contains(&l.life) {
                 let idx = self.workers.insert(Worker::new(l.life.clone(), l.address.clone(), now));
-                self.take_listing(idx, now);
+                self.apply_listing(idx, now);
             }
         }
         self.dirty = true;
@@ -32,18 +32,18 @@
 
     /// Tells whether a life on the list is one that is known already.
     fn is_known(&self, life: &WorkerLife) -> bool {
-        self.workers.of_id(life.id()).any(|(_, w)| w.life.may_be(life))
+        self.workers.with_id(life.id()).any(|(_, w)| w.life.may_be_same(life))
     }
 
     /// Takes over what the list says of a life, if it tells of this one.
-    pub(crate) fn take_listing(&mut self, idx: WorkerIdx, now: Millis) {
+    pub(crate) fn apply_listing(&mut self, idx: WorkerIdx, now: Millis) {
         let Some(w) = self.workers.get_mut(idx) else { return };
-        let listing = self.listings.get(w.life.id()).filter(|l| l.life.may_be(&w.life));
+        let listing = self.listings.get(w.life.id()).filter(|l| l.life.may_be_same(&w.life));
         w.listed = listing.is_some();
         let Some(l) = listing else { return };
         if l.leaving && !w.leaving {
-            self.notes.push(Note::Leaving { worker: w.life.clone() });
+            self.notes.push(Event::WorkerLeaving { worker: w.life.clone() });
         }
-        w.take_listing(l, now);
+        w.apply_listing(l, now);
     }
 }
--- a/crates/hollowford-jobs/src/order.rs
+++ b/crates/hollowford-jobs/src/order.rs
@@ -1,7 +1,7 @@
 //! What the engine asks for, and what it is told of the outcome.
 
-use crate::life::{Incarnation, WorkerLife};
 use crate::spec::{StepKey, TaskKey};
+use crate::worker_life::{Incarnation, WorkerLife};
 use hollowford_core::{InstanceId, Millis, Resources};
 use std::sync::Arc;
 
@@ -197,7 +197,7 @@
 }
 
 /// An answer of the service for advice: who may run the step, each with a ticket.
-pub type Advised = Vec<(InstanceId, Arc<str>)>;
+pub type WorkerTickets = Vec<(InstanceId, Arc<str>)>;
 
 /// A worker as the platform lists it.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/hollowford-jobs/src/pacing.rs
+++ b/crates/hollowford-jobs/src/pacing.rs
@@ -6,10 +6,10 @@
 //! worker is slowed down at once; it is sped up again step by step.
 
 use crate::engine::Engine;
-use crate::held::{FULL_PACE, Held, Phase};
-use crate::life::WorkerLife;
+use crate::held_task::{FULL_PACE, HeldTask, Phase};
 use crate::order::{Order, Running, WorkerCall};
 use crate::spec::TaskKey;
+use crate::worker_life::WorkerLife;
 use crate::workers::WorkerIdx;
 use hollowford_core::Millis;
 
@@ -90,9 +90,10 @@
     pub(crate) fn order_paces(&mut self, out: &mut Vec<Order>) {
         for idx in self.workers.indexes() {
             let Some(w) = self.workers.get_mut(idx) else { continue };
-            let (worker, address, limit) = (w.life.clone(), w.address.clone(), w.answer_limit());
-            let due =
-                |h: &&mut Held| h.phase == Phase::Running && !h.calling && h.pace != h.pace_wanted;
+            let (worker, address, limit) = (w.life.clone(), w.address.clone(), w.answer_timeout());
+            let due = |h: &&mut HeldTask| {
+                h.phase == Phase::Running && !h.calling && h.pace != h.pace_wanted
+            };
             for h in w.held.iter_mut().filter(due) {
                 h.calling = true;
                 let call = WorkerCall::Pace {
--- a/crates/hollowford-jobs/src/place.rs
+++ b/crates/hollowford-jobs/src/place.rs
@@ -54,7 +54,7 @@
             return;
         }
         self.count_use();
-        let usable = self.workers.iter().filter(|(_, w)| w.usable(now) && w.recorded);
+        let usable = self.workers.iter().filter(|(_, w)| w.is_usable(now) && w.recorded);
         let rooms = usable.map(|(i, w)| Room::of(i, w, now)).collect();
         let asks_again = full || std::mem::take(&mut self.seat_freed);
         let mut pass = Pass::new(now, asks_again, rooms);
@@ -164,11 +164,11 @@
     /// Returns the tasks of a step that may be started.
     fn waiting_tasks(&self, key: StepKey, now: Millis) -> Vec<Candidate> {
         let Some(step) = self.jobs.step(key) else { return Vec::new() };
-        let tasks = step.tasks.iter().enumerate().filter(|(_, t)| t.waits(now));
+        let tasks = step.tasks.iter().enumerate().filter(|(_, t)| t.is_startable(now));
         let candidate = |(index, t): (usize, &Task)| Candidate {
             index: index as u32,
             run: t.run,
-            avoid: t.avoided(now),
+            avoid: t.avoided_worker(now),
             suspect: t.is_suspect(),
         };
         let mut tasks: Vec<_> = tasks.map(candidate).collect();
@@ -189,7 +189,9 @@
         if !Arc::ptr_eq(&room.pool, &queue.pool) && room.pool != queue.pool {
             return false;
         }
-        if spec.spread > 0 && self.jobs.step(key).is_some_and(|s| s.on(room.idx) >= spec.spread) {
+        if spec.spread > 0
+            && self.jobs.step(key).is_some_and(|s| s.tasks_on(room.idx) >= spec.spread)
+        {
             return false;
         }
         spec.requires.is_empty()
--- a/crates/hollowford-jobs/src/progress_rows.rs
+++ b/crates/hollowford-jobs/src/progress_rows.rs
@@ -1,8 +1,8 @@
 //! The rows that tell how far jobs have come, as bytes.
 
+use crate::crash_record::{CrashRecord, OpenRun};
 use crate::job::{Job, Round, Step, Task};
-use crate::life::{Incarnation, WorkerLife};
-use crate::suspicion::{OpenRun, Suspicion};
+use crate::worker_life::{Incarnation, WorkerLife};
 use prost::Message;
 
 /// How far a job has come.
@@ -55,11 +55,11 @@
     pub saved: String,
     /// A worker has crashed under it, or may have.
     #[prost(message, optional, tag = "7")]
-    pub suspicion: Option<SuspicionRow>,
+    pub crash_record: Option<CrashRecordRow>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct SuspicionRow {
+pub(crate) struct CrashRecordRow {
     /// Runs under which a worker has crashed.
     #[prost(uint32, repeated, tag = "1")]
     pub crashed_runs: Vec<u32>,
@@ -74,7 +74,7 @@
     pub unconfirmed_runs: Vec<u32>,
     /// Crashed runs that may have worked or ended without its being written.
     #[prost(uint32, repeated, tag = "5")]
-    pub untold_runs: Vec<u32>,
+    pub uncertain_runs: Vec<u32>,
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -86,19 +86,19 @@
     pub worker: String,
     /// It is known to have worked for a while.
     #[prost(bool, tag = "3")]
-    pub has_worked: bool,
+    pub is_stable: bool,
     /// Tells lives under one id apart; rows of earlier releases lack it.
     #[prost(uint64, optional, tag = "4")]
     pub incarnation: Option<u64>,
     /// That it has worked or ended may not have been written.
     #[prost(bool, tag = "5")]
-    pub untold: bool,
+    pub uncertain: bool,
 }
 
 impl ProgressRow {
     /// Returns the row of a job's progress.
     pub fn of(job: &Job) -> ProgressRow {
-        let rounds = job.rounds.iter().filter(|r| !r.done()).map(RoundRow::of).collect();
+        let rounds = job.rounds.iter().filter(|r| !r.is_done()).map(RoundRow::of).collect();
         ProgressRow { due_rounds: job.due_rounds, rounds, begun: job.begun }
     }
 }
@@ -112,43 +112,43 @@
             run: t.run,
             failed_runs: t.failed_runs.clone(),
             saved: if t.done { String::new() } else { t.saved.as_deref().unwrap_or("").into() },
-            suspicion: t.suspicion.as_deref().filter(|_| !t.done).map(SuspicionRow::from),
+            crash_record: t.crash_record.as_deref().filter(|_| !t.done).map(CrashRecordRow::from),
         }
     }
 }
 
-impl From<&Suspicion> for SuspicionRow {
-    fn from(s: &Suspicion) -> SuspicionRow {
+impl From<&CrashRecord> for CrashRecordRow {
+    fn from(s: &CrashRecord) -> CrashRecordRow {
         let open = |r: &OpenRun| OpenRunRow {
             run: r.run,
             worker: r.worker.id().as_str().to_owned(),
-            has_worked: !r.fresh,
-            untold: r.untold,
+            is_stable: !r.fresh,
+            uncertain: r.uncertain,
             incarnation: r.worker.incarnation().map(|i| i.0),
         };
-        SuspicionRow {
+        CrashRecordRow {
             crashed_runs: s.crashed_runs.clone(),
             fresh_runs: s.fresh_runs.clone(),
             unconfirmed_runs: s.unconfirmed_runs.clone(),
-            untold_runs: s.untold_runs.clone(),
+            uncertain_runs: s.uncertain_runs.clone(),
             open_runs: s.open_runs.iter().map(open).collect(),
         }
     }
 }
 
-impl From<&SuspicionRow> for Suspicion {
-    fn from(row: &SuspicionRow) -> Suspicion {
+impl From<&CrashRecordRow> for CrashRecord {
+    fn from(row: &CrashRecordRow) -> CrashRecord {
         let open = |r: &OpenRunRow| OpenRun {
             run: r.run,
             worker: WorkerLife::new(r.worker.as_str().into(), r.incarnation.map(Incarnation)),
-            fresh: !r.has_worked,
-            untold: r.untold,
+            fresh: !r.is_stable,
+            uncertain: r.uncertain,
         };
-        Suspicion {
+        CrashRecord {
             crashed_runs: row.crashed_runs.clone(),
             fresh_runs: row.fresh_runs.clone(),
             unconfirmed_runs: row.unconfirmed_runs.clone(),
-            untold_runs: row.untold_runs.clone(),
+            uncertain_runs: row.uncertain_runs.clone(),
             open_runs: row.open_runs.iter().map(open).collect(),
             unwritten_row: None,
         }
@@ -160,14 +160,14 @@
         let mut tasks = Vec::new();
         for (step, s) in round.steps.iter().enumerate() {
             for (index, t) in s.tasks.iter().enumerate() {
-                if t.run > 0 || t.done || t.suspicion.is_some() {
+                if t.run > 0 || t.done || t.crash_record.is_some() {
                     tasks.push(TaskRow::of(step, index, t));
                 }
             }
         }
         let gang = |(step, s): (usize, &Step)| {
-            let row = GangRow { step: step as u32, failed_runs: s.gang_failed.clone() };
-            (!s.gang_failed.is_empty()).then_some(row)
+            let row = GangRow { step: step as u32, failed_runs: s.failed_gang_runs.clone() };
+            (!s.failed_gang_runs.is_empty()).then_some(row)
         };
         let gangs = round.steps.iter().enumerate().filter_map(gang).collect();
         RoundRow { number: round.number, due: round.due.0, tasks, gangs }
--- a/crates/hollowford-jobs/src/recover.rs
+++ b/crates/hollowford-jobs/src/recover.rs
@@ -79,8 +79,8 @@
         let name: Arc<str> = row.queue.as_str().into();
         let account = self.accounts.intern(&row.account);
         let mut job = new_job(id, (account, name), spec, row.epoch, Millis(row.accepted_at));
-        job.kept = true;
-        job.unwritten = false;
+        job.durable = true;
+        job.acceptance_unwritten = false;
         if job.spec.schedule.is_none() {
             job.add_round(job.accepted_at);
         }
@@ -91,7 +91,7 @@
 
     fn recover_progress(&mut self, id: JobId, row: &ProgressRow, now: Millis) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        job.has_progress = true;
+        job.has_progress_row = true;
         job.begun = row.begun;
         if job.spec.schedule.is_some() {
             for r in &row.rounds {
@@ -102,9 +102,9 @@
         }
         for r in &row.rounds {
             self.recover_round(id, r);
-            self.recover_suspicions(id, r, now);
+            self.recover_crash_records(id, r, now);
         }
-        self.jobs.rounds_wait(id);
+        self.jobs.mark_all_steps_waiting(id);
         self.mark_job_unsettled(id);
     }
 
@@ -114,7 +114,7 @@
         };
         for g in &row.gangs {
             if let Some(step) = round.steps.get_mut(g.step as usize) {
-                step.gang_failed = g.failed_runs.clone();
+                step.failed_gang_runs = g.failed_runs.clone();
             }
         }
         for t in &row.tasks {
@@ -124,15 +124,15 @@
             task.failed_runs = t.failed_runs.clone();
             task.done = t.done;
             task.saved = (!t.saved.is_empty()).then(|| t.saved.as_str().into());
-            step.left -= u32::from(t.done);
+            step.remaining -= u32::from(t.done);
         }
     }
 
-    fn recover_suspicions(&mut self, job: JobId, row: &RoundRow, now: Millis) {
+    fn recover_crash_records(&mut self, job: JobId, row: &RoundRow, now: Millis) {
         for t in &row.tasks {
             let step = StepKey { job, round: row.number, step: t.step };
-            if let Some(suspicion) = &t.suspicion {
-                self.recover_suspicion(step.task(t.index), suspicion.into(), now);
+            if let Some(crash_record) = &t.crash_record {
+                self.recover_crash_record(step.task(t.index), crash_record.into(), now);
             }
         }
     }
--- a/crates/hollowford-jobs/src/rows.rs
+++ b/crates/hollowford-jobs/src/rows.rs
@@ -1,8 +1,8 @@
 //! The rows of jobs and workers in the store, as bytes.
 
 use crate::job::{Job, JobState};
-use crate::life::{Incarnation, WorkerLife};
 use crate::spec::{JobSpec, RawJob, RawStep, Schedule, SpecError};
+use crate::worker_life::{Incarnation, WorkerLife};
 use hollowford_core::Resources;
 use prost::Message;
 use std::sync::Arc;
--- a/crates/hollowford-jobs/src/seats.rs
+++ b/crates/hollowford-jobs/src/seats.rs
@@ -6,8 +6,8 @@
 
 use crate::advice::Standing;
 use crate::engine::Engine;
-use crate::note::Note;
-use crate::order::{Advised, Order};
+use crate::event::Event;
+use crate::order::{Order, WorkerTickets};
 use crate::queue::{AdviceCost, QUICK_CALL_MS};
 use crate::spec::StepKey;
 use crate::workers::WorkerIdx;
@@ -202,7 +202,7 @@
             if let Some(call) = place.call.take_if(|c| c.give_up <= now) {
                 place.failed(now);
                 let asked = call.workers.len();
-                self.notes.push(Note::Advised { step: call.step, asked, good: None });
+                self.notes.push(Event::AdviceAnswered { step: call.step, asked, good: None });
                 self.advice_failed(&call);
             }
         }
@@ -214,7 +214,7 @@
         &mut self,
         seat: &Seat,
         key: StepKey,
-        answer: Option<(Advised, Millis)>,
+        answer: Option<(WorkerTickets, Millis)>,
         now: Millis,
     ) {
         let theirs =
@@ -230,14 +230,14 @@
         // Its seat would be idle until the next full pass.
         self.seat_freed |= !call.quick;
         let (asked, good) = (call.workers.len(), answer.as_ref().map(|(rows, _)| rows.len()));
-        self.notes.push(Note::Advised { step: key, asked, good });
+        self.notes.push(Event::AdviceAnswered { step: key, asked, good });
         let Some((rows, validity)) = answer else {
             self.advice_failed(&call);
             return;
         };
         // A ticket is for the life that was asked about: another one needs its own.
         let asked = |id: &InstanceId| {
-            let lives = self.workers.of_id(id).map(|(idx, _)| idx);
+            let lives = self.workers.with_id(id).map(|(idx, _)| idx);
             lives.filter(|idx| call.workers.contains(idx)).last()
         };
         let good: Vec<_> =
--- a/crates/hollowford-jobs/src/starts.rs
+++ b/crates/hollowford-jobs/src/starts.rs
@@ -1,12 +1,12 @@
 //! Orders to start and stop tasks, and what workers say to them.
 
 use crate::engine::Engine;
-use crate::held::{Held, Phase};
+use crate::event::{Event, GiveUpCause};
+use crate::held_task::{HeldTask, Phase};
 use crate::job::{Step, Task};
-use crate::life::WorkerLife;
-use crate::note::{GiveUp, Note};
 use crate::order::{Order, StartAnswer, WorkerCall};
 use crate::spec::{StepKey, TaskKey};
+use crate::worker_life::WorkerLife;
 use crate::workers::{Placement, WorkerIdx};
 use hollowford_core::Millis;
 use std::sync::Arc;
@@ -29,22 +29,22 @@
         let Some(job) = self.jobs.get(key.step.job) else { return };
         let age = now.since(job.accepted_at);
         let spec = &job.spec.steps[key.step.step as usize];
-        let mut held = Held {
+        let mut held = HeldTask {
             expected_end: now + Millis(spec.estimate_ms),
-            ..Held::new((key, run), job.account, spec.room(), Phase::Starting, now)
+            ..HeldTask::new((key, run), job.account, spec.room(), Phase::Starting, now)
         };
         if let Some(task) = self.jobs.task_mut(key) {
-            task.at = Some(idx);
+            task.worker = Some(idx);
             task.run = run;
             held.suspect = task.is_suspect();
         }
         if let Some(w) = self.workers.get_mut(idx) {
             w.hold(held);
             let (worker, free) = (w.life.clone(), w.free);
-            self.notes.push(Note::Starts { task: key, run, worker, free, age });
+            self.notes.push(Event::TaskStarting { task: key, run, worker, free, age });
         }
         let written_first = self.is_written_first(key);
-        self.note_open_run(p);
+        self.record_open_run(p);
         self.stats.started += 1;
         if written_first {
             if let Some(h) = self.workers.get_mut(idx).and_then(|w| w.find_mut(key, run)) {
@@ -60,9 +60,9 @@
     /// a whole.
     fn is_written_first(&self, key: TaskKey) -> bool {
         if self.is_gang(key.step) {
-            self.jobs.step(key.step).is_some_and(Step::is_tracked)
+            self.jobs.step(key.step).is_some_and(Step::has_crash_record)
         } else {
-            self.jobs.task(key).is_some_and(Task::is_tracked)
+            self.jobs.task(key).is_some_and(Task::has_crash_record)
         }
     }
 
@@ -91,7 +91,7 @@
         if let Some(h) = w.find_mut(task, run) {
             h.calling = true;
         }
-        let limit = w.answer_limit();
+        let limit = w.answer_timeout();
         let call = WorkerCall::Start {
             worker: w.life.clone(),
             address: w.address.clone(),
@@ -118,12 +118,12 @@
         let Some(idx) = self.workers.find(life) else { return false };
         match answer {
             StartAnswer::Runs(clock) => self.note_start_heard(idx, clock, now),
-            StartAnswer::Unanswered => self.note_unheard(idx, now),
+            StartAnswer::Unanswered => self.record_unanswered(idx, now),
             _ => {}
         }
         let Some(w) = self.workers.get_mut(idx) else { return false };
         if answer == StartAnswer::Unanswered {
-            w.note_late_start(task, run, now);
+            w.record_late_start(task, run, now);
         } else {
             w.answer_times.note(now.since(sent));
         }
@@ -131,8 +131,8 @@
         h.calling = false;
         match answer {
             StartAnswer::Runs(_) => {
-                h.has_begun(now);
-                self.jobs.has_begun(task.step.job);
+                h.mark_begun(now);
+                self.jobs.mark_begun(task.step.job);
             }
             StartAnswer::Unanswered => h.unsure = true,
             // Its end is listed, or was already.
@@ -140,7 +140,7 @@
                 h.phase = Phase::Running;
                 h.since = now;
             }
-            StartAnswer::OtherLife => self.worker_dead(idx, now),
+            StartAnswer::OtherLife => self.mark_worker_dead(idx, now),
             StartAnswer::Fenced => return true,
             // An earlier copy could still be carried out: only a stop makes sure.
             StartAnswer::NoRoom | StartAnswer::Unhealthy | StartAnswer::Invalid if h.unsure => {
@@ -159,9 +159,9 @@
 
     /// Takes in that a worker has answered a start, which doesn't say which life of it has.
     fn note_start_heard(&mut self, idx: WorkerIdx, clock: u64, now: Millis) {
-        self.note_heard(idx, now);
-        if self.workers.get(idx).is_some_and(|w| w.doubted_since.is_none()) {
-            self.note_life(idx, clock, now);
+        self.record_contact(idx, now);
+        if self.workers.get(idx).is_some_and(|w| w.restart_suspected_since.is_none()) {
+            self.record_alive(idx, clock, now);
         }
     }
 
@@ -182,10 +182,10 @@
             if let Some(w) = self.workers.get_mut(idx) {
                 w.answer_times.note(now.since(sent));
                 if let Some(h) = w.find_mut(task, run) {
-                    h.has_begun(now);
+                    h.mark_begun(now);
                 }
             }
-            self.jobs.has_begun(task.step.job);
+            self.jobs.mark_begun(task.step.job);
         }
         *answer == StartAnswer::Fenced
     }
@@ -194,13 +194,13 @@
     fn start_refused(&mut self, p: Placement, answer: &StartAnswer, now: Millis) {
         let Placement { idx, task, run } = p;
         self.stats.refused += 1;
-        self.free(p, GiveUp::Refused, now);
+        self.free(p, GiveUpCause::Refused, now);
         if let Some(w) = self.workers.get_mut(idx) {
             let (worker, answer) = (w.life.clone(), answer.clone());
             if answer == StartAnswer::Unhealthy {
                 w.health.pause(now + UNHEALTHY_PAUSE);
             }
-            self.notes.push(Note::Refused { task, run, worker, answer });
+            self.notes.push(Event::StartRefused { task, run, worker, answer });
         }
         if let Some(step) = self.jobs.step_mut(task.step) {
             if *answer == StartAnswer::Ticket {
@@ -223,8 +223,8 @@
     pub(crate) fn regroup(&mut self, key: StepKey) {
         let Some(step) = self.jobs.step_mut(key) else { return };
         let members: Vec<_> =
-            step.tasks.iter().enumerate().filter_map(|(i, t)| Some((i, t.at?))).collect();
-        step.regroup = !members.is_empty();
+            step.tasks.iter().enumerate().filter_map(|(i, t)| Some((i, t.worker?))).collect();
+        step.restarting = !members.is_empty();
         for (i, w) in members {
             self.order_stop(w, key.task(i as u32));
         }
@@ -235,13 +235,13 @@
         for idx in self.workers.indexes() {
             let Some(w) = self.workers.get(idx) else { continue };
             // An answered stop is not sent again: the end is listed, or the run never started.
-            let due = |h: &&Held| !h.calling && h.phase != Phase::Running && !h.stop_answered;
+            let due = |h: &&HeldTask| !h.calling && h.phase != Phase::Running && !h.stop_answered;
             let due: Vec<_> =
                 w.held.iter().filter(due).map(|h| (h.task, h.run, h.phase, h.unsent)).collect();
             for (task, run, phase, unsent) in due {
                 let p = Placement { idx, task, run };
                 match phase {
-                    Phase::Stopping if unsent => self.free(p, GiveUp::Unsent, now),
+                    Phase::Stopping if unsent => self.free(p, GiveUpCause::Unsent, now),
                     Phase::Stopping => self.send_stop(p, now, out),
                     _ if unsent => self.start_written(p, now, out),
                     _ => self.start_again(p, now, out),
@@ -256,16 +256,16 @@
         let written = self.is_written(p.task);
         let Some(w) = self.workers.get_mut(p.idx) else { return };
         // The worker may have less room than it had when the task was placed.
-        let has_room = w.holds_no_more_than_it_has();
+        let has_room = w.fits_capacity();
         let Some(h) = w.find_mut(p.task, p.run) else { return };
         if !has_room {
-            self.free(p, GiveUp::Unsent, now);
+            self.free(p, GiveUpCause::Unsent, now);
         } else if written {
             h.unsent = false;
             h.since = now;
             self.send_start(p, now, out);
         } else if now.since(h.since) >= UNSENT_FOR {
-            self.free(p, GiveUp::Unsent, now);
+            self.free(p, GiveUpCause::Unsent, now);
         }
     }
 
@@ -284,7 +284,7 @@
     fn send_stop(&mut self, p: Placement, now: Millis, out: &mut Vec<Order>) {
         let Placement { idx, task, run } = p;
         let Some(w) = self.workers.get_mut(idx) else { return };
-        let (worker, address, limit) = (w.life.clone(), w.address.clone(), w.answer_limit());
+        let (worker, address, limit) = (w.life.clone(), w.address.clone(), w.answer_timeout());
         let Some(h) = w.find_mut(task, run) else { return };
         h.calling = true;
         h.since = now;
--- a/crates/hollowford-jobs/src/submit.rs
+++ b/crates/hollowford-jobs/src/submit.rs
@@ -1,11 +1,11 @@
 //! Jobs come in, are cancelled, and are asked for.
 
 use crate::accounts::{AccountIdx, NO_ACCOUNT};
-use crate::batch::WANTED_IN_BATCH;
+use crate::batch::URGENT_JOBS_PER_BATCH;
 use crate::engine::Engine;
+use crate::event::Event;
 use crate::job::{Job, JobState};
 use crate::jobs::Ended;
-use crate::note::Note;
 use crate::spec::{JobId, JobSpec};
 use hollowford_core::Millis;
 use std::sync::Arc;
@@ -52,7 +52,7 @@
             return SubmitAnswer::Kept;
         }
         if let Some(job) = self.jobs.get(id) {
-            return if job.kept { SubmitAnswer::Kept } else { SubmitAnswer::Pending };
+            return if job.durable { SubmitAnswer::Kept } else { SubmitAnswer::Pending };
         }
         let Some(queue) = self.queues.get(queue).map(|q| q.name.clone()) else {
             return SubmitAnswer::NoQueue;
@@ -67,10 +67,10 @@
             job.add_round(now);
         }
         self.jobs.insert(job);
-        self.jobs.dirty.want(id);
+        self.jobs.write_queue.add_urgent(id);
         self.stats.accepted += 1;
         self.stats.unowed += u64::from(!owed);
-        self.notes.push(Note::Accepted { job: id, account: name, queue, steps });
+        self.notes.push(Event::JobAccepted { job: id, account: name, queue, steps });
         self.dirty = true;
         SubmitAnswer::Pending
     }
@@ -98,7 +98,7 @@
         if self.jobs.ended(id).is_some() {
             return Some(true);
         }
-        self.jobs.get(id).map(|j| j.kept)
+        self.jobs.get(id).map(|j| j.durable)
     }
 
     /// Returns a job's state, as far as it is in the store.
@@ -106,7 +106,7 @@
         if let Some(ended) = self.jobs.ended(id) {
             return Some(ended.state);
         }
-        let job = self.jobs.get(id).filter(|j| j.kept)?;
+        let job = self.jobs.get(id).filter(|j| j.durable)?;
         Some(if job.begun { JobState::Running } else { JobState::Queued })
     }
 
@@ -117,14 +117,15 @@
 
     /// Counts the queue's kept jobs none of whose tasks has begun.
     pub fn waiting(&self, queue: &str) -> usize {
-        let waits = |j: &&Job| &*j.queue == queue && j.kept && !j.begun && j.end.is_none();
+        let waits = |j: &&Job| &*j.queue == queue && j.durable && !j.begun && j.end.is_none();
         self.jobs.open().filter(waits).count()
     }
 
     /// Takes back jobs whose acceptance was not sent to the store, and returns them: nothing
     /// of them has run or will.
     pub fn withdraw_unsent(&mut self) -> Vec<JobId> {
-        let unsent: Vec<_> = self.jobs.open().filter(|j| j.unwritten).map(|j| j.id).collect();
+        let unsent: Vec<_> =
+            self.jobs.open().filter(|j| j.acceptance_unwritten).map(|j| j.id).collect();
         unsent.iter().for_each(|&id| self.take_back(id));
         unsent
     }
@@ -132,7 +133,7 @@
     /// Takes back one job, if its acceptance was not sent to the store. Tells whether it was:
     /// then nothing of it has run or will.
     pub fn withdraw(&mut self, id: JobId) -> bool {
-        let unsent = self.jobs.get(id).is_some_and(|j| j.unwritten);
+        let unsent = self.jobs.get(id).is_some_and(|j| j.acceptance_unwritten);
         if unsent {
             self.take_back(id);
         }
@@ -141,13 +142,13 @@
 
     fn take_back(&mut self, id: JobId) {
         self.jobs.remove(id);
-        self.notes.push(Note::Withdrawn { job: id });
+        self.notes.push(Event::JobWithdrawn { job: id });
     }
 
     /// Returns how many batches are to be written until an acceptance that comes now is, with
     /// its own.
     pub fn batches_ahead(&self) -> u64 {
-        (self.jobs.dirty.wanted_len() / WANTED_IN_BATCH + 1) as u64
+        (self.jobs.write_queue.urgent_len() / URGENT_JOBS_PER_BATCH + 1) as u64
     }
 
     /// Decides how a job ends. It is shown once it is in the store.
@@ -157,8 +158,8 @@
         };
         job.end = Some(state);
         let age = now.since(job.accepted_at);
-        self.notes.push(Note::JobEnds { job: id, state, age });
-        self.jobs.dirty.want(id);
+        self.notes.push(Event::JobEnded { job: id, state, age });
+        self.jobs.write_queue.add_urgent(id);
         if state != JobState::Completed {
             self.stop_job(id);
         }
@@ -188,16 +189,16 @@
         spec,
         epoch,
         accepted_at,
-        kept: false,
+        durable: false,
         rounds: Vec::new(),
         due_rounds: 0,
         begun: false,
         end: None,
-        unwritten: true,
-        progressed: false,
-        has_progress: false,
-        rows_cut: 0,
-        is_tracked: false,
+        acceptance_unwritten: true,
+        progress_unwritten: false,
+        has_progress_row: false,
+        progress_rows_built: 0,
+        has_crash_record: false,
         ends: Vec::new(),
     }
 }
--- a/crates/hollowford-jobs/src/ends.rs
+++ b/crates/hollowford-jobs/src/task_ends.rs
@@ -2,9 +2,9 @@
 
 use crate::accounts::NO_ACCOUNT;
 use crate::engine::Engine;
-use crate::held::{Held, Phase};
+use crate::event::Event;
+use crate::held_task::{HeldTask, Phase};
 use crate::job::{JobState, count_failure};
-use crate::note::Note;
 use crate::order::{End, EndKind, Running};
 use crate::spec::{JobId, StepSpec, TaskKey};
 use crate::workers::{Placement, WorkerIdx};
@@ -12,31 +12,31 @@
 use std::sync::Arc;
 
 /// Shortest time between two runs of a task that lasts, after one that failed.
-const LASTING_BACKOFF: Millis = Millis(200);
+const LASTING_RESTART_DELAY: Millis = Millis(200);
 
 impl Engine {
     /// Takes in that a task runs.
-    pub(crate) fn take_running(&mut self, idx: WorkerIdx, r: &Running, now: Millis) {
-        self.jobs.has_begun(r.task.step.job);
+    pub(crate) fn process_running(&mut self, idx: WorkerIdx, r: &Running, now: Millis) {
+        self.jobs.mark_begun(r.task.step.job);
         let Some(w) = self.workers.get_mut(idx) else { return };
         if let Some(h) = w.find_mut(r.task, r.run) {
-            h.has_begun(now);
-            let (worked, proven) = (h.has_newly_worked(now), h.is_newly_proven(now));
-            self.note_progress(idx, r, now);
+            h.mark_begun(now);
+            let (worked, cleared) = (h.becomes_stable(now), h.becomes_cleared(now));
+            self.record_progress(idx, r, now);
             let p = Placement { idx, task: r.task, run: r.run };
-            if proven {
-                self.clear_proven(p);
+            if cleared {
+                self.clear_crash_record(p);
             } else if worked {
-                self.note_worked(p);
+                self.record_stable(p);
             }
-            self.note_saved(r.task, &r.saved);
+            self.record_checkpoint(r.task, &r.saved);
             return;
         }
         let worker = w.life.clone();
         if self.adopt(idx, r, now) {
-            self.notes.push(Note::Adopted { task: r.task, run: r.run, worker });
-            self.note_progress(idx, r, now);
-            self.note_saved(r.task, &r.saved);
+            self.notes.push(Event::TaskAdopted { task: r.task, run: r.run, worker });
+            self.record_progress(idx, r, now);
+            self.record_checkpoint(r.task, &r.saved);
         } else {
             self.hold_foreign(idx, r, now);
         }
@@ -52,23 +52,23 @@
         let Some(step_spec) = spec.steps.get(key.step.step as usize) else { return false };
         let Some(step) = self.jobs.step_mut(key.step) else { return false };
         let Some(task) = step.tasks.get_mut(key.index as usize) else { return false };
-        if task.done || task.at.is_some() || r.run < task.run {
+        if task.done || task.worker.is_some() || r.run < task.run {
             return false;
         }
-        task.at = Some(idx);
+        task.worker = Some(idx);
         task.run = r.run;
         task.unsettled = false;
         let suspect = task.is_suspect();
-        let held = Held {
+        let held = HeldTask {
             // How long it has run already is not known.
             expected_end: now + Millis(step_spec.estimate_ms / 2),
             suspect,
-            ..Held::new((key, r.run), account, step_spec.room(), Phase::Running, now)
+            ..HeldTask::new((key, r.run), account, step_spec.room(), Phase::Running, now)
         };
         if let Some(w) = self.workers.get_mut(idx) {
             w.hold(held);
         }
-        self.note_open_run(Placement { idx, task: key, run: r.run });
+        self.record_open_run(Placement { idx, task: key, run: r.run });
         true
     }
 
@@ -83,12 +83,12 @@
         // What a job that has ended takes is not known any more, and the worker's size may not
         // be known yet: nothing fits beside it.
         let room = step.map_or(Resources::ALL, StepSpec::room);
-        w.hold(Held::new((r.task, r.run), account, room, Phase::Stopping, now));
-        self.notes.push(Note::Foreign { task: r.task, run: r.run, worker: w.life.clone() });
+        w.hold(HeldTask::new((r.task, r.run), account, room, Phase::Stopping, now));
+        self.notes.push(Event::ForeignTask { task: r.task, run: r.run, worker: w.life.clone() });
         self.stats.foreign += 1;
     }
 
-    fn note_saved(&mut self, key: TaskKey, saved: &Arc<str>) {
+    fn record_checkpoint(&mut self, key: TaskKey, saved: &Arc<str>) {
         if saved.is_empty() {
             return;
         }
@@ -98,18 +98,18 @@
     }
 
     /// Takes in that a task has ended.
-    pub(crate) fn take_end(&mut self, idx: WorkerIdx, end: &End, now: Millis) {
+    pub(crate) fn process_end(&mut self, idx: WorkerIdx, end: &End, now: Millis) {
         self.release_ended(idx, end);
         let key = end.task;
-        self.jobs.has_begun(key.step.job);
+        self.jobs.mark_begun(key.step.job);
         let Some(job) = self.jobs.get(key.step.job).filter(|j| j.end.is_none()) else {
             return;
         };
         let spec = job.spec.clone();
         let Some(step_spec) = spec.steps.get(key.step.step as usize) else { return };
         let Some(task) = self.jobs.task(key) else { return };
-        let here = task.at == Some(idx) && task.run == end.run;
-        let earlier = task.at.is_none() && end.run >= task.run;
+        let here = task.worker == Some(idx) && task.run == end.run;
+        let earlier = task.worker.is_none() && end.run >= task.run;
         // Ends of earlier runs count, too: an earlier owner may not have written them down.
         let counts = matches!(end.kind, EndKind::Done | EndKind::Failed);
         if task.done || !(here || earlier || counts) {
@@ -122,10 +122,10 @@
             task.run = task.run.max(end.run);
         }
         self.close_run(key, end.run);
-        self.note_saved(key, &end.saved);
-        self.note_health(idx, end, now);
-        self.count_end(idx, end, step_spec, now);
-        self.jobs.progressed(key.step.job);
+        self.record_checkpoint(key, &end.saved);
+        self.record_health(idx, end, now);
+        self.apply_end(idx, end, step_spec, now);
+        self.jobs.mark_progress_unwritten(key.step.job);
         self.dirty = true;
     }
 
@@ -134,7 +134,7 @@
         let Some(w) = self.workers.get_mut(idx) else { return };
         let held = w.find(end.task, end.run).map(|at| w.release(at));
         self.dirty |= held.is_some();
-        self.notes.push(Note::Ended {
+        self.notes.push(Event::TaskEnded {
             task: end.task,
             run: end.run,
             worker: w.life.clone(),
@@ -145,7 +145,7 @@
     }
 
     /// Draws from an end what it means for the task and its job.
-    fn count_end(&mut self, idx: WorkerIdx, end: &End, spec: &StepSpec, now: Millis) {
+    fn apply_end(&mut self, idx: WorkerIdx, end: &End, spec: &StepSpec, now: Millis) {
         match end.kind {
             EndKind::Done if !spec.lasting => self.task_done(end.task, spec.gang, now),
             EndKind::Failed if !spec.lasting => self.task_failed(idx, end, spec, now),
@@ -154,16 +154,18 @@
         }
     }
 
-    fn note_health(&mut self, idx: WorkerIdx, end: &End, now: Millis) {
+    fn record_health(&mut self, idx: WorkerIdx, end: &End, now: Millis) {
         if matches!(end.kind, EndKind::Done | EndKind::Failed) {
-            self.failures.note(end.kind == EndKind::Failed);
+            self.failures.record(end.kind == EndKind::Failed);
         }
-        let telling = self.failures.telling();
+        let quarantine_threshold = self.failures.quarantine_threshold();
         let Some(w) = self.workers.get_mut(idx) else { return };
         match end.kind {
-            EndKind::Done => w.health.success(),
-            EndKind::Failed if w.health.failure(end.task.step.job, telling, now) => {
-                self.notes.push(Note::PutAside { worker: w.life.clone() });
+            EndKind::Done => w.health.record_success(),
+            EndKind::Failed
+                if w.health.record_failure(end.task.step.job, quarantine_threshold, now) =>
+            {
+                self.notes.push(Event::WorkerQuarantined { worker: w.life.clone() });
                 self.stats.put_aside += 1;
             }
             _ => {}
@@ -173,7 +175,7 @@
     fn lasting_ended(&mut self, key: TaskKey, now: Millis) {
         self.stats.interrupted += 1;
         if let Some(task) = self.jobs.task_mut(key) {
-            task.not_before = now + LASTING_BACKOFF;
+            task.not_before = now + LASTING_RESTART_DELAY;
         }
     }
 
@@ -183,24 +185,24 @@
         if gang {
             // One such end stands for all members; their own ends only free their room.
             step.tasks.iter_mut().for_each(|t| t.done = true);
-            step.left = 0;
+            step.remaining = 0;
         } else if let Some(task) = step.tasks.get_mut(key.index as usize) {
             task.done = true;
-            step.left -= 1;
+            step.remaining -= 1;
         }
-        let step_done = step.done();
-        let elsewhere = step.tasks[key.index as usize].at;
+        let step_done = step.is_done();
+        let elsewhere = step.tasks[key.index as usize].worker;
         if let Some(other) = elsewhere.filter(|_| !gang) {
             self.order_stop(other, key);
         }
         if step_done {
-            self.jobs.rounds_wait(key.step.job);
+            self.jobs.mark_all_steps_waiting(key.step.job);
         }
-        self.job_may_be_done(key.step.job, now);
+        self.complete_job_if_done(key.step.job, now);
     }
 
-    fn job_may_be_done(&mut self, id: JobId, now: Millis) {
-        if self.jobs.get(id).is_some_and(|j| j.all_done()) {
+    fn complete_job_if_done(&mut self, id: JobId, now: Millis) {
+        if self.jobs.get(id).is_some_and(|j| j.is_done()) {
             self.end_job(id, JobState::Completed, now);
         }
     }
@@ -211,10 +213,10 @@
         let most = self.max_attempts(key.step.job);
         let Some(step) = self.jobs.step_mut(key.step) else { return };
         let failures = if spec.gang {
-            count_failure(&mut step.gang_failed, run)
+            count_failure(&mut step.failed_gang_runs, run)
         } else {
             let Some(task) = step.tasks.get_mut(key.index as usize) else { return };
-            task.keep_off(idx, now);
+            task.avoid_worker(idx, now);
             count_failure(&mut task.failed_runs, run)
         };
         if failures >= most {
@@ -241,16 +243,16 @@
     /// Takes note that a task doesn't run on the worker any more.
     pub(crate) fn unplace(&mut self, p: Placement, now: Millis) {
         let Some(task) = self.jobs.task_mut(p.task) else { return };
-        if task.at != Some(p.idx) || task.run != p.run {
+        if task.worker != Some(p.idx) || task.run != p.run {
             return;
         }
-        task.at = None;
-        self.jobs.step_waits(p.task.step);
+        task.worker = None;
+        self.jobs.mark_step_waiting(p.task.step);
         let Some(step) = self.jobs.step_mut(p.task.step) else { return };
-        if step.tasks.iter().all(|t| t.at.is_none()) {
-            step.regroup = false;
+        if step.tasks.iter().all(|t| t.worker.is_none()) {
+            step.restarting = false;
         }
-        step.gang_since = now;
+        step.gang_changed_at = now;
     }
 
     /// Stops everything of a job that runs.
--- a/crates/hollowford-jobs/src/urgency.rs
+++ b/crates/hollowford-jobs/src/urgency.rs
@@ -55,7 +55,7 @@
                 true
             }
         });
-        self.jobs.keep_waiting(steps);
+        self.jobs.restore_waiting(steps);
         out.sort_unstable_by_key(|w| (w.urgency, w.key));
         longest_first(&mut out, now);
         out
@@ -81,16 +81,16 @@
         let at = key.step as usize;
         let Some(step) = round.steps.get(at) else { return Wait::None };
         // A step that is not ready comes back when the one that it depends on is done.
-        if !step.has_unplaced() || !round.ready(&job.spec, at) {
+        if !step.has_unplaced() || !round.is_ready(&job.spec, at) {
             return Wait::None;
         }
         let Some(queue) = self.queues.get(&job.queue) else { return Wait::Later };
-        let tasks = step.waiting(now);
+        let tasks = step.count_startable(now);
         if tasks == 0 || (job.spec.steps[at].gang && tasks < step.tasks.len()) {
             return Wait::Later;
         }
         let urgency = urgency(job, round.due, at, queue, now);
-        Wait::Now(Waiting { urgency, key, kept: job.kept })
+        Wait::Now(Waiting { urgency, key, kept: job.durable })
     }
 }
 
--- a/crates/hollowford-jobs/src/view.rs
+++ b/crates/hollowford-jobs/src/view.rs
@@ -40,7 +40,7 @@
 impl Engine {
     /// Returns a summary.
     pub fn view(&self, now: Millis) -> EngineView {
-        let usable = || self.workers.iter().filter(|(_, w)| w.usable(now)).map(|(_, w)| w);
+        let usable = || self.workers.iter().filter(|(_, w)| w.is_usable(now)).map(|(_, w)| w);
         EngineView {
             epoch: self.epoch,
             open_jobs: self.jobs.open_len(),
--- a/crates/hollowford-jobs/src/waits.rs
+++ b/crates/hollowford-jobs/src/waits.rs
@@ -81,7 +81,7 @@
 impl Engine {
     /// Returns the steps that wait, with the reason of each, the oldest first; of very many only some.
     pub fn step_waits(&self, now: Millis) -> Vec<StepWait> {
-        let usable = self.workers.iter().filter(|(_, w)| w.usable(now) && w.recorded);
+        let usable = self.workers.iter().filter(|(_, w)| w.is_usable(now) && w.recorded);
         let rooms = usable.map(|(i, w)| Room::of(i, w, now)).collect();
         let pass = Pass::new(now, true, rooms);
         let wait = |&key: &StepKey| {
@@ -98,13 +98,13 @@
         let job = self.jobs.get(key.job).filter(|j| j.end.is_none())?;
         let queue = self.queues.get(&job.queue)?;
         let (spec, step) = (job.spec.steps.get(key.step as usize)?, self.jobs.step(key)?);
-        let gang = Placing { key, account: job.account, kept: job.kept, spec, queue };
+        let gang = Placing { key, account: job.account, kept: job.durable, spec, queue };
         if !self.is_waiting(key, pass.now) {
             let held_back = step.tasks.iter().any(|t| t.is_held_back());
             return held_back.then_some(WaitCause::HeldBack);
         }
         let wanted = if spec.gang { spec.count } else { 1 };
-        Some(if !job.kept {
+        Some(if !job.durable {
             WaitCause::Unkept
         } else if !self.accounts.allows(job.account, &spec.room(), wanted) {
             WaitCause::Quota
--- a/crates/hollowford-jobs/src/life.rs
+++ b/crates/hollowford-jobs/src/worker_life.rs
@@ -34,7 +34,7 @@
     }
 
     /// Tells whether both may be the same life: nothing tells them apart.
-    pub fn may_be(&self, other: &WorkerLife) -> bool {
+    pub fn may_be_same(&self, other: &WorkerLife) -> bool {
         let is_told = self.incarnation.is_some() && other.incarnation.is_some();
         self.id == other.id && (!is_told || self.incarnation == other.incarnation)
     }
--- a/crates/hollowford-jobs/src/gone.rs
+++ b/crates/hollowford-jobs/src/worker_removal.rs
@@ -1,7 +1,7 @@
 //! Workers that are gone, and what they held: it waits again.
 
 use crate::engine::Engine;
-use crate::note::{GiveUp, LifeEnd, Note};
+use crate::event::{Event, GiveUpCause, WorkerExit};
 use crate::order::Look;
 use crate::worker::Worker;
 use crate::workers::{Placement, WorkerIdx};
@@ -10,24 +10,24 @@
 impl Engine {
     /// Gives up on what workers held whose leases are surely over, and forgets those that
     /// are not listed and hold nothing.
-    pub(crate) fn lapse(&mut self, now: Millis) {
+    pub(crate) fn expire_leases(&mut self, now: Millis) {
         for idx in self.workers.indexes() {
             if self.has_left(idx) {
-                self.worker_dead(idx, now);
+                self.mark_worker_dead(idx, now);
                 continue;
             }
             let Some(w) = self.workers.get(idx) else { continue };
-            let over = w.lease_over().is_some_and(|at| at + self.bounds.stop_timeout <= now);
+            let over = w.lease_expiry().is_some_and(|at| at + self.bounds.stop_timeout <= now);
             if over && !w.held.is_empty() {
                 self.stats.lapsed += w.held.len() as u64;
-                self.note_lost(idx, now);
-                self.free_all(idx, GiveUp::Lapsed, now);
+                self.record_lost_runs(idx, now);
+                self.free_all(idx, GiveUpCause::Lapsed, now);
             }
-            self.expire_lost(idx, now);
+            self.expire_lost_runs(idx, now);
             let Some(w) = self.workers.get(idx) else { continue };
-            let silent = w.unanswered > 0 && !w.looking;
+            let silent = w.unanswered_calls > 0 && !w.look_in_flight;
             let known = !w.claimed && now < self.settled_at;
-            let empty = w.held.is_empty() && w.lost.is_empty();
+            let empty = w.held.is_empty() && w.lost_runs.is_empty();
             if !w.listed && silent && empty && (over || !w.claimed) && !known {
                 self.forget_worker(idx);
             }
@@ -35,7 +35,7 @@
     }
 
     /// This life of the worker is over: nothing that it held runs any more.
-    pub(crate) fn worker_dead(&mut self, idx: WorkerIdx, now: Millis) {
+    pub(crate) fn mark_worker_dead(&mut self, idx: WorkerIdx, now: Millis) {
         self.end_life(idx, None, now);
     }
 
@@ -43,17 +43,17 @@
     pub(crate) fn end_life(&mut self, idx: WorkerIdx, next: Option<WorkerIdx>, now: Millis) {
         let Some(w) = self.workers.get(idx) else { return };
         let (worker, tasks) = (w.life.clone(), w.held.len());
-        let how = if w.leaving { LifeEnd::Left } else { LifeEnd::Crashed };
+        let how = if w.leaving { WorkerExit::Left } else { WorkerExit::Crashed };
         match how {
-            LifeEnd::Crashed => self.note_crash(idx, now),
-            LifeEnd::Left => self.close_lost(idx),
+            WorkerExit::Crashed => self.record_crash(idx, now),
+            WorkerExit::Left => self.close_lost_runs(idx),
         }
         if let Some(next) = next {
             self.stop_late_starts(idx, next, now);
         }
-        self.free_all(idx, GiveUp::WorkerDead, now);
+        self.free_all(idx, GiveUpCause::WorkerDead, now);
         self.ended_lives.insert(worker.clone());
-        self.notes.push(Note::Dead { worker, how, tasks });
+        self.notes.push(Event::WorkerDead { worker, how, tasks });
         self.forget_worker(idx);
     }
 
@@ -76,9 +76,9 @@
         let others: Vec<_> = others.map(|(i, w)| (i, *w.life.id() == id)).collect();
         for (other, is_same_id) in others {
             if is_same_id {
-                self.succeed(other, idx, look, now);
+                self.replace_with_successor(other, idx, look, now);
             } else {
-                self.worker_dead(other, now);
+                self.mark_worker_dead(other, now);
             }
         }
     }
@@ -89,7 +89,7 @@
         self.dirty = true;
     }
 
-    fn free_all(&mut self, idx: WorkerIdx, cause: GiveUp, now: Millis) {
+    fn free_all(&mut self, idx: WorkerIdx, cause: GiveUpCause, now: Millis) {
         let Some(w) = self.workers.get(idx) else { return };
         let held: Vec<_> = w.held.iter().map(|h| (h.task, h.run)).collect();
         for (task, run) in held {
@@ -98,16 +98,16 @@
     }
 
     /// Takes a task off a worker on which it can't run any more; it waits again.
-    pub(crate) fn free(&mut self, p: Placement, cause: GiveUp, now: Millis) {
+    pub(crate) fn free(&mut self, p: Placement, cause: GiveUpCause, now: Millis) {
         let Placement { idx, task, run } = p;
-        if cause != GiveUp::Lapsed {
+        if cause != GiveUpCause::Lapsed {
             self.close_run(task, run);
         }
         if let Some(w) = self.workers.get_mut(idx)
             && let Some(at) = w.find(task, run)
         {
             w.release(at);
-            self.notes.push(Note::GivenUp { task, run, worker: w.life.clone(), cause });
+            self.notes.push(Event::TaskGivenUp { task, run, worker: w.life.clone(), cause });
         }
         self.unplace(p, now);
         self.dirty = true;
--- a/crates/hollowford-jobs/src/lives.rs
+++ b/crates/hollowford-jobs/src/worker_restart.rs
@@ -7,16 +7,16 @@
 
 use crate::accounts::NO_ACCOUNT;
 use crate::engine::Engine;
-use crate::held::{Held, Phase};
-use crate::life::{Incarnation, WorkerLife};
+use crate::held_task::{HeldTask, Phase};
 use crate::order::Look;
 use crate::spec::{StepSpec, TaskKey};
 use crate::worker::Worker;
+use crate::worker_life::{Incarnation, WorkerLife};
 use crate::workers::{Placement, WorkerIdx};
 use hollowford_core::Millis;
 
 /// A start without an answer may be carried out for so long.
-const CARRIED_OUT_WITHIN: Millis = Millis(15_000);
+const LATE_START_TIMEOUT: Millis = Millis(15_000);
 
 /// A start that got no answer.
 #[derive(Clone, Copy, Debug)]
@@ -29,8 +29,8 @@
 
 impl Worker {
     /// Takes note that a start got no answer.
-    pub fn note_late_start(&mut self, task: TaskKey, run: u32, now: Millis) {
-        self.late_starts.retain(|s| now.since(s.since) < CARRIED_OUT_WITHIN);
+    pub fn record_late_start(&mut self, task: TaskKey, run: u32, now: Millis) {
+        self.late_starts.retain(|s| now.since(s.since) < LATE_START_TIMEOUT);
         self.late_starts.push(LateStart { task, run, since: now });
     }
 }
@@ -38,7 +38,7 @@
 impl Engine {
     /// Returns the life that has answered a call to `called`, which stands at `idx`; none when the answer
     /// may be of an earlier one.
-    pub(crate) fn answering(
+    pub(crate) fn resolve_answering(
         &mut self,
         idx: WorkerIdx,
         called: &WorkerLife,
@@ -49,24 +49,24 @@
         let Some(told) = look.incarnation else { return Some(idx) };
         match w.life.incarnation() {
             Some(known) if known == told => Some(idx),
-            None if !w.fenced => Some(self.name_life(idx, told, now)),
-            _ if w.life == *called => self.next_life(idx, told, look, now),
+            None if !w.fenced => Some(self.set_incarnation(idx, told, now)),
+            _ if w.life == *called => self.add_successor(idx, told, look, now),
             _ => None,
         }
     }
 
     /// Takes note of what tells a life apart that was known by its id only.
-    fn name_life(&mut self, idx: WorkerIdx, told: Incarnation, now: Millis) -> WorkerIdx {
+    fn set_incarnation(&mut self, idx: WorkerIdx, told: Incarnation, now: Millis) -> WorkerIdx {
         if let Some(w) = self.workers.get_mut(idx) {
             w.life = WorkerLife::new(w.life.id().clone(), Some(told));
-            w.was_unnamed = true;
+            w.lacked_incarnation = true;
         }
-        self.take_listing(idx, now);
+        self.apply_listing(idx, now);
         idx
     }
 
     /// Takes note that another life answers under the id of the one at `idx`, which is over.
-    fn next_life(
+    fn add_successor(
         &mut self,
         idx: WorkerIdx,
         told: Incarnation,
@@ -82,20 +82,26 @@
             .workers
             .find(&life)
             .unwrap_or_else(|| self.workers.insert(Worker::new(life, address, now)));
-        self.take_listing(next, now);
-        self.succeed(idx, next, look, now);
+        self.apply_listing(next, now);
+        self.replace_with_successor(idx, next, look, now);
         Some(next)
     }
 
     /// Takes note that the life at `next` has followed the one at `idx` under its id.
-    pub(crate) fn succeed(&mut self, idx: WorkerIdx, next: WorkerIdx, look: &Look, now: Millis) {
+    pub(crate) fn replace_with_successor(
+        &mut self,
+        idx: WorkerIdx,
+        next: WorkerIdx,
+        look: &Look,
+        now: Millis,
+    ) {
         let longest = self.bounds.longest_lease;
         if let Some(w) = self.workers.get_mut(next) {
             // A lease by the earlier life's clock lies far ahead, and the worker cuts it.
             w.lease_until = w.lease_until.max(look.clock + longest.0);
         }
         let Some(w) = self.workers.get(idx) else { return };
-        let begun = |h: &&Held| {
+        let begun = |h: &&HeldTask| {
             let is_this = |task: TaskKey, run: u32| task == h.task && run == h.run;
             look.running.iter().any(|r| is_this(r.task, r.run))
                 || look.ended.iter().any(|e| is_this(e.task, e.run))
@@ -111,9 +117,9 @@
     /// wait until then.
     pub(crate) fn stop_late_starts(&mut self, idx: WorkerIdx, next: WorkerIdx, now: Millis) {
         let Some(w) = self.workers.get(idx) else { return };
-        let may_come = |h: &&Held| !h.unsent && (h.calling || h.unsure);
+        let may_come = |h: &&HeldTask| !h.unsent && (h.calling || h.unsure);
         let held = w.held.iter().filter(may_come).map(|h| (h.task, h.run));
-        let recent = |s: &&LateStart| now.since(s.since) < CARRIED_OUT_WITHIN;
+        let recent = |s: &&LateStart| now.since(s.since) < LATE_START_TIMEOUT;
         let given_up = w.late_starts.iter().filter(recent).map(|s| (s.task, s.run));
         let late: Vec<_> = held.chain(given_up).collect();
         for (task, run) in late {
@@ -121,7 +127,7 @@
                 continue;
             }
             if !self.move_held(Placement { idx, task, run }, next) {
-                self.hold_nothing(Placement { idx: next, task, run }, now);
+                self.hold_for_refusal(Placement { idx: next, task, run }, now);
             }
             if let Some(h) = self.workers.get_mut(next).and_then(|w| w.find_mut(task, run)) {
                 h.phase = Phase::Stopping;
@@ -141,22 +147,22 @@
         w.hold(held);
         let life = w.life.clone();
         let Some(t) = self.jobs.task_mut(task) else { return true };
-        if t.at == Some(idx) && t.run == run {
-            t.at = Some(next);
+        if t.worker == Some(idx) && t.run == run {
+            t.worker = Some(next);
         }
-        if t.suspicion.as_mut().is_some_and(|s| s.moves(run, &life)) {
-            self.jobs.progressed(task.step.job);
+        if t.crash_record.as_mut().is_some_and(|s| s.move_run(run, &life)) {
+            self.jobs.mark_progress_unwritten(task.step.job);
         }
         true
     }
 
     /// Holds a run that is nowhere now, and may begin: it is to be refused.
-    fn hold_nothing(&mut self, p: Placement, now: Millis) {
+    fn hold_for_refusal(&mut self, p: Placement, now: Millis) {
         let job = p.task.step.job;
         let name = self.account_of(job).unwrap_or(NO_ACCOUNT).to_owned();
         let account = self.accounts.intern(&name);
         let room = self.jobs.step_spec(p.task.step).map_or_else(Default::default, StepSpec::room);
-        let held = Held::new((p.task, p.run), account, room, Phase::Stopping, now);
+        let held = HeldTask::new((p.task, p.run), account, room, Phase::Stopping, now);
         if let Some(w) = self.workers.get_mut(p.idx) {
             w.hold(held);
         }
--- a/crates/hollowford-jobs/src/workers.rs
+++ b/crates/hollowford-jobs/src/workers.rs
@@ -1,8 +1,8 @@
 //! All workers of the partition.
 
-use crate::life::WorkerLife;
 use crate::spec::TaskKey;
 use crate::worker::Worker;
+use crate::worker_life::WorkerLife;
 use hollowford_core::InstanceId;
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
@@ -48,17 +48,17 @@
     }
 
     /// Returns the lives under an id, as they became known.
-    pub fn of_id(&self, id: &InstanceId) -> impl Iterator<Item = (WorkerIdx, &Worker)> {
+    pub fn with_id(&self, id: &InstanceId) -> impl Iterator<Item = (WorkerIdx, &Worker)> {
         let lives = self.by_id.get(id).into_iter().flatten();
         lives.filter_map(|&idx| Some((idx, self.get(idx)?)))
     }
 
     /// Returns the position of a life, also under the name that it had before it was told apart.
     pub fn find(&self, life: &WorkerLife) -> Option<WorkerIdx> {
-        let exact = self.of_id(life.id()).find(|(_, w)| w.life == *life);
+        let exact = self.with_id(life.id()).find(|(_, w)| w.life == *life);
         let named = || {
             let is_unnamed = life.incarnation().is_none();
-            self.of_id(life.id()).find(|(_, w)| is_unnamed && w.was_unnamed)
+            self.with_id(life.id()).find(|(_, w)| is_unnamed && w.lacked_incarnation)
         };
         exact.or_else(named).map(|(idx, _)| idx)
     }
--- a/crates/hollowford-jobs/tests/answers.rs
+++ b/crates/hollowford-jobs/tests/answers.rs
@@ -136,7 +136,7 @@
     let late = lists_of(&mut cell, at);
     let sent = cell.now;
     cell.run(400);
-    assert!(!cell.engine.looked_late(&id, late, sent, cell.now));
+    assert!(!cell.engine.look_answered_late(&id, late, sent, cell.now));
     cell.run(6_000);
     assert_eq!(cell.state(1), Some(JobState::Completed));
     assert_eq!(cell.workers.iter().map(|w| w.starts).sum::<u64>(), 1);
@@ -151,7 +151,7 @@
     let sent = cell.now;
     cell.run(600);
     assert_eq!(cell.state(1), Some(JobState::Completed));
-    cell.engine.looked_late(&"w0".into(), old, sent, cell.now);
+    cell.engine.look_answered_late(&"w0".into(), old, sent, cell.now);
     cell.run(100);
     assert_eq!(cell.engine.stats().foreign, 0);
 }
--- a/crates/hollowford-jobs/tests/common/mod.rs
+++ b/crates/hollowford-jobs/tests/common/mod.rs
@@ -58,7 +58,7 @@
     pub at: Millis,
     pub seat: Seat,
     pub step: StepKey,
-    pub rows: Advised,
+    pub rows: WorkerTickets,
 }
 
 /// An engine with its surroundings.
@@ -137,7 +137,7 @@
     pub fn list(&mut self) {
         let list: Vec<_> =
             self.workers.iter().filter(|w| w.listed).map(SimWorker::listing).collect();
-        self.engine.list_workers(&list, self.now);
+        self.engine.set_worker_list(&list, self.now);
     }
 
     pub fn set_queues(&mut self, queues: Vec<Queue>) {
@@ -209,7 +209,7 @@
     /// Writes the next batch to the store.
     pub fn write(&mut self) {
         if self.pending.is_empty() {
-            self.pending.extend(self.engine.cut_batch(self.now));
+            self.pending.extend(self.engine.next_batch(self.now));
         }
         if self.store_up {
             self.write_pending();
@@ -218,7 +218,7 @@
 
     /// Cuts one more batch beside those under way. Tells whether there was one to cut.
     pub fn cut(&mut self) -> bool {
-        let batch = self.engine.cut_batch(self.now);
+        let batch = self.engine.next_batch(self.now);
         let cut = batch.is_some();
         self.pending.extend(batch);
         cut
@@ -234,7 +234,7 @@
     /// Writes one of the batches under way.
     pub fn write_one(&mut self, at: usize) {
         let number = self.write_unheard(at);
-        self.engine.committed(number, self.now);
+        self.engine.batch_committed(number, self.now);
     }
 
     /// Writes one of the batches under way, and its answer is lost. Returns its number.
@@ -339,7 +339,7 @@
                     false => LookAnswer::Unanswered,
                 };
                 let answer = self.worker(worker.id()).map_or(LookAnswer::OtherLife, look);
-                self.engine.looked(&worker, answer, now, now);
+                self.engine.look_answered(&worker, answer, now, now);
             }
         }
     }
--- a/crates/hollowford-jobs/tests/crashes.rs
+++ b/crates/hollowford-jobs/tests/crashes.rs
@@ -39,8 +39,8 @@
 }
 
 /// Tells of a crash that was counted for a task whether it came soon after its start.
-fn counted_as_fresh(note: &Note) -> Option<bool> {
-    if let Note::CrashedUnder { fresh, .. } = note { Some(*fresh) } else { None }
+fn counted_as_fresh(note: &Event) -> Option<bool> {
+    if let Event::WorkerCrashed { fresh, .. } = note { Some(*fresh) } else { None }
 }
 
 /// Lets time pass until the next worker has crashed, or the job has ended.
@@ -138,7 +138,7 @@
     assert_eq!(cell.crashes.under.len(), 2, "both were there: {:?}", cell.crashes.under);
     cell.run(2_000);
     let other =
-        |n: &Note| matches!(n, Note::CrashedUnder { task, .. } if task.step.job == JobId(2));
+        |n: &Event| matches!(n, Event::WorkerCrashed { task, .. } if task.step.job == JobId(2));
     assert!(!cell.engine.take_notes().iter().any(other));
 }
 
@@ -199,7 +199,7 @@
     assert!(cell.workers[at].running.is_empty(), "it runs elsewhere");
     cell.crashes.crash(&mut cell.workers[at]);
     cell.run(5_000);
-    let under = |n: &Note| matches!(n, Note::CrashedUnder { .. });
+    let under = |n: &Event| matches!(n, Event::WorkerCrashed { .. });
     assert_eq!(cell.engine.take_notes().iter().filter(|n| under(n)).count(), 0);
     assert_eq!(cell.engine.stats().crashes, 1);
 }
--- a/crates/hollowford-jobs/tests/restarts.rs
+++ b/crates/hollowford-jobs/tests/restarts.rs
@@ -225,7 +225,7 @@
     assert!(is_used(&mut cell, 2));
     let look = Look { incarnation: earlier.incarnation(), clock: 999_999, ..Look::default() };
     let (sent, now) = (cell.now - Millis(700), cell.now);
-    cell.engine.looked_late(&earlier, LookAnswer::Lists(look), Millis(sent.0), now);
+    cell.engine.look_answered_late(&earlier, LookAnswer::Lists(look), Millis(sent.0), now);
     cell.run(5_000);
     assert_eq!(cell.running(), 1);
     assert_eq!(cell.engine.stats().crashes, 1);
@@ -238,7 +238,7 @@
     let (mut cell, earlier) = restarted();
     assert!(is_used(&mut cell, 2));
     let stale = WorkerListing { life: earlier, ..cell.workers[0].listing() };
-    cell.engine.list_workers(&[stale], cell.now);
+    cell.engine.set_worker_list(&[stale], cell.now);
     cell.run(2_000);
     assert_eq!(cell.running(), 1);
     cell.list();
@@ -281,7 +281,7 @@
     cell.take_over_unlisted();
     cell.engine.set_seats(&[Seat { address: "".into() }]);
     let old = WorkerListing { life: unnamed(&listing.life), ..listing };
-    cell.engine.list_workers(&[old], cell.now);
+    cell.engine.set_worker_list(&[old], cell.now);
     cell.run(500);
     cell.list();
     cell.run(5_000);
@@ -390,8 +390,8 @@
     assert!(is_used(&mut cell, 2));
     start_that_the_next_life_answers(&mut cell, 3, 1_000);
     cell.run(500);
-    let fresh = |n: &Note| match n {
-        Note::CrashedUnder { task, fresh, .. } => (task.step.job == JobId(2)).then_some(*fresh),
+    let fresh = |n: &Event| match n {
+        Event::WorkerCrashed { task, fresh, .. } => (task.step.job == JobId(2)).then_some(*fresh),
         _ => None,
     };
     let notes = cell.engine.take_notes();
@@ -403,7 +403,7 @@
 fn a_late_first_answer_does_not_end_a_life_that_became_known_after_the_call() {
     let mut cell = Cell::new(0);
     let mut w = worker::SimWorker::new(0, cell.now);
-    cell.engine.list_workers(&[w.listing()], cell.now);
+    cell.engine.set_worker_list(&[w.listing()], cell.now);
     let sent = cell.now;
     cell.poll();
     let LookAnswer::Lists(look) = w.look(None, 0, 1) else { panic!("it answers") };
@@ -413,7 +413,7 @@
     w.restart_as_itself();
     cell.workers.push(w);
     cell.list();
-    cell.engine.looked_late(&earlier, LookAnswer::Lists(look), sent, cell.now);
+    cell.engine.look_answered_late(&earlier, LookAnswer::Lists(look), sent, cell.now);
     cell.run(1_000);
     assert!(is_used(&mut cell, 2));
 }
@@ -421,7 +421,7 @@
 /// Tells whether it was counted that a worker has crashed under a task of a job.
 fn is_blamed(cell: &mut Cell, id: u64) -> bool {
     let blamed =
-        |n: &Note| matches!(n, Note::CrashedUnder { task, .. } if task.step.job == JobId(id));
+        |n: &Event| matches!(n, Event::WorkerCrashed { task, .. } if task.step.job == JobId(id));
     cell.engine.take_notes().iter().any(blamed)
 }
 
@@ -450,7 +450,7 @@
 fn a_life_that_is_over_is_not_counted_again_for_a_list_that_still_tells_of_it() {
     let (mut cell, earlier) = restarted();
     let stale = WorkerListing { life: earlier, ..cell.workers[0].listing() };
-    cell.engine.list_workers(&[stale], cell.now);
+    cell.engine.set_worker_list(&[stale], cell.now);
     cell.run(1_000);
     assert_eq!(cell.engine.stats().crashes, 1);
     assert_eq!(cell.engine.view(cell.now).workers, 1);
@@ -497,12 +497,12 @@
     cell.take_over_unlisted();
     let answer = cell.workers[0].look(None, 0, 2);
     assert_eq!(cell.poll().len(), 1);
-    cell.engine.looked(&row.life, LookAnswer::Unanswered, cell.now, cell.now);
+    cell.engine.look_answered(&row.life, LookAnswer::Unanswered, cell.now, cell.now);
     let sent = cell.now;
     cell.now = cell.now + Millis(100);
     assert_eq!(cell.poll().len(), 1);
-    cell.engine.looked_late(&row.life, answer.clone(), sent, cell.now);
-    cell.engine.looked(&row.life, answer, cell.now, cell.now);
+    cell.engine.look_answered_late(&row.life, answer.clone(), sent, cell.now);
+    cell.engine.look_answered(&row.life, answer, cell.now, cell.now);
     cell.list();
     cell.engine.set_seats(&[Seat { address: "".into() }]);
     cell.run(1_000);
--- a/crates/hollowford-jobs/tests/takeover.rs
+++ b/crates/hollowford-jobs/tests/takeover.rs
@@ -74,7 +74,7 @@
     assert_eq!(cell.engine.cancel(JobId(1), cell.now), CancelAnswer::Pending);
     cell.store_up = true;
     // The batch is made, and the owner is lost before it orders the stops.
-    let batch = cell.engine.cut_batch(cell.now).expect("a batch");
+    let batch = cell.engine.next_batch(cell.now).expect("a batch");
     for row in batch.rows {
         match row.value {
             Some(value) => cell.rows.insert(row.key, value),
--- a/crates/hollowford-jobs/tests/unwritten.rs
+++ b/crates/hollowford-jobs/tests/unwritten.rs
@@ -169,6 +169,6 @@
     until(&mut cell, |c| c.crashes.count == 2);
     cell.engine.take_notes();
     cell.take_over();
-    let recovered = |n: &Note| matches!(n, Note::Recovered { open: 1, .. });
+    let recovered = |n: &Event| matches!(n, Event::CrashRecordRecovered { open: 1, .. });
     assert!(cell.engine.take_notes().iter().any(recovered), "its second start is on record");
 }
--- a/crates/hollowford-node/src/batches.rs
+++ b/crates/hollowford-node/src/batches.rs
@@ -101,7 +101,7 @@
             return;
         }
         let Some(lane) = self.free_lane(now) else { return };
-        let Some(batch) = engine.cut_batch(now) else { return };
+        let Some(batch) = engine.next_batch(now) else { return };
         self.cut_at = now;
         self.unmade_since.get_or_insert(now);
         self.lanes[lane].under_way =
--- a/crates/hollowford-node/src/calls.rs
+++ b/crates/hollowford-node/src/calls.rs
@@ -5,7 +5,7 @@
 use crate::wire::Advice;
 use hollowford_adapter::{Called, WorkerClient};
 use hollowford_core::Millis;
-use hollowford_jobs::{Advised, LookAnswer, Seat, StartAnswer, StepKey, WorkerCall};
+use hollowford_jobs::{LookAnswer, Seat, StartAnswer, StepKey, WorkerCall, WorkerTickets};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::timeout;
@@ -123,7 +123,11 @@
 }
 
 /// Makes a call for advice from this instance.
-pub async fn advise(shared: &Shared, step: &str, workers: &[String]) -> Option<(Advised, Millis)> {
+pub async fn advise(
+    shared: &Shared,
+    step: &str,
+    workers: &[String],
+) -> Option<(WorkerTickets, Millis)> {
     let client = shared.advice.as_ref()?;
     let answer = client.ask(step, workers, ADVICE_TIMEOUT).await;
     let outcome = if answer.is_ok() { "answered" } else { "failed" };
@@ -144,7 +148,7 @@
 }
 
 /// Reads a member's answer to a call for advice.
-pub fn read_advice(msg: Advice) -> Option<(Advised, Millis)> {
+pub fn read_advice(msg: Advice) -> Option<(WorkerTickets, Millis)> {
     let rows = msg.workers.iter().zip(&msg.tickets);
     let rows = rows.map(|(id, t)| (id.as_str().into(), t.as_str().into())).collect();
     msg.answered.then_some((rows, Millis(msg.validity_ms)))
--- a/crates/hollowford-node/src/inbox.rs
+++ b/crates/hollowford-node/src/inbox.rs
@@ -9,7 +9,7 @@
 use crate::writer::Written;
 use hollowford_adapter::Called;
 use hollowford_core::Millis;
-use hollowford_jobs::{Advised, Seat, StepKey, WorkerCall, WorkerListing};
+use hollowford_jobs::{Seat, StepKey, WorkerCall, WorkerListing, WorkerTickets};
 use tokio::sync::{mpsc, oneshot};
 
 /// Messages that wait for the owner; calls beyond are refused.
@@ -40,7 +40,7 @@
         /// The step.
         step: StepKey,
         /// Who may run it, and how long the tickets hold.
-        answer: Option<(Advised, Millis)>,
+        answer: Option<(WorkerTickets, Millis)>,
     },
     /// What came of a batch.
     Written {
--- a/crates/hollowford-node/src/owner.rs
+++ b/crates/hollowford-node/src/owner.rs
@@ -179,7 +179,7 @@
             OwnerMsg::Written { batch, written } => self.take_written(batch, written, now),
             OwnerMsg::Listings(list) => {
                 self.delegation.set_workers(&list);
-                self.engine.list_workers(&list, now);
+                self.engine.set_worker_list(&list, now);
             }
             OwnerMsg::WorkerChanges(changes) => self.members.send_workers(&changes),
             OwnerMsg::Joined(link, hello, outbox) => {
@@ -235,7 +235,7 @@
         self.batches.note(batch, &written, now);
         match written {
             Written::Made { .. } => {
-                self.engine.committed(batch, now);
+                self.engine.batch_committed(batch, now);
                 self.waiters.committed(&self.engine);
             }
             Written::Deposed(by) => {
--- a/crates/hollowford-node/src/owner/worker_calls.rs
+++ b/crates/hollowford-node/src/owner/worker_calls.rs
@@ -30,10 +30,10 @@
                 false
             }
             (WorkerCall::Look { worker, .. }, Called::Look(answer)) if late => {
-                self.engine.looked_late(worker, answer, sent, now)
+                self.engine.look_answered_late(worker, answer, sent, now)
             }
             (WorkerCall::Look { worker, .. }, Called::Look(answer)) => {
-                self.engine.looked(worker, answer, sent, now)
+                self.engine.look_answered(worker, answer, sent, now)
             }
             (call, called) => {
                 log::error!("worker.answer call={call:?} answer={called:?}");
