--- a/crates/hollowford-jobs/src/accounts.rs
+++ b/crates/hollowford-jobs/src/accounts.rs
@@ -203,7 +203,7 @@
         for (_, w) in self.workers.iter() {
             for h in &w.held {
                 // What a job that has ended takes is not known: the whole worker at most.
-                let room = if h.room == Resources::ALL { &w.capacity } else { &h.room };
+                let room = if h.allocation == Resources::ALL { &w.capacity } else { &h.allocation };
                 self.accounts.take(h.account, room);
             }
         }
--- a/crates/hollowford-jobs/src/answer_timeouts.rs
+++ b/crates/hollowford-jobs/src/answer_timeouts.rs
@@ -61,7 +61,7 @@
     }
 
     /// Returns how long a look may wait for an end.
-    pub fn look_wait(&self) -> Millis {
+    pub fn max_look_wait(&self) -> Millis {
         if self.share <= MAX_RARE_LOSS_SHARE {
             return MAX_LOOK_WAIT;
         }
--- a/crates/hollowford-jobs/src/batch.rs
+++ b/crates/hollowford-jobs/src/batch.rs
@@ -86,7 +86,7 @@
 /// Batches that are cut and not made yet.
 #[derive(Debug, Default)]
 pub(crate) struct InFlight {
-    notes: BTreeMap<u64, BatchContents>,
+    batches: BTreeMap<u64, BatchContents>,
     /// Jobs with rows in one of them.
     jobs: FxHashSet<JobId>,
     /// Ended jobs whose rows were to be removed by a batch that was refused.
@@ -115,22 +115,27 @@
 
     /// Returns the next batch; none when there is nothing to write.
     pub fn next_batch(&mut self, now: Millis) -> Option<Batch> {
-        let mut note = BatchContents::default();
+        let mut contents = BatchContents::default();
         let mut rows = Vec::new();
-        self.write_workers(&mut rows, &mut note);
-        self.write_jobs(now, &mut rows, &mut note);
-        self.remove_expired(now, &mut rows, &mut note);
+        self.write_workers(&mut rows, &mut contents);
+        self.write_jobs(now, &mut rows, &mut contents);
+        self.remove_expired(now, &mut rows, &mut contents);
         if rows.is_empty() {
             return None;
         }
         self.batch_no += 1;
-        self.in_flight.jobs.extend(note.jobs());
-        self.in_flight.notes.insert(self.batch_no, note);
+        self.in_flight.jobs.extend(contents.jobs());
+        self.in_flight.batches.insert(self.batch_no, contents);
         Some(Batch { number: self.batch_no, rows })
     }
 
     /// Removes the rows of jobs that ended long ago.
-    fn remove_expired(&mut self, now: Millis, rows: &mut Vec<RowWrite>, note: &mut BatchContents) {
+    fn remove_expired(
+        &mut self,
+        now: Millis,
+        rows: &mut Vec<RowWrite>,
+        contents: &mut BatchContents,
+    ) {
         let old = now - self.bounds.keep_ended;
         let mut expired = std::mem::take(&mut self.in_flight.pending_removals);
         // A job that came anew under the same id has a row of its own.
@@ -141,33 +146,33 @@
         expired.extend(self.jobs.expire(old, MAX_EXPIRED_JOBS_PER_BATCH - expired.len()));
         for id in expired {
             rows.push(RowWrite { key: job_key(id), value: None });
-            note.expired.push(id);
+            contents.expired.push(id);
         }
     }
 
     /// A batch is in the store.
     pub fn batch_committed(&mut self, number: u64, now: Millis) {
-        let Some(note) = self.take_in_flight(number) else { return };
-        for &id in &note.accepted {
+        let Some(contents) = self.take_in_flight(number) else { return };
+        for &id in &contents.accepted {
             if let Some(job) = self.jobs.get_mut(id) {
                 job.durable = true;
             }
         }
-        for &(id, row) in &note.progressed {
+        for &(id, row) in &contents.progressed {
             if let Some(job) = self.jobs.get_mut(id).filter(|j| j.has_crash_record) {
                 job.row_written(row);
             }
         }
-        for &(_, end) in &note.ends {
+        for &(_, end) in &contents.ends {
             self.end_durable(end, now);
         }
-        for &(id, state, at) in &note.ended {
+        for &(id, state, at) in &contents.ended {
             // What was told of it after its end was decided needs no row.
             let told = self.jobs.get_mut(id).map(|j| std::mem::take(&mut j.ends));
             told.into_iter().flatten().for_each(|end| self.end_durable(end, now));
             self.close_job(id, state, at);
         }
-        if let Some(list) = note.workers {
+        if let Some(list) = contents.workers {
             self.workers_recorded(list);
         }
         self.dirty = true;
@@ -175,8 +180,8 @@
 
     /// Takes a batch out of those under way; what waited for it may be written next.
     fn take_in_flight(&mut self, number: u64) -> Option<BatchContents> {
-        let note = self.in_flight.notes.remove(&number)?;
-        for id in note.jobs() {
+        let contents = self.in_flight.batches.remove(&number)?;
+        for id in contents.jobs() {
             self.in_flight.jobs.remove(&id);
             match self.in_flight.deferred.remove(&id) {
                 Some(true) => self.jobs.write_queue.add_urgent(id),
@@ -184,7 +189,7 @@
                 None => {}
             }
         }
-        Some(note)
+        Some(contents)
     }
 
     /// An end at a worker is in the store, or needs not be.
@@ -198,15 +203,15 @@
 
     /// A batch was refused and will never be made: its changes are to be written again.
     pub fn batch_refused(&mut self, number: u64) {
-        let Some(note) = self.take_in_flight(number) else { return };
-        for &(id, end) in &note.ends {
+        let Some(contents) = self.take_in_flight(number) else { return };
+        for &(id, end) in &contents.ends {
             if let Some(job) = self.jobs.get_mut(id) {
                 job.ends.push(end);
             }
         }
-        let progressed = note.progressed.iter().map(|&(id, _)| id);
-        for id in note.accepted.iter().copied().chain(progressed) {
-            let accepted = note.accepted.contains(&id);
+        let progressed = contents.progressed.iter().map(|&(id, _)| id);
+        for id in contents.accepted.iter().copied().chain(progressed) {
+            let accepted = contents.accepted.contains(&id);
             let Some(job) = self.jobs.get_mut(id) else { continue };
             job.acceptance_unwritten |= accepted;
             job.progress_unwritten |= !accepted || job.has_progress_row;
@@ -216,16 +221,16 @@
                 self.jobs.write_queue.add_background(id);
             }
         }
-        self.in_flight.pending_removals.extend(note.expired);
-        for (id, ..) in note.ended {
+        self.in_flight.pending_removals.extend(contents.expired);
+        for (id, ..) in contents.ended {
             self.jobs.write_queue.add_urgent(id);
         }
     }
 
     /// Writes the row of workers when it lacks one that may get work.
-    fn write_workers(&mut self, rows: &mut Vec<RowWrite>, note: &mut BatchContents) {
+    fn write_workers(&mut self, rows: &mut Vec<RowWrite>, contents: &mut BatchContents) {
         // Two lists under way could be made in the wrong order.
-        let under_way = self.in_flight.notes.values().any(|n| n.workers.is_some());
+        let under_way = self.in_flight.batches.values().any(|n| n.workers.is_some());
         let lacking = self.workers.iter().any(|(_, w)| !w.recorded && w.listed);
         if under_way || !lacking {
             return;
@@ -236,7 +241,7 @@
         let crashed = self.crashed_lives.iter().map(|l| l.address.clone());
         let list: Vec<_> = lives.chain(crashed).collect();
         rows.push(RowWrite { key: WORKERS_KEY.to_owned(), value: Some(encode_workers(&list)) });
-        note.workers = Some(list);
+        contents.workers = Some(list);
     }
 
     fn workers_recorded(&mut self, list: Vec<WorkerAddress>) {
@@ -249,7 +254,7 @@
         self.recorded = list;
     }
 
-    fn write_jobs(&mut self, now: Millis, rows: &mut Vec<RowWrite>, note: &mut BatchContents) {
+    fn write_jobs(&mut self, now: Millis, rows: &mut Vec<RowWrite>, contents: &mut BatchContents) {
         let mut bytes = 0;
         while rows.len() + MAX_ROWS_PER_JOB <= MAX_JOB_ROWS_PER_BATCH
             && bytes <= MAX_VALUE_BYTES_PER_BATCH
@@ -260,7 +265,7 @@
                 continue;
             }
             let start = rows.len();
-            self.write_job(id, now, rows, note);
+            self.write_job(id, now, rows, contents);
             bytes += rows[start..].iter().map(RowWrite::bytes).sum::<usize>();
         }
     }
@@ -270,28 +275,28 @@
         id: JobId,
         now: Millis,
         rows: &mut Vec<RowWrite>,
-        note: &mut BatchContents,
+        contents: &mut BatchContents,
     ) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let account = self.accounts.name(job.account);
-        note.ends.extend(job.ends.drain(..).map(|end| (id, end)));
+        contents.ends.extend(job.ends.drain(..).map(|end| (id, end)));
         if let Some(state) = job.end {
             rows.push(put(job_key(id), JobRow::ended(state, now.0, account).encode_to_vec()));
             if job.has_progress_row {
                 rows.push(RowWrite { key: progress_key(id), value: None });
             }
-            note.ended.push((id, state, now));
+            contents.ended.push((id, state, now));
             return;
         }
         if std::mem::take(&mut job.acceptance_unwritten) {
             rows.push(put(job_key(id), JobRow::open(job, account).encode_to_vec()));
-            note.accepted.push(id);
+            contents.accepted.push(id);
         }
         if std::mem::take(&mut job.progress_unwritten) {
             job.has_progress_row = true;
             job.progress_rows_built += 1;
             rows.push(put(progress_key(id), ProgressRow::of(job).encode_to_vec()));
-            note.progressed.push((id, job.progress_rows_built));
+            contents.progressed.push((id, job.progress_rows_built));
         }
     }
 }
--- a/crates/hollowford-jobs/src/crashes.rs
+++ b/crates/hollowford-jobs/src/crashes.rs
@@ -76,7 +76,8 @@
     pub(crate) fn record_crash(&mut self, idx: WorkerIdx, now: Millis) {
         let Some(w) = self.workers.get(idx) else { return };
         let worker = w.life.clone();
-        let may_run = |h: &&HeldTask| h.phase != Phase::Starting || h.unsure || h.calling;
+        let may_run =
+            |h: &&HeldTask| h.phase != Phase::Starting || h.start_unanswered || h.call_in_flight;
         let held = w.held.iter().filter(may_run);
         let mut runs: Vec<_> = held.map(|h| LostRun::of(h, w.last_answer, now)).collect();
         runs.extend(&w.lost_runs);
--- a/crates/hollowford-jobs/src/held_task.rs
+++ b/crates/hollowford-jobs/src/held_task.rs
@@ -26,7 +26,7 @@
     pub run: u32,
     /// The client account that it runs for.
     pub account: AccountIdx,
-    pub room: Resources,
+    pub allocation: Resources,
     /// Workers have crashed under it before.
     pub suspect: bool,
     /// It has worked for a while: a crash now is not one soon after its start.
@@ -43,17 +43,17 @@
     /// Share of its full pace that it may work at, in percent, as it was ordered last.
     pub pace: u32,
     /// Share that it should work at.
-    pub pace_wanted: u32,
+    pub desired_pace: u32,
     /// When the progress was seen to change last.
     pub progressed_at: Millis,
     /// Progress and time when it was first seen to run.
-    pub first_seen: Option<(u32, Millis)>,
+    pub first_progress: Option<(u32, Millis)>,
     /// Its start is ordered once the store has the row that tells of it.
     pub unsent: bool,
     /// An order for it is under way.
-    pub calling: bool,
+    pub call_in_flight: bool,
     /// A start got no answer: that copy may be carried out later.
-    pub unsure: bool,
+    pub start_unanswered: bool,
     /// A stop was answered: it ends, or will never start.
     pub stop_answered: bool,
 }
@@ -72,7 +72,7 @@
             task,
             run,
             account,
-            room,
+            allocation: room,
             suspect: false,
             is_stable: false,
             cleared: false,
@@ -81,12 +81,12 @@
             expected_end: now,
             progress: 0,
             pace: FULL_PACE,
-            pace_wanted: FULL_PACE,
+            desired_pace: FULL_PACE,
             progressed_at: now,
-            first_seen: None,
+            first_progress: None,
             unsent: false,
-            calling: false,
-            unsure: false,
+            call_in_flight: false,
+            start_unanswered: false,
             stop_answered: false,
         }
     }
--- a/crates/hollowford-jobs/src/job.rs
+++ b/crates/hollowford-jobs/src/job.rs
@@ -210,7 +210,7 @@
     /// The client account that handed it in.
     pub account: AccountIdx,
     /// It is within what its account is owed.
-    pub owed: bool,
+    pub guaranteed: bool,
     pub spec: Arc<JobSpec>,
     /// Epoch of the owner that accepted it.
     pub epoch: u64,
--- a/crates/hollowford-jobs/src/jobs.rs
+++ b/crates/hollowford-jobs/src/jobs.rs
@@ -11,7 +11,7 @@
 
 /// How a job ended, and when.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Ended {
+pub(crate) struct EndedJob {
     pub state: JobState,
     pub at: Millis,
     pub account: AccountIdx,
@@ -21,8 +21,8 @@
 #[derive(Debug, Default)]
 pub(crate) struct Jobs {
     open: FxHashMap<JobId, Job>,
-    ended: FxHashMap<JobId, Ended>,
-    /// Ended jobs, the first that ended first.
+    ended: FxHashMap<JobId, EndedJob>,
+    /// EndedJob jobs, the first that ended first.
     by_end: VecDeque<JobId>,
     /// Jobs with something to write.
     pub write_queue: WriteQueue,
@@ -107,12 +107,12 @@
         self.open.keys().copied().collect()
     }
 
-    pub fn ended(&self, id: JobId) -> Option<Ended> {
+    pub fn ended(&self, id: JobId) -> Option<EndedJob> {
         self.ended.get(&id).copied()
     }
 
     /// Replaces an open job by how it ended.
-    pub fn close(&mut self, id: JobId, ended: Ended) {
+    pub fn close(&mut self, id: JobId, ended: EndedJob) {
         self.open.remove(&id);
         self.scheduled.remove(&id);
         if self.ended.insert(id, ended).is_none() {
--- a/crates/hollowford-jobs/src/lease.rs
+++ b/crates/hollowford-jobs/src/lease.rs
@@ -43,7 +43,7 @@
     /// Orders the looks that are due.
     pub(crate) fn order_looks(&mut self, now: Millis, out: &mut Vec<Order>) {
         let lease = self.bounds.lease;
-        let longest = self.losses.look_wait();
+        let longest = self.losses.max_look_wait();
         for idx in self.workers.indexes() {
             let Some(w) = self.workers.get_mut(idx) else { continue };
             if w.look_in_flight || w.next_look_at > now {
@@ -79,8 +79,8 @@
         }
         match answer {
             LookAnswer::Lists(look) => {
-                if let Some(answering) = self.resolve_answering(idx, life, &look, now) {
-                    self.process_look(answering, look, sent, now);
+                if let Some(responder) = self.responder(idx, life, &look, now) {
+                    self.process_look(responder, look, sent, now);
                 }
             }
             LookAnswer::OtherLife => self.mark_worker_dead(idx, now),
@@ -106,12 +106,12 @@
         let Some(idx) = self.workers.find(life) else { return false };
         match answer {
             LookAnswer::Lists(look) => {
-                let Some(answering) = self.resolve_answering(idx, life, &look, now) else {
+                let Some(responder) = self.responder(idx, life, &look, now) else {
                     return false;
                 };
                 let newer = |w: &Worker| look.clock > w.look_clock;
-                if self.workers.get(answering).is_some_and(newer) {
-                    self.process_look(answering, look, sent, now);
+                if self.workers.get(responder).is_some_and(newer) {
+                    self.process_look(responder, look, sent, now);
                 }
             }
             LookAnswer::OtherLife => self.mark_worker_dead(idx, now),
--- a/crates/hollowford-jobs/src/pacing.rs
+++ b/crates/hollowford-jobs/src/pacing.rs
@@ -56,12 +56,12 @@
         let mut changed = false;
         for h in w.held.iter_mut().filter(|h| fillers.contains(&h.task)) {
             let wanted = match tails {
-                Tails::Missed if h.pace_wanted > SLOWED => SLOWED,
+                Tails::Missed if h.desired_pace > SLOWED => SLOWED,
                 Tails::Missed => 0,
-                _ => (h.pace_wanted + SPEED_UP).min(FULL_PACE),
+                _ => (h.desired_pace + SPEED_UP).min(FULL_PACE),
             };
-            changed |= wanted != h.pace_wanted;
-            h.pace_wanted = wanted;
+            changed |= wanted != h.desired_pace;
+            h.desired_pace = wanted;
         }
         if changed {
             w.paced_at = now;
@@ -92,16 +92,16 @@
             let Some(w) = self.workers.get_mut(idx) else { continue };
             let (worker, address, limit) = (w.life.clone(), w.address.clone(), w.answer_timeout());
             let due = |h: &&mut HeldTask| {
-                h.phase == Phase::Running && !h.calling && h.pace != h.pace_wanted
+                h.phase == Phase::Running && !h.call_in_flight && h.pace != h.desired_pace
             };
             for h in w.held.iter_mut().filter(due) {
-                h.calling = true;
+                h.call_in_flight = true;
                 let call = WorkerCall::Pace {
                     worker: worker.clone(),
                     address: address.clone(),
                     task: h.task,
                     run: h.run,
-                    percent: h.pace_wanted,
+                    percent: h.desired_pace,
                 };
                 out.push(Order::Worker { call, limit });
             }
@@ -120,7 +120,7 @@
         let Some(idx) = self.workers.find(life) else { return };
         let Some(w) = self.workers.get_mut(idx) else { return };
         let Some(h) = w.find_mut(task, run) else { return };
-        h.calling = false;
+        h.call_in_flight = false;
         if answered {
             h.pace = percent;
         }
--- a/crates/hollowford-jobs/src/recover.rs
+++ b/crates/hollowford-jobs/src/recover.rs
@@ -2,7 +2,7 @@
 
 use crate::engine::Engine;
 use crate::job::{JobState, Round};
-use crate::jobs::Ended;
+use crate::jobs::EndedJob;
 use crate::progress_rows::{ProgressRow, RoundRow};
 use crate::rows::{JobRow, RowError, WorkerAddress, decode_workers};
 use crate::spec::{JobId, StepKey};
@@ -71,7 +71,7 @@
         if state.is_final() {
             found.ended += 1;
             let account = self.accounts.intern(&row.account);
-            self.jobs.close(id, Ended { state, at: Millis(row.ended_at), account });
+            self.jobs.close(id, EndedJob { state, at: Millis(row.ended_at), account });
             return Ok(());
         }
         found.open += 1;
--- a/crates/hollowford-jobs/src/reserve.rs
+++ b/crates/hollowford-jobs/src/reserve.rs
@@ -105,7 +105,8 @@
         slots: &mut Vec<(Millis, usize)>,
     ) {
         let Some(w) = self.workers.get(idx) else { return };
-        let mut ends: Vec<_> = w.held.iter().map(|h| (h.expected_end.max(now), h.room)).collect();
+        let mut ends: Vec<_> =
+            w.held.iter().map(|h| (h.expected_end.max(now), h.allocation)).collect();
         ends.sort_unstable_by_key(|&(end, _)| end);
         let mut have = copies(need, &free);
         for _ in 0..have.min(MOST_SLOTS) {
--- a/crates/hollowford-jobs/src/stall.rs
+++ b/crates/hollowford-jobs/src/stall.rs
@@ -37,12 +37,12 @@
         let estimate = self.estimate(r.task);
         let Some(w) = self.workers.get_mut(idx) else { return };
         let Some(h) = w.find_mut(r.task, r.run) else { return };
-        if r.progress == h.progress && h.first_seen.is_some() {
+        if r.progress == h.progress && h.first_progress.is_some() {
             return;
         }
         h.progress = r.progress;
         h.progressed_at = now;
-        let (from, since) = *h.first_seen.get_or_insert((r.progress, now));
+        let (from, since) = *h.first_progress.get_or_insert((r.progress, now));
         let done = r.progress.saturating_sub(from);
         if done < MIN_SAMPLE_PROGRESS_PERCENT {
             return;
--- a/crates/hollowford-jobs/src/starts.rs
+++ b/crates/hollowford-jobs/src/starts.rs
@@ -89,7 +89,7 @@
         let Some(w) = self.workers.get_mut(idx) else { return };
         let Some(lease_until) = w.extend_lease(now, lease) else { return };
         if let Some(h) = w.find_mut(task, run) {
-            h.calling = true;
+            h.call_in_flight = true;
         }
         let limit = w.answer_timeout();
         let call = WorkerCall::Start {
@@ -128,13 +128,13 @@
             w.answer_times.note(now.since(sent));
         }
         let Some(h) = w.find_mut(task, run) else { return answer == StartAnswer::Fenced };
-        h.calling = false;
+        h.call_in_flight = false;
         match answer {
             StartAnswer::Runs(_) => {
                 h.mark_begun(now);
                 self.jobs.mark_begun(task.step.job);
             }
-            StartAnswer::Unanswered => h.unsure = true,
+            StartAnswer::Unanswered => h.start_unanswered = true,
             // Its end is listed, or was already.
             StartAnswer::Old => {
                 h.phase = Phase::Running;
@@ -143,7 +143,9 @@
             StartAnswer::OtherLife => self.mark_worker_dead(idx, now),
             StartAnswer::Fenced => return true,
             // An earlier copy could still be carried out: only a stop makes sure.
-            StartAnswer::NoRoom | StartAnswer::Unhealthy | StartAnswer::Invalid if h.unsure => {
+            StartAnswer::NoRoom | StartAnswer::Unhealthy | StartAnswer::Invalid
+                if h.start_unanswered =>
+            {
                 h.phase = Phase::Stopping;
             }
             StartAnswer::Late
@@ -235,7 +237,8 @@
         for idx in self.workers.indexes() {
             let Some(w) = self.workers.get(idx) else { continue };
             // An answered stop is not sent again: the end is listed, or the run never started.
-            let due = |h: &&HeldTask| !h.calling && h.phase != Phase::Running && !h.stop_answered;
+            let due =
+                |h: &&HeldTask| !h.call_in_flight && h.phase != Phase::Running && !h.stop_answered;
             let due: Vec<_> =
                 w.held.iter().filter(due).map(|h| (h.task, h.run, h.phase, h.unsent)).collect();
             for (task, run, phase, unsent) in due {
@@ -286,7 +289,7 @@
         let Some(w) = self.workers.get_mut(idx) else { return };
         let (worker, address, limit) = (w.life.clone(), w.address.clone(), w.answer_timeout());
         let Some(h) = w.find_mut(task, run) else { return };
-        h.calling = true;
+        h.call_in_flight = true;
         h.since = now;
         out.push(Order::Worker { call: WorkerCall::Stop { worker, address, task, run }, limit });
     }
@@ -303,7 +306,7 @@
         let Some(idx) = self.workers.find(life) else { return };
         let Some(w) = self.workers.get_mut(idx) else { return };
         let Some(h) = w.find_mut(task, run) else { return };
-        h.calling = false;
+        h.call_in_flight = false;
         h.stop_answered |= answered;
         h.since = now;
     }
--- a/crates/hollowford-jobs/src/submit.rs
+++ b/crates/hollowford-jobs/src/submit.rs
@@ -5,7 +5,7 @@
 use crate::engine::Engine;
 use crate::event::Event;
 use crate::job::{Job, JobState};
-use crate::jobs::Ended;
+use crate::jobs::EndedJob;
 use crate::spec::{JobId, JobSpec};
 use hollowford_core::Millis;
 use std::sync::Arc;
@@ -62,7 +62,7 @@
         let name = self.accounts.name(account).clone();
         let owed = self.accounts.note_job(account, now);
         let mut job = new_job(id, (account, queue.clone()), spec, self.epoch, now);
-        job.owed = owed;
+        job.guaranteed = owed;
         if job.spec.schedule.is_none() {
             job.add_round(now);
         }
@@ -169,7 +169,7 @@
     /// Replaces a job whose end is in the store.
     pub(crate) fn close_job(&mut self, id: JobId, state: JobState, at: Millis) {
         let Some(account) = self.jobs.get(id).map(|j| j.account) else { return };
-        self.jobs.close(id, Ended { state, at, account });
+        self.jobs.close(id, EndedJob { state, at, account });
     }
 }
 
@@ -185,7 +185,7 @@
         id,
         queue,
         account,
-        owed: true,
+        guaranteed: true,
         spec,
         epoch,
         accepted_at,
--- a/crates/hollowford-jobs/src/urgency.rs
+++ b/crates/hollowford-jobs/src/urgency.rs
@@ -129,5 +129,5 @@
     } else {
         Rank::InTime
     };
-    Urgency { rank, unowed: !job.owed, latest_start }
+    Urgency { rank, unowed: !job.guaranteed, latest_start }
 }
--- a/crates/hollowford-jobs/src/worker.rs
+++ b/crates/hollowford-jobs/src/worker.rs
@@ -186,7 +186,7 @@
 
     /// Returns what is held.
     fn used(&self) -> Resources {
-        self.held.iter().fold(Resources::default(), |sum, h| sum.plus(&h.room))
+        self.held.iter().fold(Resources::default(), |sum, h| sum.plus(&h.allocation))
     }
 
     /// Tells whether all that is held fits; its capacity may have shrunk since it was placed.
--- a/crates/hollowford-jobs/src/worker_restart.rs
+++ b/crates/hollowford-jobs/src/worker_restart.rs
@@ -38,7 +38,7 @@
 impl Engine {
     /// Returns the life that has answered a call to `called`, which stands at `idx`; none when the answer
     /// may be of an earlier one.
-    pub(crate) fn resolve_answering(
+    pub(crate) fn responder(
         &mut self,
         idx: WorkerIdx,
         called: &WorkerLife,
@@ -117,7 +117,7 @@
     /// wait until then.
     pub(crate) fn stop_late_starts(&mut self, idx: WorkerIdx, next: WorkerIdx, now: Millis) {
         let Some(w) = self.workers.get(idx) else { return };
-        let may_come = |h: &&HeldTask| !h.unsent && (h.calling || h.unsure);
+        let may_come = |h: &&HeldTask| !h.unsent && (h.call_in_flight || h.start_unanswered);
         let held = w.held.iter().filter(may_come).map(|h| (h.task, h.run));
         let recent = |s: &&LateStart| now.since(s.since) < LATE_START_TIMEOUT;
         let given_up = w.late_starts.iter().filter(recent).map(|s| (s.task, s.run));
@@ -131,7 +131,7 @@
             }
             if let Some(h) = self.workers.get_mut(next).and_then(|w| w.find_mut(task, run)) {
                 h.phase = Phase::Stopping;
-                h.calling = false;
+                h.call_in_flight = false;
                 h.stop_answered = false;
             }
         }
