--- a/crates/hollowford-jobs/src/batch.rs
+++ b/crates/hollowford-jobs/src/batch.rs
@@ -136,14 +136,14 @@
         rows: &mut Vec<RowWrite>,
         contents: &mut BatchContents,
     ) {
-        let old = now - self.bounds.keep_ended;
+        let ended_before = now - self.bounds.keep_ended;
         let mut expired = std::mem::take(&mut self.in_flight.pending_removals);
         // A job that came anew under the same id has a row of its own.
         expired.retain(|&id| self.jobs.get(id).is_none() && self.jobs.ended(id).is_none());
         // What several refused batches were to remove may be more than one takes.
         self.in_flight.pending_removals =
             expired.split_off(expired.len().min(MAX_EXPIRED_JOBS_PER_BATCH));
-        expired.extend(self.jobs.expire(old, MAX_EXPIRED_JOBS_PER_BATCH - expired.len()));
+        expired.extend(self.jobs.expire(ended_before, MAX_EXPIRED_JOBS_PER_BATCH - expired.len()));
         for id in expired {
             rows.push(RowWrite { key: job_key(id), value: None });
             contents.expired.push(id);
@@ -168,8 +168,8 @@
         }
         for &(id, state, at) in &contents.ended {
             // What was told of it after its end was decided needs no row.
-            let told = self.jobs.get_mut(id).map(|j| std::mem::take(&mut j.ends));
-            told.into_iter().flatten().for_each(|end| self.end_durable(end, now));
+            let late_ends = self.jobs.get_mut(id).map(|j| std::mem::take(&mut j.ends));
+            late_ends.into_iter().flatten().for_each(|end| self.end_durable(end, now));
             self.close_job(id, state, at);
         }
         if let Some(list) = contents.workers {
@@ -230,16 +230,16 @@
     /// Writes the row of workers when it lacks one that may get work.
     fn write_workers(&mut self, rows: &mut Vec<RowWrite>, contents: &mut BatchContents) {
         // Two lists under way could be made in the wrong order.
-        let under_way = self.in_flight.batches.values().any(|n| n.workers.is_some());
-        let lacking = self.workers.iter().any(|(_, w)| !w.recorded && w.listed);
-        if under_way || !lacking {
+        let is_in_flight = self.in_flight.batches.values().any(|n| n.workers.is_some());
+        let is_incomplete = self.workers.iter().any(|(_, w)| !w.recorded && w.listed);
+        if is_in_flight || !is_incomplete {
             return;
         }
         let address =
             |w: &Worker| WorkerAddress { life: w.life.clone(), address: w.address.clone() };
-        let lives = self.workers.iter().map(|(_, w)| address(w));
+        let incarnations = self.workers.iter().map(|(_, w)| address(w));
         let crashed = self.crashed_lives.iter().map(|l| l.address.clone());
-        let list: Vec<_> = lives.chain(crashed).collect();
+        let list: Vec<_> = incarnations.chain(crashed).collect();
         rows.push(RowWrite { key: WORKERS_KEY.to_owned(), value: Some(encode_workers(&list)) });
         contents.workers = Some(list);
     }
@@ -259,9 +259,9 @@
         while rows.len() + MAX_ROWS_PER_JOB <= MAX_JOB_ROWS_PER_BATCH
             && bytes <= MAX_VALUE_BYTES_PER_BATCH
         {
-            let Some((id, wanted)) = self.jobs.write_queue.pop() else { return };
+            let Some((id, urgent)) = self.jobs.write_queue.pop() else { return };
             if self.in_flight.jobs.contains(&id) {
-                *self.in_flight.deferred.entry(id).or_default() |= wanted;
+                *self.in_flight.deferred.entry(id).or_default() |= urgent;
                 continue;
             }
             let start = rows.len();
--- a/crates/hollowford-jobs/src/crash_record.rs
+++ b/crates/hollowford-jobs/src/crash_record.rs
@@ -1,55 +1,57 @@
-//! What is known of a task under which workers have crashed, or may have.
+//! The crash record of a task: runs under which a worker has crashed or may have crashed.
 
 use crate::worker_life::WorkerLife;
 
-/// Crashes shortly after a start that end a job.
+/// Number of crashes shortly after a start that fail a job.
 ///
-/// The platform allows two. A worker that is cut off just after a start, and crashes later for another reason,
-/// looks the same as one that the task has crashed; the third crash keeps one such mistake from ending a
-/// job.
+/// The platform allows two crashes. A worker that is cut off just after a start and crashes later
+/// for another reason can't be distinguished from one that the task has crashed; allowing a third
+/// keeps one such mistake from failing a job.
 const FRESH_CRASH_LIMIT: usize = 3;
-/// Crashes that end a job, however long its task had run each time.
+/// Number of crashes that fail a job, however long its task had run each time.
 ///
-/// The platform allows two more starts after the third crash, so five in all. One crash may be unknown to a new
-/// owner, since the first start is not on record (see `track_unsettled_tasks`).
+/// The platform allows two more starts after the third crash, so five in all. One crash may be
+/// unknown to a new owner, because a task's first start is not stored (see
+/// `track_unsettled_tasks`).
 const CRASH_LIMIT: usize = 4;
-/// Crashes that end a job while fewer than [`MIN_CONFIRMED_RUNS`] of the runs were confirmed by their workers: a
-/// start that was never confirmed may have reached its worker after the crash.
+/// Number of crashes that fail a job while fewer than [`MIN_CONFIRMED_RUNS`] of the runs were
+/// confirmed by their workers: an unconfirmed start may have reached its worker after the crash.
 const UNCONFIRMED_CRASH_LIMIT: usize = 5;
-/// Crashes that count as soon after a start though their runs may have worked or ended unwritten. One such
-/// crash is likely to be real; more of them come about in a row by an outage alone.
+/// Number of uncertain crashes that are counted as fresh. One is likely to be real, but a store
+/// outage alone can produce several in a row.
 const MAX_UNCERTAIN_CRASHES: usize = 1;
-/// Confirmed runs from which on [`CRASH_LIMIT`] applies.
+/// Number of confirmed runs from which [`CRASH_LIMIT`] applies.
 const MIN_CONFIRMED_RUNS: usize = 2;
 
-/// How far a run was known to have come when its worker crashed.
+/// How long a run was known to have lasted when its worker crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RunStage {
-    /// The worker had not said that it runs.
+    /// The worker had not confirmed that it runs.
     Unconfirmed,
     /// It had been started shortly before.
     Fresh,
-    /// It was on record as just started, but the store was away: that it had worked or ended may not have
-    /// been written.
+    /// It is stored as fresh, but the store was unavailable: it may have become stable or ended
+    /// since.
     Uncertain,
-    /// It had worked for a while: what crashes a worker does so sooner.
+    /// It was no longer fresh, so it is unlikely to have caused the crash.
     Stable,
 }
 
-/// A run of which the owner can't know yet whether its worker crashes under it.
+/// A run that may still turn out to have crashed its worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct OpenRun {
     pub run: u32,
-    /// The life of the worker that was told to start it.
+    /// The worker incarnation that was ordered to start it.
     pub worker: WorkerLife,
-    /// It is not known to have worked for a while: a crash now would count as one soon after its start.
+    /// It is not known to have become stable, so a crash would count as one shortly after the
+    /// start.
     pub fresh: bool,
-    /// That it has worked or ended may not have been written.
+    /// It may have become stable or ended without this being stored.
     pub uncertain: bool,
 }
 
 impl OpenRun {
-    /// Returns how far it has come, as far as that is on record.
+    /// Returns the stage according to what is stored.
     pub fn stage(&self) -> RunStage {
         match (self.fresh, self.uncertain) {
             (true, true) => RunStage::Uncertain,
@@ -59,27 +61,27 @@
     }
 }
 
-/// The record of one task. Only tasks that were on a worker that has crashed, or may have, have one;
-/// it is written to the store with the job's progress, each start of such a task included, so that a new
-/// owner can tell what a worker crashed under that comes back after the takeover.
+/// The crash record of one task. Only tasks whose worker has crashed or may have crashed have one.
+/// It is stored with the job's progress, including each start of the task, so that a new owner
+/// knows which tasks to count when a crashed worker returns after the takeover.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct CrashRecord {
     /// Runs under which a worker has crashed.
     pub crashed_runs: Vec<u32>,
-    /// Those of them that had been started shortly before.
+    /// Crashed runs that had been started shortly before.
     pub fresh_runs: Vec<u32>,
-    /// Those of them that their workers had not confirmed.
+    /// Crashed runs that their workers had not confirmed.
     pub unconfirmed_runs: Vec<u32>,
-    /// Those of them that may have worked or ended without its being written.
+    /// Crashed runs that may have become stable or ended without this being stored.
     pub uncertain_runs: Vec<u32>,
-    /// The run that is under way, and runs whose workers fell silent for longer than a lease.
+    /// The current run, and runs whose workers were silent until their leases expired.
     pub open_runs: Vec<OpenRun>,
-    /// Number of the row of the job's progress that tells all of this first; none: the store has it.
+    /// Number of the progress row that first contains this record; `None` once it is stored.
     pub unwritten_row: Option<u64>,
 }
 
 impl CrashRecord {
-    /// Takes note of a start, or of what has become known of it.
+    /// Adds an open run, or updates it.
     pub fn open_run(&mut self, run: u32, worker: &WorkerLife, fresh: bool) {
         match self.open_runs.iter_mut().find(|r| r.run == run) {
             Some(r) => (r.fresh, r.uncertain) = (fresh, false),
@@ -92,26 +94,27 @@
         }
     }
 
-    /// Takes note that another life of the worker has begun a run. Tells whether that was open.
+    /// Records that another incarnation of the worker has started a run. Returns true if the run
+    /// was open.
     pub fn move_run(&mut self, run: u32, worker: &WorkerLife) -> bool {
         let r = self.open_runs.iter_mut().find(|r| r.run == run);
         r.map(|r| r.worker = worker.clone()).is_some()
     }
 
-    /// Takes note that no worker has crashed under a run. Tells whether that was open.
+    /// Records that no worker has crashed under a run. Returns true if the run was open.
     pub fn close_run(&mut self, run: u32) -> bool {
         let before = self.open_runs.len();
         self.open_runs.retain(|r| r.run != run);
         self.open_runs.len() < before
     }
 
-    /// Takes note that a run has worked for a while. Tells whether that is new.
+    /// Records that a run is no longer fresh. Returns true if it was fresh before.
     pub fn mark_stable(&mut self, run: u32) -> bool {
         let r = self.open_runs.iter_mut().find(|r| r.run == run && r.fresh);
         r.map(|r| r.fresh = false).is_some()
     }
 
-    /// Counts a crash under a run, once. Tells whether it is a new one.
+    /// Counts a crash under a run, once. Returns true if it was not counted before.
     pub fn record_crash(&mut self, run: u32, stage: RunStage) -> bool {
         self.close_run(run);
         if self.crashed_runs.contains(&run) {
@@ -127,31 +130,32 @@
         true
     }
 
-    /// Tells whether the store lacks some of this: another owner would count less, and start the task
-    /// once more for each crash that it doesn't know of.
+    /// Returns true if part of the record is not stored. Another owner would count fewer crashes
+    /// and start the task again for each one missing.
     pub fn is_unwritten(&self) -> bool {
         self.unwritten_row.is_some()
     }
 
-    /// Takes note that a row of the job's progress is in the store.
+    /// Records that a progress row is stored.
     pub fn row_written(&mut self, row: u64) {
         self.unwritten_row = self.unwritten_row.filter(|&needed| needed > row);
     }
 
-    /// Tells whether the task is likely enough to crash its workers that it should run apart.
+    /// Returns true if the task is likely enough to crash workers that nothing should be started
+    /// beside it.
     pub fn is_suspect(&self) -> bool {
         !self.fresh_runs.is_empty()
     }
 
-    /// Tells whether the task is to be given up.
+    /// Returns true if the task's job has to fail.
     pub fn reaches_crash_limit(&self) -> bool {
         let all = self.crashed_runs.len();
         let confirmed = all - self.unconfirmed_runs.len();
         reaches_crash_limit(self.count_fresh(0, 0), confirmed, all)
     }
 
-    /// Tells whether the next start has to wait until it is known what became of earlier ones: were all
-    /// of them crashes, the task would be given up.
+    /// Returns true if the next start has to wait for the outcome of open runs: if all of them were
+    /// crashes, the job would fail.
     pub fn blocks_start(&self) -> bool {
         let open = |stage| self.open_runs.iter().filter(|r| r.stage() == stage).count();
         let fresh = self.count_fresh(open(RunStage::Fresh), open(RunStage::Uncertain));
@@ -159,15 +163,16 @@
         reaches_crash_limit(fresh, all - self.unconfirmed_runs.len(), all)
     }
 
-    /// Counts the crashes that count as soon after a start, with so many more of either kind.
-    fn count_fresh(&self, more_fresh: usize, more_untold: usize) -> usize {
-        let uncertain = self.uncertain_runs.len() + more_untold;
+    /// Returns the number of crashes counted as fresh, with the given numbers of further fresh and
+    /// uncertain ones.
+    fn count_fresh(&self, more_fresh: usize, more_uncertain: usize) -> usize {
+        let uncertain = self.uncertain_runs.len() + more_uncertain;
         self.fresh_runs.len() + more_fresh + uncertain.min(MAX_UNCERTAIN_CRASHES)
     }
 }
 
-/// Tells whether so many crashes soon after a start, under so many confirmed runs, and so many in
-/// all, end a job.
+/// Returns true if a job fails after `fresh` crashes shortly after a start and `all` crashes in
+/// total, with `confirmed` of the runs confirmed.
 fn reaches_crash_limit(fresh: usize, confirmed: usize, all: usize) -> bool {
     let most = if confirmed >= MIN_CONFIRMED_RUNS { CRASH_LIMIT } else { UNCONFIRMED_CRASH_LIMIT };
     fresh >= FRESH_CRASH_LIMIT || all >= most
--- a/crates/hollowford-jobs/src/crashes.rs
+++ b/crates/hollowford-jobs/src/crashes.rs
@@ -1,18 +1,18 @@
-//! Workers that crash, and the tasks that were on them.
+//! Crashes of workers, and the tasks that were on them.
 //!
-//! A worker that crashes lists no ends, so what it ran would be started again for ever, and a task that
-//! crashes its workers would take one after the other down, with all that is beside it. So crashes are
-//! counted for each task that was there, and a task is given up after some of them.
+//! A crashed worker reports no ends, so its tasks would be restarted forever, and a task that
+//! crashes its workers would take down one worker after another, with everything that runs there.
+//! Crashes are therefore counted per task, and a task's job fails after a limited number.
 //!
-//! What is known of a task must outlive its owner. A task with a record starts only once the store has the
-//! record, and the row that names the start: another owner then counts as this one does. What a task waits
-//! for always comes. A run is closed by its end, by an answer of its worker, by the next life there, or
-//! after `WORKER_RETURN_TIMEOUT`, and each new owner counts that time anew; a row is made, or cut again when the
-//! store refuses it.
+//! The counts must survive a change of owner. A task with a crash record starts only once the
+//! record and the row that names the new run are stored, so that another owner counts the same.
+//! Everything that a task waits for is certain to happen: a run is closed by its end, by an answer
+//! of its worker, by the next incarnation of the worker or after `WORKER_RETURN_TIMEOUT`, which
+//! each new owner measures anew; a row is either stored or written again when the store refuses it.
 //!
-//! That a worker has crashed is known only once its next life answers, since a worker that is cut off
-//! is silent, too. By then the lease on what it held may be over and the tasks run elsewhere: such runs
-//! stay open until then.
+//! A crash is known only once the worker's next incarnation answers, because a partitioned worker
+//! is silent too. The leases of its tasks may have expired by then and the tasks may run elsewhere:
+//! such runs stay open until the worker answers.
 
 use crate::crash_record::{CrashRecord, RunStage};
 use crate::engine::Engine;
@@ -25,30 +25,30 @@
 use crate::workers::{Placement, WorkerIdx};
 use hollowford_core::Millis;
 
-/// A crashed worker is back within this time, or not soon enough to tell that it crashed: some seconds
-/// are usual.
+/// Time within which a crashed worker usually returns; a few seconds are common. Runs lost on a
+/// worker that returns later are closed without counting a crash.
 const WORKER_RETURN_TIMEOUT: Millis = Millis(15_000);
-/// A run that its worker has confirmed is fresh while the worker was not heard for so long after its
-/// start: what crashes a worker does so when it is started, and most of what stands beside it has run for
-/// longer. A start that was not confirmed may have come after the crash.
+/// A confirmed run counts as fresh if its worker was last heard less than this time after the
+/// start. A task that crashes workers does so at its start, and most other tasks on the worker have
+/// run for longer. A start that was not confirmed may have reached the worker after the crash.
 pub(crate) const FRESH_PERIOD: Millis = Millis(500);
-/// A run that has worked for so long clears its task: what crashes a worker does so when it is
-/// started. It keeps crashes that are years apart from adding up for tasks that last.
+/// Run time after which a task is cleared of suspicion: a task that crashes workers does so at its
+/// start. This keeps unrelated crashes, years apart, from adding up for a service task.
 pub(crate) const CLEARING_RUN_TIME: Millis = Millis(10_000);
 
-/// A crashed life stands in the row of workers for so long: what was started there by an owner that
-/// was lost is in no row, and each later owner has to reckon with it until the tasks have run again.
-const CRASHED_LIFE_RETENTION: Millis = Millis(60_000);
+/// Time for which the row of workers keeps a crashed incarnation. Starts ordered there by a lost
+/// owner may be in no row, so each later owner has to consider them until the tasks have run again.
+const CRASHED_INCARNATION_RETENTION: Millis = Millis(60_000);
 
-/// A life that has crashed.
+/// An incarnation that has crashed.
 #[derive(Clone, Debug)]
-pub(crate) struct CrashedLife {
+pub(crate) struct CrashedIncarnation {
     pub address: WorkerAddress,
-    /// The row of workers names it until then.
+    /// Until when the row of workers contains it.
     until: Millis,
 }
 
-/// A run on a worker that fell silent for longer than its lease.
+/// A run on a worker that was silent until its lease expired.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LostRun {
     pub task: TaskKey,
@@ -59,7 +59,7 @@
 }
 
 impl LostRun {
-    /// Makes what is known of a run at `now` whose worker was heard last at `heard`.
+    /// Creates the record of a lost run whose worker was last heard at `heard`.
     fn of(h: &HeldTask, heard: Millis, now: Millis) -> LostRun {
         let stage = match h.phase {
             Phase::Running if heard < h.since + FRESH_PERIOD => RunStage::Fresh,
@@ -71,8 +71,8 @@
 }
 
 impl Engine {
-    /// Takes note that a worker has crashed: counts it for the tasks that were there, and gives up
-    /// those that have been there too often.
+    /// Records that a worker has crashed. Counts the crash for the tasks that were on it, and fails
+    /// the jobs of those that reach the limit.
     pub(crate) fn record_crash(&mut self, idx: WorkerIdx, now: Millis) {
         let Some(w) = self.workers.get(idx) else { return };
         let worker = w.life.clone();
@@ -83,13 +83,14 @@
         runs.extend(&w.lost_runs);
         let address = WorkerAddress { life: w.life.clone(), address: w.address.clone() };
         self.crashed_lives.retain(|l| l.until > now);
-        self.crashed_lives.push(CrashedLife { address, until: now + CRASHED_LIFE_RETENTION });
+        self.crashed_lives
+            .push(CrashedIncarnation { address, until: now + CRASHED_INCARNATION_RETENTION });
         self.stats.crashes += 1;
         if self.unsettled.contains(&idx) {
             self.track_unsettled_tasks();
         }
-        // A suspect that has just been started is the likelier cause: what had worked beside it by then
-        // is not given up for it.
+        // A suspect task that has just been started is the likely cause, so the crash is not
+        // counted for runs that were stable by then.
         let explained = runs.iter().any(|r| r.stage == RunStage::Fresh && self.is_suspect(r.task));
         for run in runs {
             if explained && run.stage == RunStage::Stable {
@@ -104,7 +105,7 @@
         self.jobs.task(key).is_some_and(Task::is_suspect)
     }
 
-    /// Counts a crash for a task that is not done, and gives its job up if that tells enough.
+    /// Counts a crash for a task that is not done, and fails its job if the limit is reached.
     fn count_crash(&mut self, r: LostRun, worker: &WorkerLife, now: Millis) {
         let LostRun { task: key, run, stage, .. } = r;
         let job = key.step.job;
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Takes note of a start, for a task under which a worker may have crashed: it is written down.
+    /// Records, in the store too, the start of a task that has a crash record.
     pub(crate) fn record_open_run(&mut self, p: Placement) {
         let Some(worker) = self.workers.get(p.idx).map(|w| w.life.clone()) else { return };
         if self.jobs.task(p.task).is_none_or(|t| t.crash_record.is_none()) {
@@ -136,7 +137,8 @@
         crash_record.open_run(p.run, &worker, true);
     }
 
-    /// Takes note that what a worker holds is given up, without knowing whether it has crashed.
+    /// Records that a worker's tasks are given up while it is unknown whether the worker has
+    /// crashed.
     pub(crate) fn record_lost_runs(&mut self, idx: WorkerIdx, now: Millis) {
         let Some(w) = self.workers.get_mut(idx) else { return };
         let life = w.life.clone();
@@ -154,7 +156,7 @@
         }
     }
 
-    /// Takes note that a worker has not crashed under what was given up: it lives, or has left.
+    /// Records that a worker has not crashed under its lost runs: it answers, or has left.
     pub(crate) fn close_lost_runs(&mut self, idx: WorkerIdx) {
         let Some(w) = self.workers.get_mut(idx) else { return };
         for lost in std::mem::take(&mut w.lost_runs) {
@@ -162,8 +164,8 @@
         }
     }
 
-    /// Takes note that no worker has crashed under a run. It is written down, or a crash of that worker
-    /// later on would count for the task with the next owner.
+    /// Records that no worker has crashed under a run. This is stored too; otherwise the next owner
+    /// would count a later crash of that worker for the task.
     pub(crate) fn close_run(&mut self, task: TaskKey, run: u32) {
         let Some(t) = self.jobs.task_mut(task) else { return };
         if t.crash_record.as_mut().is_some_and(|s| s.close_run(run)) {
@@ -171,7 +173,7 @@
         }
     }
 
-    /// Takes note that a run has worked for a while, also for the next owner.
+    /// Records, in the store too, that a run is no longer fresh.
     pub(crate) fn record_stable(&mut self, p: Placement) {
         let Some(task) = self.jobs.task_mut(p.task) else { return };
         if task.crash_record.as_mut().is_some_and(|s| s.mark_stable(p.run)) {
@@ -179,7 +181,7 @@
         }
     }
 
-    /// Closes the runs on a worker that isn't back in time.
+    /// Closes lost runs whose worker has not returned in time.
     pub(crate) fn expire_lost_runs(&mut self, idx: WorkerIdx, now: Millis) {
         let Some(w) = self.workers.get_mut(idx) else { return };
         let old = |l: &mut LostRun| now.since(l.since) >= WORKER_RETURN_TIMEOUT;
@@ -188,7 +190,7 @@
         }
     }
 
-    /// Clears a task whose run has worked well for long enough.
+    /// Removes the crash record of a task whose run has lasted long enough.
     pub(crate) fn clear_crash_record(&mut self, p: Placement) {
         let Some(task) = self.jobs.task_mut(p.task) else { return };
         if task.crash_record.take().is_some() {
@@ -199,9 +201,10 @@
         }
     }
 
-    /// Has the starts of all tasks written down that an earlier owner may have started on a worker that
-    /// this one never heard. One of them may have crashed it, and no row says which: so one crash can be
-    /// hidden by a takeover, and the next ones can't.
+    /// Gives a crash record to every task that an earlier owner may have started on a worker that
+    /// this owner has never heard from, so that their starts are stored. One of these tasks may
+    /// have crashed the worker, and no row tells which: a takeover can hide one crash of a task,
+    /// but no later ones.
     pub(crate) fn track_unsettled_tasks(&mut self) {
         for id in self.jobs.ids() {
             let Some(job) = self.jobs.get_mut(id) else { continue };
@@ -212,7 +215,7 @@
         }
     }
 
-    /// Takes in what an earlier owner had written down of a task.
+    /// Restores a crash record that an earlier owner stored.
     pub(crate) fn recover_crash_record(
         &mut self,
         key: TaskKey,
@@ -240,7 +243,7 @@
         }
     }
 
-    /// Counts the tasks that wait only until it is known what became of earlier runs of theirs.
+    /// Returns the number of tasks that wait only for the outcome of their earlier runs.
     pub(crate) fn count_held_back(&self) -> usize {
         let steps = self.jobs.waiting().filter_map(|&key| self.jobs.step(key));
         steps.flat_map(|s| &s.tasks).filter(|t| t.is_held_back()).count()
--- a/crates/hollowford-jobs/src/engine.rs
+++ b/crates/hollowford-jobs/src/engine.rs
@@ -4,7 +4,7 @@
 use crate::advice::GoodShare;
 use crate::answer_timeouts::AnswerLoss;
 use crate::batch::InFlight;
-use crate::crashes::CrashedLife;
+use crate::crashes::CrashedIncarnation;
 use crate::event::Event;
 use crate::health::FailureRate;
 use crate::job::Round;
@@ -117,7 +117,7 @@
     /// The row of workers as it was written last.
     pub(crate) recorded: Vec<WorkerAddress>,
     /// Lives that have crashed lately, which that row goes on naming.
-    pub(crate) crashed_lives: Vec<CrashedLife>,
+    pub(crate) crashed_lives: Vec<CrashedIncarnation>,
     /// Something may be placeable that was not at the last pass.
     pub(crate) dirty: bool,
     /// A call for advice that wasn't quick was answered since the last pass.
@@ -220,7 +220,7 @@
             self.tended_at = now;
             self.rounds_due(now);
             self.expire_leases(now);
-            self.order_looks(now, out);
+            self.send_looks(now, out);
             self.resend(now, out);
             self.order_paces(out);
         }
--- a/crates/hollowford-jobs/src/evacuate.rs
+++ b/crates/hollowford-jobs/src/evacuate.rs
@@ -1,15 +1,15 @@
-//! Workers that leave: what can't end there in time moves while it can take its progress along.
+//! Moves resumable tasks off a leaving worker when they can't end there in time.
 
 use crate::engine::Engine;
 use crate::held_task::{HeldTask, Phase};
 use crate::workers::WorkerIdx;
 use hollowford_core::Millis;
 
-/// A stop and its checkpoint have to be over this long before the worker may be gone.
+/// Time before a worker's removal by which a stop and its checkpoint have to be complete.
 const STOP_MARGIN: Millis = Millis(600);
 
 impl Engine {
-    /// Moves tasks that save their progress off a worker that leaves before they end.
+    /// Moves resumable tasks off a worker that leaves before they end.
     pub(crate) fn evacuate(&mut self, idx: WorkerIdx, now: Millis) {
         let Some(w) = self.workers.get(idx).filter(|w| w.leaving) else { return };
         let Some(leaves_at) = w.leaves_at.filter(|&at| at > now + STOP_MARGIN) else { return };
@@ -22,9 +22,8 @@
         }
     }
 
-    /// Tells whether a worker has left: it said that it would, answers no more, and the
-    /// platform lists it no more. One that is only cut off stays listed for longer than its
-    /// lease lasts.
+    /// Returns true if a worker has left: it had announced it, no longer answers and is no longer
+    /// listed. A worker that is only cut off stays listed for longer than its lease lasts.
     pub(crate) fn has_left(&self, idx: WorkerIdx) -> bool {
         self.workers.get(idx).is_some_and(|w| w.leaving && !w.listed && w.unanswered_calls > 0)
     }
--- a/crates/hollowford-jobs/src/health.rs
+++ b/crates/hollowford-jobs/src/health.rs
@@ -1,23 +1,23 @@
-//! Workers that fail whatever they start are put aside, and tried again.
+//! Quarantines workers on which tasks keep failing, and tries them again later.
 
 use crate::spec::JobId;
 use hollowford_core::Millis;
 
-/// A worker is put aside after failures of different jobs, with no success between them, that are
-/// so unlikely on a sound one.
+/// Largest probability that the failures in a row on a healthy worker would be chance, at which a
+/// worker is quarantined.
 const MAX_CHANCE_PROBABILITY: f32 = 1e-4;
-/// Fewest and most such failures.
+/// Fewest and most failed jobs in a row that quarantine a worker.
 const FAILED_JOBS_RANGE: (usize, usize) = (2, 4);
-/// Weight of the newest end in the share of failed ends: some hundreds are remembered.
+/// Weight of the newest end in the failure share; it averages over several hundred ends.
 const FAILURE_SHARE_WEIGHT: f32 = 1.0 / 512.0;
-/// The share that is assumed at first.
+/// Failure share that is assumed at first.
 const INITIAL_FAILURE_SHARE: f32 = 0.02;
-/// How long a worker is first put aside.
+/// Duration of a worker's first quarantine.
 const MIN_QUARANTINE: Millis = Millis(2_000);
-/// How long it is put aside at most, after trials that failed too.
+/// Longest quarantine; the duration doubles with each failed trial.
 const MAX_QUARANTINE: Millis = Millis(8_000);
 
-/// How often tasks fail in the whole partition, by faults of their own and of workers.
+/// Share of tasks that fail in the whole partition, whether through the task or the worker.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FailureRate {
     share: f32,
@@ -30,13 +30,14 @@
 }
 
 impl FailureRate {
-    /// Takes in that a task has ended well, or failed.
+    /// Records whether a task has failed or ended well.
     pub fn record(&mut self, failed: bool) {
         let newest = if failed { 1.0 } else { 0.0 };
         self.share += (newest - self.share) * FAILURE_SHARE_WEIGHT;
     }
 
-    /// Returns how many failures in a row, of different jobs, tell that a worker is not sound.
+    /// Returns the number of different jobs that have to fail in a row for a worker to be
+    /// quarantined.
     pub fn quarantine_threshold(&self) -> usize {
         let in_a_row =
             MAX_CHANCE_PROBABILITY.ln() / self.share.clamp(MAX_CHANCE_PROBABILITY, 0.5).ln();
@@ -44,51 +45,51 @@
     }
 }
 
-/// The record of one worker.
+/// Failure record of one worker.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Health {
-    /// Jobs that failed here since the last success, each once.
+    /// Jobs of which a task failed here since the last success, each once.
     failed_jobs: Vec<JobId>,
-    /// Put aside until then; after that it is on trial until a task ends well.
+    /// End of the quarantine or pause. After that the worker is on trial until a task ends well.
     quarantined_until: Option<Millis>,
     last_quarantine: Millis,
 }
 
 impl Health {
-    /// Tells whether the worker may get work.
+    /// Returns true if the worker may get tasks.
     pub fn is_available(&self, now: Millis) -> bool {
         self.quarantined_until.is_none_or(|until| until <= now)
     }
 
-    /// Tells whether it gets one task only.
+    /// Returns true if the worker may get only one task at a time.
     pub fn on_trial(&self, now: Millis) -> bool {
         self.quarantined_until.is_some_and(|until| until <= now)
     }
 
-    /// Tells whether the worker is paused or put aside at `now`.
+    /// Returns true if the worker is paused or quarantined at `now`.
     pub fn is_quarantined(&self, now: Millis) -> bool {
         !self.is_available(now)
     }
 
-    /// Gives the worker nothing before `until`.
+    /// Keeps new tasks off the worker until `until`.
     pub fn pause(&mut self, until: Millis) {
         self.quarantined_until = Some(self.quarantined_until.map_or(until, |a| a.max(until)));
     }
 
-    /// A task has ended well here.
+    /// Records that a task has ended well.
     pub fn record_success(&mut self) {
         self.failed_jobs.clear();
         self.quarantined_until = None;
         self.last_quarantine = Millis(0);
     }
 
-    /// Tells whether tasks have failed here and none has ended well since.
+    /// Returns true if tasks have failed here and none has ended well since.
     pub fn is_suspect(&self) -> bool {
         !self.failed_jobs.is_empty()
     }
 
-    /// A task of the job has failed here. Tells whether the worker is put aside by it, where
-    /// `quarantine_threshold` failures in a row tell that it is not sound.
+    /// Records that a task of `job` has failed. Returns true if this quarantines the worker: it was
+    /// on trial, or `quarantine_threshold` jobs have failed in a row.
     pub fn record_failure(&mut self, job: JobId, quarantine_threshold: usize, now: Millis) -> bool {
         if !self.failed_jobs.contains(&job) {
             self.failed_jobs.push(job);
--- a/crates/hollowford-jobs/src/health_tests.rs
+++ b/crates/hollowford-jobs/src/health_tests.rs
@@ -1,10 +1,10 @@
-//! How many failures tell that a worker is not sound.
+//! Number of failures in a row after which a worker is quarantined.
 
 use crate::health::{FailureRate, Health};
 use crate::spec::JobId;
 use hollowford_core::Millis;
 
-/// Learns from ends of which one in `every` has failed.
+/// Returns the failure rate after 5,000 ends of which one in `every` has failed.
 fn learned(every: u32) -> FailureRate {
     let mut f = FailureRate::default();
     (0..5_000).for_each(|i| f.record(i % every == 0));
--- a/crates/hollowford-jobs/src/held_task.rs
+++ b/crates/hollowford-jobs/src/held_task.rs
@@ -1,70 +1,71 @@
-//! A task that takes room on a worker, as the owner knows it.
+//! A task that occupies resources on a worker.
 
 use crate::accounts::AccountIdx;
 use crate::crashes::{CLEARING_RUN_TIME, FRESH_PERIOD};
 use crate::spec::TaskKey;
 use hollowford_core::{Millis, Resources};
 
-/// Pace of a task that nothing slows down, in percent.
+/// Pace of a task that is not slowed down, in percent.
 pub(crate) const FULL_PACE: u32 = 100;
 
-/// How far the owner knows a placement to have come.
+/// State of a run as the owner knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// Ordered, not answered yet.
+    /// A start was ordered and not answered.
     Starting,
-    /// The worker has said that it runs.
+    /// The worker has confirmed that it runs.
     Running,
     /// A stop was ordered.
     Stopping,
 }
 
-/// A task that takes room on a worker.
+/// A run that occupies resources on a worker.
 #[derive(Clone, Debug)]
 pub(crate) struct HeldTask {
     pub task: TaskKey,
     pub run: u32,
-    /// The client account that it runs for.
+    /// The client account of its job.
     pub account: AccountIdx,
     pub allocation: Resources,
-    /// Workers have crashed under it before.
+    /// Whether workers have crashed under the task before.
     pub suspect: bool,
-    /// It has worked for a while: a crash now is not one soon after its start.
+    /// Whether it has run for [`FRESH_PERIOD`]: a crash after that doesn't count as one shortly
+    /// after the start.
     pub is_stable: bool,
-    /// It has worked for long enough not to be suspect.
+    /// Whether it has run for [`CLEARING_RUN_TIME`], which clears its task of suspicion.
     pub cleared: bool,
     pub phase: Phase,
-    /// When it was ordered, or found.
+    /// When it was ordered, adopted or confirmed as running, or when its last stop call was made or
+    /// answered.
     pub since: Millis,
-    /// When it is expected to end.
     pub expected_end: Millis,
-    /// Percent of its work that is done.
+    /// Completed share of its work, in percent.
     pub progress: u32,
-    /// Share of its full pace that it may work at, in percent, as it was ordered last.
+    /// Pace that was ordered last, in percent of full pace.
     pub pace: u32,
-    /// Share that it should work at.
+    /// Pace that it should have, in percent of full pace.
     pub desired_pace: u32,
-    /// When the progress was seen to change last.
+    /// When the reported progress last changed.
     pub progressed_at: Millis,
-    /// Progress and time when it was first seen to run.
+    /// Progress and time of the first report that it runs.
     pub first_progress: Option<(u32, Millis)>,
-    /// Its start is ordered once the store has the row that tells of it.
+    /// Its start is held back until the row that records it is stored.
     pub unsent: bool,
-    /// An order for it is under way.
+    /// Whether a call about it is in flight.
     pub call_in_flight: bool,
-    /// A start got no answer: that copy may be carried out later.
+    /// Whether a start got no answer, so that the worker may still execute it.
     pub start_unanswered: bool,
-    /// A stop was answered: it ends, or will never start.
+    /// Whether a stop was answered: the run ends or never starts.
     pub stop_answered: bool,
 }
 
 impl HeldTask {
-    /// Makes what takes `room` for an account in `phase` from `now` on. Its end is expected at
-    /// once; callers that know better say so.
+    /// Creates a held run that occupies `allocation` from `now` on. Its end is expected at `now`;
+    /// callers set a better estimate.
     pub fn new(
         (task, run): (TaskKey, u32),
         account: AccountIdx,
-        room: Resources,
+        allocation: Resources,
         phase: Phase,
         now: Millis,
     ) -> HeldTask {
@@ -72,7 +73,7 @@
             task,
             run,
             account,
-            allocation: room,
+            allocation,
             suspect: false,
             is_stable: false,
             cleared: false,
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Takes in that a start that was ordered has come about.
+    /// Records that the worker has started it.
     pub fn mark_begun(&mut self, now: Millis) {
         if self.phase == Phase::Starting {
             self.phase = Phase::Running;
@@ -99,14 +100,14 @@
         }
     }
 
-    /// Tells once that it has worked for a while.
+    /// Returns true once, when it has run for [`FRESH_PERIOD`].
     pub fn becomes_stable(&mut self, now: Millis) -> bool {
         let newly = !self.is_stable && now.since(self.since) >= FRESH_PERIOD;
         self.is_stable |= newly;
         newly
     }
 
-    /// Tells once that it has worked for so long that its start has crashed nothing.
+    /// Returns true once, when it has run for [`CLEARING_RUN_TIME`].
     pub fn becomes_cleared(&mut self, now: Millis) -> bool {
         let newly = !self.cleared && now.since(self.since) >= CLEARING_RUN_TIME;
         self.cleared |= newly;
--- a/crates/hollowford-jobs/src/job.rs
+++ b/crates/hollowford-jobs/src/job.rs
@@ -1,4 +1,4 @@
-//! A job and its parts.
+//! Jobs, their rounds, steps and tasks.
 
 use crate::accounts::AccountIdx;
 use crate::advice::StepAdvice;
@@ -8,112 +8,111 @@
 use hollowford_core::Millis;
 use std::sync::Arc;
 
-/// Run numbers that each epoch of owners may use for a task. A new owner can't know of starts
-/// that no worker lists any more, so it begins above them.
+/// Run numbers that each owner epoch may use for a task. A new owner can't know of starts that no
+/// worker lists any more, so it uses higher numbers.
 pub(crate) const RUNS_PER_EPOCH: u32 = 16;
 
-/// Where a job stands, as callers see it.
+/// State of a job as callers see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobState {
-    /// No task has begun.
+    /// No task has started.
     Queued,
-    /// A task has begun.
+    /// A task has started.
     Running,
-    /// Every task has ended well.
+    /// All tasks have ended well.
     Completed,
-    /// A task or a gang has failed too often.
+    /// A task or gang has failed too often, or has crashed too many workers.
     Failed,
-    /// Cancelled by its caller.
+    /// A caller has cancelled the job.
     Cancelled,
 }
 
 impl JobState {
-    /// Tells whether nothing more will happen.
+    /// Returns true if the job has ended.
     pub fn is_final(self) -> bool {
         !matches!(self, JobState::Queued | JobState::Running)
     }
 }
 
-/// An end that a worker keeps until it need not any more.
+/// Reference to an end that a worker keeps until the end's effects are stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct EndRef {
     pub worker: WorkerIdx,
-    /// Its number in the worker's list.
+    /// The worker's number of the end.
     pub number: u64,
 }
 
-/// One task.
+/// One task of a step.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Task {
     pub done: bool,
-    /// Highest run number that is known.
+    /// Highest known run number.
     pub run: u32,
-    /// Runs that ended by failing. An end may be told twice, by a worker that a new owner
-    /// claims, and has to count once.
+    /// Failed runs. Each run counts once: a worker may report an end again, for example to a new
+    /// owner.
     pub failed_runs: Vec<u32>,
-    /// A worker has crashed under it, or may have.
+    /// Crashes and open runs; set if a worker has crashed under the task or may have.
     pub crash_record: Option<Box<CrashRecord>>,
     pub saved: Option<Arc<str>>,
-    /// Where it runs, or may run.
+    /// The worker on which it runs or may run.
     pub worker: Option<WorkerIdx>,
-    /// Where it failed last: tried elsewhere first.
+    /// The worker on which it last failed; other workers are tried first.
     pub avoid: Option<AvoidedWorker>,
-    /// It may run on a worker that this owner has not claimed yet.
+    /// Whether it may run on a worker that this owner has not claimed yet.
     pub unsettled: bool,
-    /// Not started again before.
+    /// Earliest time of the next start.
     pub not_before: Millis,
 }
 
-/// A worker that a task keeps off for a while.
+/// A worker that a task temporarily avoids.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AvoidedWorker {
     pub worker: WorkerIdx,
     pub until: Millis,
 }
 
-/// A task keeps off the worker that it failed on for so long, if it may run elsewhere: another
-/// one that never has room must not hold it up for ever.
+/// Time for which a task avoids the worker on which it failed, if it may run elsewhere. It is
+/// limited because the other workers may never have room.
 const AVOID_PERIOD: Millis = Millis(1_000);
 
 impl Task {
-    /// Keeps off a worker for a while.
+    /// Avoids a worker for [`AVOID_PERIOD`].
     pub fn avoid_worker(&mut self, worker: WorkerIdx, now: Millis) {
         self.avoid = Some(AvoidedWorker { worker, until: now + AVOID_PERIOD });
     }
 
-    /// Returns the worker that the task keeps off at `now`.
+    /// Returns the worker that the task avoids at `now`.
     pub fn avoided_worker(&self, now: Millis) -> Option<WorkerIdx> {
         self.avoid.filter(|a| now < a.until).map(|a| a.worker)
     }
 
-    /// Tells whether a worker has crashed under the task.
+    /// Returns true if a worker has crashed shortly after a start of the task.
     pub fn is_suspect(&self) -> bool {
         self.crash_record.as_ref().is_some_and(|s| s.is_suspect())
     }
 
-    /// Tells whether the task may be started at `now`.
+    /// Returns true if the task may be started at `now`.
     pub fn is_startable(&self, now: Millis) -> bool {
         self.is_free() && !self.unsettled && self.not_before <= now && !self.is_held_back()
     }
 
-    /// Tells whether the task waits until it is known what became of earlier runs of it, or until
-    /// the store has what is known.
+    /// Returns true if the task waits for the outcome of its earlier runs, or for its crash record
+    /// to be stored.
     pub fn is_held_back(&self) -> bool {
         let held_back = |s: &CrashRecord| s.blocks_start() || s.is_unwritten();
         self.is_free() && self.crash_record.as_deref().is_some_and(held_back)
     }
 
-    /// Tells whether the task has a record of crashes.
     pub fn has_crash_record(&self) -> bool {
         self.crash_record.is_some()
     }
 
-    /// Tells whether the store has what is known of crashes under the task.
+    /// Returns true if the store has the task's crash record, or there is none.
     pub fn is_written(&self) -> bool {
         self.crash_record.as_ref().is_none_or(|s| !s.is_unwritten())
     }
 
-    /// Tells whether the task is neither done nor placed.
+    /// Returns true if the task is neither done nor placed.
     fn is_free(&self) -> bool {
         !self.done && self.worker.is_none()
     }
@@ -123,14 +122,14 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Step {
     pub tasks: Vec<Task>,
-    /// Tasks that are not done.
+    /// Number of tasks that are not done.
     pub remaining: u32,
-    /// Runs of the gang that failed.
+    /// Failed runs of the gang.
     pub failed_gang_runs: Vec<u32>,
     pub advice: StepAdvice,
-    /// When the current run of the gang was started.
+    /// When the gang was last started or a member of it left its worker.
     pub gang_changed_at: Millis,
-    /// The gang is being stopped, to start again.
+    /// Whether the gang is being stopped in order to start again.
     pub restarting: bool,
 }
 
@@ -150,37 +149,37 @@
         self.remaining == 0
     }
 
-    /// Tells whether some task is neither done nor placed.
+    /// Returns true if some task is neither done nor placed.
     pub fn has_unplaced(&self) -> bool {
         self.remaining > 0 && self.tasks.iter().any(|t| !t.done && t.worker.is_none())
     }
 
-    /// Tells whether some task has a record of crashes.
+    /// Returns true if some task has a crash record.
     pub fn has_crash_record(&self) -> bool {
         self.tasks.iter().any(Task::has_crash_record)
     }
 
-    /// Tells whether the store has what is known of crashes under its tasks.
+    /// Returns true if the store has the crash records of all tasks.
     pub fn is_written(&self) -> bool {
         self.tasks.iter().all(Task::is_written)
     }
 
-    /// Returns how many tasks could be started at `now`.
+    /// Returns how many tasks may be started at `now`.
     pub fn count_startable(&self, now: Millis) -> usize {
         self.tasks.iter().filter(|t| t.is_startable(now)).count()
     }
 
-    /// Returns how many tasks of the step a worker holds.
+    /// Returns how many tasks of the step are placed on a worker.
     pub fn tasks_on(&self, w: WorkerIdx) -> u32 {
         self.tasks.iter().filter(|t| t.worker == Some(w)).count() as u32
     }
 }
 
-/// One round of a job's steps.
+/// One round of a job's steps. Jobs without a schedule have a single round.
 #[derive(Clone, Debug)]
 pub(crate) struct Round {
     pub number: u32,
-    /// When it fell due.
+    /// When the round became due.
     pub due: Millis,
     pub steps: Vec<Step>,
 }
@@ -190,57 +189,57 @@
         self.steps.iter().all(Step::is_done)
     }
 
-    /// Takes note that its tasks may run on workers that this owner has not claimed yet.
+    /// Marks its open tasks as possibly running on workers that this owner has not claimed yet.
     pub fn mark_unsettled(&mut self) {
         let tasks = self.steps.iter_mut().flat_map(|s| &mut s.tasks);
         tasks.for_each(|t| t.unsettled = !t.done);
     }
 
-    /// Tells whether everything that the step depends on is done.
+    /// Returns true if all steps that `step` depends on are done.
     pub fn is_ready(&self, spec: &JobSpec, step: usize) -> bool {
         spec.steps[step].depends.iter().all(|&d| self.steps[d as usize].is_done())
     }
 }
 
-/// One job that has not ended.
+/// A job that has not ended.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
     pub id: JobId,
     pub queue: Arc<str>,
-    /// The client account that handed it in.
+    /// The client account that submitted it.
     pub account: AccountIdx,
-    /// It is within what its account is owed.
+    /// Whether it is within its account's guaranteed rate.
     pub guaranteed: bool,
     pub spec: Arc<JobSpec>,
     /// Epoch of the owner that accepted it.
     pub epoch: u64,
     pub accepted_at: Millis,
-    /// The acceptance is in the store.
+    /// Whether its acceptance is stored.
     pub durable: bool,
-    /// Rounds that have fallen due and are not done.
+    /// Due rounds that are not done.
     pub rounds: Vec<Round>,
-    /// How many rounds have fallen due.
+    /// Number of rounds that have become due.
     pub due_rounds: u32,
-    /// Whether a task has begun.
+    /// Whether a worker has started a task.
     pub begun: bool,
-    /// The end that is decided, and maybe not in the store yet.
+    /// The decided final state, possibly not stored yet.
     pub end: Option<JobState>,
-    /// The acceptance is to be written.
+    /// Whether the acceptance has yet to be added to a batch.
     pub acceptance_unwritten: bool,
-    /// The progress is to be written.
+    /// Whether the progress has yet to be added to a batch.
     pub progress_unwritten: bool,
-    /// A row with its progress is in the store.
+    /// Whether the store may have a progress row.
     pub has_progress_row: bool,
-    /// Rows of its progress that were cut for a batch.
+    /// Number of progress rows added to batches.
     pub progress_rows_built: u64,
-    /// A task of it has a record of crashes.
+    /// Whether a task has a crash record.
     pub has_crash_record: bool,
-    /// Ends of its tasks that are in no batch yet.
+    /// Processed ends of its tasks that are in no batch yet.
     pub ends: Vec<EndRef>,
 }
 
 impl Job {
-    /// Adds a round that has fallen due.
+    /// Adds the next round, which became due at `due`.
     pub fn add_round(&mut self, due: Millis) {
         let steps = self.spec.steps.iter().map(Step::new).collect();
         self.rounds.push(Round { number: self.due_rounds, due, steps });
@@ -255,12 +254,12 @@
         self.rounds.iter_mut().find(|r| r.number == number)
     }
 
-    /// Tells whether every round has fallen due and is done.
+    /// Returns true if all rounds have become due and are done.
     pub fn is_done(&self) -> bool {
         self.due_rounds == self.spec.rounds() && self.rounds.iter().all(Round::is_done)
     }
 
-    /// Tells whether a task that is neither done nor running, or a gang, has failed `most` times.
+    /// Returns true if a gang, or a task that is neither done nor placed, has failed `most` times.
     pub fn is_exhausted(&self, most: u32) -> bool {
         let failed = |runs: &[u32]| runs.len() as u32 >= most;
         let task = |t: &Task| !t.done && t.worker.is_none() && failed(&t.failed_runs);
@@ -268,8 +267,8 @@
         self.rounds.iter().any(|r| r.steps.iter().any(step))
     }
 
-    /// Returns the record of crashes of one of its tasks, made when there is none, for a change.
-    /// `first`: the next row of its progress has to tell it before the task is started again.
+    /// Returns the crash record of a task for a change, and creates it if there is none. If `first`
+    /// is set, the task starts again only after the next progress row is stored.
     pub fn crash_record_mut(&mut self, key: TaskKey, first: bool) -> Option<&mut CrashRecord> {
         let row = self.progress_rows_built + 1;
         self.has_crash_record = true;
@@ -282,20 +281,20 @@
         Some(crash_record)
     }
 
-    /// Takes note that a row of its progress is in the store, by its number.
+    /// Records that the progress row with this number is stored.
     pub fn row_written(&mut self, row: u64) {
         let steps = self.rounds.iter_mut().flat_map(|r| &mut r.steps);
         let suspicions = steps.flat_map(|s| &mut s.tasks).filter_map(|t| t.crash_record.as_mut());
         suspicions.for_each(|s| s.row_written(row));
     }
 
-    /// Returns the run number after which the next start of a task has to come.
+    /// Returns the number above which the next runs of a task are numbered at `epoch`.
     pub fn run_floor(&self, epoch: u64) -> u32 {
         (epoch.saturating_sub(self.epoch) as u32).saturating_mul(RUNS_PER_EPOCH)
     }
 }
 
-/// Counts a failed run once, and returns how many there are.
+/// Counts a failed run once and returns the number of failed runs.
 pub(crate) fn count_failure(runs: &mut Vec<u32>, run: u32) -> u32 {
     if !runs.contains(&run) {
         runs.push(run);
--- a/crates/hollowford-jobs/src/jobs.rs
+++ b/crates/hollowford-jobs/src/jobs.rs
@@ -1,4 +1,4 @@
-//! All jobs of the partition.
+//! The jobs of a partition.
 
 use crate::accounts::AccountIdx;
 use crate::crash_record::CrashRecord;
@@ -9,7 +9,7 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::{BTreeSet, VecDeque};
 
-/// How a job ended, and when.
+/// The final state of a job.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndedJob {
     pub state: JobState,
@@ -17,18 +17,18 @@
     pub account: AccountIdx,
 }
 
-/// Open jobs, and how the others ended.
+/// Open jobs, and the final states of ended ones.
 #[derive(Debug, Default)]
 pub(crate) struct Jobs {
     open: FxHashMap<JobId, Job>,
     ended: FxHashMap<JobId, EndedJob>,
-    /// EndedJob jobs, the first that ended first.
+    /// Ended jobs in the order in which they ended.
     by_end: VecDeque<JobId>,
-    /// Jobs with something to write.
+    /// Jobs with rows to write.
     pub write_queue: WriteQueue,
-    /// Steps that may have tasks to start. A step is taken out once a pass finds none.
+    /// Steps that may have tasks to start. A step is removed once a pass finds none.
     waiting: FxHashSet<StepKey>,
-    /// Open jobs with rounds that fall due.
+    /// Open jobs with a schedule.
     scheduled: BTreeSet<JobId>,
 }
 
@@ -50,19 +50,19 @@
         self.mark_all_steps_waiting(id);
     }
 
-    /// Removes an open job as if it had never been.
+    /// Removes an open job without recording an end.
     pub fn remove(&mut self, id: JobId) {
         self.open.remove(&id);
         self.write_queue.remove(id);
         self.scheduled.remove(&id);
     }
 
-    /// Takes note that tasks of a step may have to be started.
+    /// Marks a step as possibly having tasks to start.
     pub fn mark_step_waiting(&mut self, key: StepKey) {
         self.waiting.insert(key);
     }
 
-    /// Takes note that tasks of any step of a job may have to be started.
+    /// Marks all steps of a job as possibly having tasks to start.
     pub fn mark_all_steps_waiting(&mut self, id: JobId) {
         let Some(job) = self.open.get(&id) else { return };
         for round in &job.rounds {
@@ -76,12 +76,12 @@
         self.waiting.iter()
     }
 
-    /// Takes the steps that may have tasks to start; `restore_waiting` gives back those that do.
+    /// Takes the steps that may have tasks to start; `restore_waiting` returns those that do.
     pub fn take_waiting(&mut self) -> FxHashSet<StepKey> {
         std::mem::take(&mut self.waiting)
     }
 
-    /// Gives back the steps that do have tasks to start.
+    /// Returns to the waiting steps those that still have tasks to start.
     pub fn restore_waiting(&mut self, steps: FxHashSet<StepKey>) {
         if self.waiting.is_empty() {
             self.waiting = steps;
@@ -111,7 +111,7 @@
         self.ended.get(&id).copied()
     }
 
-    /// Replaces an open job by how it ended.
+    /// Replaces an open job by its final state.
     pub fn close(&mut self, id: JobId, ended: EndedJob) {
         self.open.remove(&id);
         self.scheduled.remove(&id);
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Forgets jobs that ended before `before`, at most `most`, and returns them.
+    /// Removes at most `most` jobs that ended before `before`, and returns them.
     pub fn expire(&mut self, before: Millis, most: usize) -> Vec<JobId> {
         let mut out = Vec::new();
         while out.len() < most {
@@ -135,7 +135,7 @@
         out
     }
 
-    /// Returns what an open job says of one of its steps.
+    /// Returns the specification of a step of an open job.
     pub fn step_spec(&self, key: StepKey) -> Option<&StepSpec> {
         self.open.get(&key.job)?.spec.steps.get(key.step as usize)
     }
@@ -156,22 +156,22 @@
         self.step_mut(key.step)?.tasks.get_mut(key.index as usize)
     }
 
-    /// Returns the record of crashes of a task, made when there is none, for a change. The row that the
-    /// record may wait for is always to come: a task waiting for one that isn't would wait for ever.
+    /// Returns the crash record of a task for a change, and creates it if there is none. Marks the
+    /// job's progress as unwritten, so that the row for which the task may wait is always written.
     pub fn crash_record_mut(&mut self, key: TaskKey, first: bool) -> Option<&mut CrashRecord> {
         self.mark_progress_unwritten(key.step.job);
         self.get_mut(key.step.job)?.crash_record_mut(key, first)
     }
 
-    /// Takes note that a worker has begun a task of a job. An order to start one is not enough: its worker may be
-    /// down, and callers are told how many jobs wait.
+    /// Records that a worker has started a task of a job. An order to start one doesn't count,
+    /// because the worker may be down and callers query how many jobs are waiting.
     pub fn mark_begun(&mut self, id: JobId) {
         if let Some(job) = self.open.get_mut(&id) {
             job.begun = true;
         }
     }
 
-    /// Marks a job's progress as to be written.
+    /// Marks a job's progress for writing.
     pub fn mark_progress_unwritten(&mut self, id: JobId) {
         if let Some(job) = self.open.get_mut(&id) {
             job.progress_unwritten = true;
--- a/crates/hollowford-jobs/src/lease.rs
+++ b/crates/hollowford-jobs/src/lease.rs
@@ -1,4 +1,4 @@
-//! Looks at workers, which renew their leases and claim them for this owner.
+//! Looks: calls that renew a worker's lease, claim the worker for this owner and list its tasks.
 
 use crate::answer_timeouts::look_pause;
 use crate::engine::Engine;
@@ -12,36 +12,37 @@
 use crate::workers::{Placement, WorkerIdx};
 use hollowford_core::Millis;
 
-/// An order of an earlier owner that a worker was just carrying out when it took the new fence
-/// has begun, and is listed, after this time.
+/// Time after fencing by which the worker lists every order of an earlier owner that it was
+/// executing when it accepted the new fence.
 const CLAIM_DELAY: Millis = Millis(40);
-/// A worker that leaves so many calls unanswered one after the other is logged as silent. Single
-/// answers that are lost are many at times, and are told as a share.
+/// Consecutive unanswered calls after which a worker is logged as silent. Single lost answers are
+/// common and only counted as a share.
 const MIN_SILENT_CALLS: u32 = 2;
-/// How often to look at a worker while ends of it are on the way to the store: a look can't wait
-/// for the next end meanwhile. A store of usual speed is faster, and each such look is saved.
+/// Shortest interval between looks at a worker while its ends are being stored. Such a look returns
+/// at once instead of waiting for the next end. A store of usual speed finishes within the
+/// interval, which saves the look.
 const MIN_UNWRITTEN_LOOK_INTERVAL: Millis = Millis(100);
-/// Looks of that kind at all workers in a second, which bounds them in large cells.
+/// Limit on such looks at all workers together, per second, for large cells.
 const MAX_UNWRITTEN_LOOKS_PER_SECOND: u64 = 1_000;
-/// The longest time between two such looks, so that leases are renewed.
+/// Longest interval between such looks, so that leases are still renewed.
 const MAX_UNWRITTEN_LOOK_INTERVAL: Millis = Millis(900);
 
-/// What came of a look.
+/// The outcome of a look.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LookAnswer {
-    /// The worker's lists.
+    /// The worker's tasks and ends.
     Lists(Look),
-    /// Another life of the worker answered: this one is over.
+    /// Another incarnation of the worker answered, so the called one is over.
     OtherLife,
     /// A newer owner has claimed the worker.
     Fenced,
-    /// No answer, or one that can't be used.
+    /// There was no answer, or an unusable one.
     Unanswered,
 }
 
 impl Engine {
-    /// Orders the looks that are due.
-    pub(crate) fn order_looks(&mut self, now: Millis, out: &mut Vec<Order>) {
+    /// Sends the looks that are due.
+    pub(crate) fn send_looks(&mut self, now: Millis, out: &mut Vec<Order>) {
         let lease = self.bounds.lease;
         let longest = self.losses.max_look_wait();
         for idx in self.workers.indexes() {
@@ -63,8 +64,8 @@
         }
     }
 
-    /// Takes in the answer to a look that was sent at `sent`. Tells whether a newer owner
-    /// has claimed the worker.
+    /// Processes the outcome of a look that was sent at `sent`. Returns true if a newer owner has
+    /// claimed the worker.
     pub fn look_answered(
         &mut self,
         life: &WorkerLife,
@@ -93,9 +94,9 @@
         false
     }
 
-    /// Takes in the answer to a look that came after it was told that there was none: it still
-    /// tells what runs and has ended, unless a newer one has. Tells whether a newer owner has
-    /// claimed the worker.
+    /// Processes the answer to a look that arrived after its timeout was reported. It is applied
+    /// unless a newer look has been processed. Returns true if a newer owner has claimed the
+    /// worker.
     pub fn look_answered_late(
         &mut self,
         life: &WorkerLife,
@@ -106,9 +107,7 @@
         let Some(idx) = self.workers.find(life) else { return false };
         match answer {
             LookAnswer::Lists(look) => {
-                let Some(responder) = self.responder(idx, life, &look, now) else {
-                    return false;
-                };
+                let Some(responder) = self.responder(idx, life, &look, now) else { return false };
                 let newer = |w: &Worker| look.clock > w.look_clock;
                 if self.workers.get(responder).is_some_and(newer) {
                     self.process_look(responder, look, sent, now);
@@ -121,7 +120,7 @@
         false
     }
 
-    /// Takes in that a worker has not answered a call.
+    /// Records that a worker has not answered a call.
     pub(crate) fn record_unanswered(&mut self, idx: WorkerIdx, now: Millis) {
         let Some(w) = self.workers.get_mut(idx) else { return };
         w.unanswered_calls += 1;
@@ -132,7 +131,7 @@
         }
     }
 
-    /// Sets when to look again at a worker that has not answered a look.
+    /// Schedules the next look at a worker that has not answered one.
     fn delay_next_look(&mut self, idx: WorkerIdx, now: Millis) {
         if let Some(w) = self.workers.get_mut(idx) {
             w.next_look_at = now + look_pause(w.unanswered_calls);
@@ -150,7 +149,7 @@
         self.record_contact(idx, now);
         self.record_alive(idx, look.clock, now);
         if first || second {
-            self.end_other_lives(idx, &look, sent, now);
+            self.end_other_incarnations(idx, &look, sent, now);
         }
         if first {
             self.record_fenced(idx, &look, now);
@@ -166,7 +165,7 @@
         self.schedule_next_look(idx, first, now);
     }
 
-    /// Takes in that a worker has answered a call.
+    /// Records that a worker has answered a call.
     pub(crate) fn record_contact(&mut self, idx: WorkerIdx, now: Millis) {
         let Some(w) = self.workers.get_mut(idx) else { return };
         self.losses.record(w.unanswered_calls > 0);
@@ -179,7 +178,7 @@
         w.unanswered_calls = 0;
     }
 
-    /// Takes in that it was this life that has answered, with its clock.
+    /// Records that the called incarnation has answered, with its clock reading.
     pub(crate) fn record_alive(&mut self, idx: WorkerIdx, clock: u64, now: Millis) {
         let Some(w) = self.workers.get_mut(idx) else { return };
         w.record_answer(clock, now);
@@ -188,19 +187,19 @@
         }
     }
 
-    /// Takes in that a worker refuses the orders of earlier owners from now on.
+    /// Records that a worker rejects the orders of earlier owners from now on.
     fn record_fenced(&mut self, idx: WorkerIdx, look: &Look, now: Millis) {
         let earlier = self.bounds.earlier_lease;
         let Some(w) = self.workers.get_mut(idx) else { return };
         w.fenced = true;
         w.fenced_at = now;
-        // What an earlier owner ordered may run for so long without a word of this one.
+        // Tasks that an earlier owner started may run until then without an order of this owner.
         w.lease_until = w.lease_until.max(look.clock + earlier.0);
         let (running, ended) = (look.running.len(), look.ended.len());
         self.notes.push(Event::WorkerClaimed { worker: w.life.clone(), running, ended });
     }
 
-    /// Takes in the ends that are new, then what runs.
+    /// Processes new ends, then the running tasks.
     fn process_listed(&mut self, idx: WorkerIdx, look: &Look, now: Millis) {
         let Some(taken) = self.workers.get(idx).map(|w| w.last_processed_end) else { return };
         for end in look.ended.iter().filter(|e| e.number > taken) {
@@ -216,8 +215,8 @@
         }
     }
 
-    /// Has the worker keep an end until what it changed is in the store. A job that is not open
-    /// needs none: it has ended, or was never accepted.
+    /// Delays the acknowledgement of an end until its effects are stored. An end of a job that is
+    /// not open needs no delay: the job has ended or was never accepted.
     fn retain_end(&mut self, worker: WorkerIdx, end: &End) {
         let Some(job) = self.jobs.get_mut(end.task.step.job) else { return };
         if !job.progress_unwritten && job.end.is_none() {
@@ -230,8 +229,8 @@
         }
     }
 
-    /// Sets when to look again. The next look waits for the batch that makes the ends durable,
-    /// but for the first one: it could not renew the lease.
+    /// Schedules the next look. It waits for the batch that stores the ends, except after the first
+    /// look, which could not renew the lease.
     fn schedule_next_look(&mut self, idx: WorkerIdx, first: bool, now: Millis) {
         let all_in_turn =
             Millis(self.workers.len() as u64 * 1_000 / MAX_UNWRITTEN_LOOKS_PER_SECOND);
@@ -247,7 +246,8 @@
         };
     }
 
-    /// Takes the worker into use: nothing of an earlier owner can begin there any more.
+    /// Makes the worker available for tasks: no order of an earlier owner can start anything there
+    /// any more.
     fn claim(&mut self, idx: WorkerIdx) {
         if let Some(w) = self.workers.get_mut(idx) {
             w.claimed = true;
@@ -256,7 +256,7 @@
         self.unsettled.remove(&idx);
     }
 
-    /// Frees what the worker had confirmed before the look and lists no more.
+    /// Frees runs that the worker had confirmed before the look and no longer lists.
     fn free_vanished(&mut self, idx: WorkerIdx, look: &Look, sent: Millis, now: Millis) {
         let Some(w) = self.workers.get(idx) else { return };
         let listed =
--- a/crates/hollowford-jobs/src/listing.rs
+++ b/crates/hollowford-jobs/src/listing.rs
@@ -9,8 +9,8 @@
 use hollowford_core::Millis;
 
 impl Engine {
-    /// Takes over the platform's list of workers. It ends no life: it may be older than what a worker has
-    /// answered, so that only an answer tells.
+    /// Applies the platform's list of workers. It never ends an incarnation, because it may be
+    /// older than an answer of the worker; only answers do.
     pub fn set_worker_list(&mut self, listings: &[WorkerListing], now: Millis) {
         self.listings.clear();
         for l in listings {
@@ -30,12 +30,12 @@
         self.dirty = true;
     }
 
-    /// Tells whether a life on the list is one that is known already.
+    /// Returns true if a listed incarnation may be one that is already known.
     fn is_known(&self, life: &WorkerLife) -> bool {
         self.workers.with_id(life.id()).any(|(_, w)| w.life.may_be_same(life))
     }
 
-    /// Takes over what the list says of a life, if it tells of this one.
+    /// Applies the listing of a worker's id if it may describe this incarnation.
     pub(crate) fn apply_listing(&mut self, idx: WorkerIdx, now: Millis) {
         let Some(w) = self.workers.get_mut(idx) else { return };
         let listing = self.listings.get(w.life.id()).filter(|l| l.life.may_be_same(&w.life));
--- a/crates/hollowford-jobs/src/stall.rs
+++ b/crates/hollowford-jobs/src/stall.rs
@@ -1,5 +1,4 @@
-//! How far tasks have come: when they are expected to end, how slow their workers are, and
-//! workers on which all stands still.
+//! Progress of tasks: their expected ends, the slowness of their workers, and stalled workers.
 
 use crate::engine::Engine;
 use crate::event::Event;
@@ -9,30 +8,30 @@
 use crate::workers::WorkerIdx;
 use hollowford_core::Millis;
 
-/// A task whose progress has not changed for so long stands still. Progress is told in whole
-/// percents, so a slow task has longer.
+/// Shortest time without a change of progress after which a task counts as stalled. Progress is
+/// reported in whole percent, so long tasks are given more time.
 const MIN_STALL_TIMEOUT: Millis = Millis(700);
-/// One percent of a task may take this part of its guessed time, in hundredths: a worker may
-/// be some times slower than the guess.
+/// Part of a task's estimated time, in percent, that one percent of progress may take. A worker may
+/// be several times slower than estimated.
 const STALL_ESTIMATE_PERCENT: u64 = 8;
-/// A task with so much progress in percent is not taken as standing still: it is about to end.
+/// Progress in percent from which a task doesn't count as stalled, because it is about to end.
 const NEARLY_DONE_PERCENT: u32 = 99;
-/// A worker on which all stands still gets nothing for so long, again and again.
+/// Time for which a stalled worker gets no new tasks; renewed while it stays stalled.
 const STALL_PAUSE: Millis = Millis(500);
-/// A short task that stands still for so long is started elsewhere. The loss is small, and
-/// its caller waits.
+/// Time after which a stalled short task is started elsewhere. Little work is lost, and its caller
+/// is waiting.
 const STALLED_TASK_MOVE_TIMEOUT: Millis = Millis(1_000);
-/// Tasks guessed to run for up to this time are short.
+/// Longest estimate of a task that counts as short.
 const MAX_SHORT_TASK_ESTIMATE: Millis = Millis(2_000);
-/// Weight of the newest reading in a worker's slowness.
+/// Weight of the newest sample in a worker's slowness.
 const SLOWNESS_WEIGHT: f32 = 0.2;
-/// Bounds of one reading: guesses may be far off.
+/// Limits of one slowness sample, because estimates may be far off.
 const SLOWNESS_RANGE: (f32, f32) = (0.5, 8.0);
-/// A reading needs this much progress in percent.
+/// Progress in percent that a slowness sample needs.
 const MIN_SAMPLE_PROGRESS_PERCENT: u32 = 10;
 
 impl Engine {
-    /// Takes in how far a task has come.
+    /// Records the reported progress of a task.
     pub(crate) fn record_progress(&mut self, idx: WorkerIdx, r: &Running, now: Millis) {
         let estimate = self.estimate(r.task);
         let Some(w) = self.workers.get_mut(idx) else { return };
@@ -56,12 +55,12 @@
         }
     }
 
-    /// Returns how long the caller guesses that a task takes; 0: not known.
+    /// Returns the caller's estimate of a task's run time; 0 if unknown.
     fn estimate(&self, key: TaskKey) -> Millis {
         self.jobs.step_spec(key.step).map_or(Millis(0), |s| Millis(s.estimate_ms))
     }
 
-    /// Gives a worker on which all stands still nothing more, and moves its short tasks.
+    /// Pauses a worker on which every running task is stalled, and moves its short tasks.
     pub(crate) fn check_stalled(&mut self, idx: WorkerIdx, now: Millis) {
         let Some(w) = self.workers.get(idx) else { return };
         let running: Vec<&HeldTask> = w.held.iter().filter(|h| h.phase == Phase::Running).collect();
@@ -89,8 +88,8 @@
         }
     }
 
-    /// Stops a task, so that it starts elsewhere; a gang starts again whole. A task that lasts
-    /// stays: its users would miss it.
+    /// Stops a task so that it starts elsewhere; a gang restarts as a whole. Service tasks stay,
+    /// because moving them would interrupt their users.
     pub(crate) fn move_task_elsewhere(&mut self, idx: WorkerIdx, key: TaskKey, now: Millis) {
         if self.jobs.step_spec(key.step).is_none_or(|s| s.lasting) {
             return;
@@ -102,6 +101,6 @@
         if let Some(task) = self.jobs.task_mut(key) {
             task.avoid_worker(idx, now);
         }
-        self.order_stop(idx, key);
+        self.mark_stopping(idx, key);
     }
 }
--- a/crates/hollowford-jobs/src/starts.rs
+++ b/crates/hollowford-jobs/src/starts.rs
@@ -228,7 +228,7 @@
             step.tasks.iter().enumerate().filter_map(|(i, t)| Some((i, t.worker?))).collect();
         step.restarting = !members.is_empty();
         for (i, w) in members {
-            self.order_stop(w, key.task(i as u32));
+            self.mark_stopping(w, key.task(i as u32));
         }
     }
 
--- a/crates/hollowford-jobs/src/task_ends.rs
+++ b/crates/hollowford-jobs/src/task_ends.rs
@@ -1,4 +1,4 @@
-//! Tasks that run and end, as the workers tell it.
+//! Running and ended tasks that workers report.
 
 use crate::accounts::NO_ACCOUNT;
 use crate::engine::Engine;
@@ -11,11 +11,11 @@
 use hollowford_core::{Millis, Resources};
 use std::sync::Arc;
 
-/// Shortest time between two runs of a task that lasts, after one that failed.
+/// Shortest pause before a service task that has ended is started again.
 const LASTING_RESTART_DELAY: Millis = Millis(200);
 
 impl Engine {
-    /// Takes in that a task runs.
+    /// Processes a report that a task runs.
     pub(crate) fn process_running(&mut self, idx: WorkerIdx, r: &Running, now: Millis) {
         self.jobs.mark_begun(r.task.step.job);
         let Some(w) = self.workers.get_mut(idx) else { return };
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Takes over a task that an earlier owner started. Tells whether it should run here.
+    /// Adopts a task that an earlier owner started. Returns false if it should not run here.
     fn adopt(&mut self, idx: WorkerIdx, r: &Running, now: Millis) -> bool {
         let key = r.task;
         let Some(job) = self.jobs.get_mut(key.step.job).filter(|j| j.end.is_none()) else {
@@ -60,7 +60,7 @@
         task.unsettled = false;
         let suspect = task.is_suspect();
         let held = HeldTask {
-            // How long it has run already is not known.
+            // How long it has run already is unknown; half of the estimate is assumed.
             expected_end: now + Millis(step_spec.estimate_ms / 2),
             suspect,
             ..HeldTask::new((key, r.run), account, step_spec.room(), Phase::Running, now)
@@ -72,7 +72,7 @@
         true
     }
 
-    /// Keeps a worker from new work while it runs what it should not, and stops that.
+    /// Stops a task that should not run, and keeps new tasks off the worker until it has ended.
     fn hold_foreign(&mut self, idx: WorkerIdx, r: &Running, now: Millis) {
         let id = r.task.step.job;
         let name = self.account_of(id).unwrap_or(NO_ACCOUNT).to_owned();
@@ -80,8 +80,8 @@
         let spec = self.jobs.get(id).map(|j| j.spec.clone());
         let step = spec.as_ref().and_then(|s| s.steps.get(r.task.step.step as usize));
         let Some(w) = self.workers.get_mut(idx) else { return };
-        // What a job that has ended takes is not known any more, and the worker's size may not
-        // be known yet: nothing fits beside it.
+        // The resources of a task of an ended job are unknown, and the worker's capacity may be
+        // unknown too: nothing fits beside it.
         let room = step.map_or(Resources::ALL, StepSpec::room);
         w.hold(HeldTask::new((r.task, r.run), account, room, Phase::Stopping, now));
         self.notes.push(Event::ForeignTask { task: r.task, run: r.run, worker: w.life.clone() });
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Takes in that a task has ended.
+    /// Processes a report that a task has ended.
     pub(crate) fn process_end(&mut self, idx: WorkerIdx, end: &End, now: Millis) {
         self.release_ended(idx, end);
         let key = end.task;
@@ -110,7 +110,7 @@
         let Some(task) = self.jobs.task(key) else { return };
         let here = task.worker == Some(idx) && task.run == end.run;
         let earlier = task.worker.is_none() && end.run >= task.run;
-        // Ends of earlier runs count, too: an earlier owner may not have written them down.
+        // Ends of earlier runs count too: an earlier owner may not have stored them.
         let counts = matches!(end.kind, EndKind::Done | EndKind::Failed);
         if task.done || !(here || earlier || counts) {
             return;
@@ -129,7 +129,7 @@
         self.dirty = true;
     }
 
-    /// Frees the room of a task that has ended on a worker.
+    /// Releases the resources of a task that has ended on a worker.
     fn release_ended(&mut self, idx: WorkerIdx, end: &End) {
         let Some(w) = self.workers.get_mut(idx) else { return };
         let held = w.find(end.task, end.run).map(|at| w.release(at));
@@ -144,7 +144,7 @@
         });
     }
 
-    /// Draws from an end what it means for the task and its job.
+    /// Applies the consequences of an end for the task and its job.
     fn apply_end(&mut self, idx: WorkerIdx, end: &End, spec: &StepSpec, now: Millis) {
         match end.kind {
             EndKind::Done if !spec.lasting => self.task_done(end.task, spec.gang, now),
@@ -183,7 +183,8 @@
         self.stats.done += 1;
         let Some(step) = self.jobs.step_mut(key.step) else { return };
         if gang {
-            // One such end stands for all members; their own ends only free their room.
+            // The end of one member completes the whole gang. The ends of the others only release
+            // resources.
             step.tasks.iter_mut().for_each(|t| t.done = true);
             step.remaining = 0;
         } else if let Some(task) = step.tasks.get_mut(key.index as usize) {
@@ -193,7 +194,7 @@
         let step_done = step.is_done();
         let elsewhere = step.tasks[key.index as usize].worker;
         if let Some(other) = elsewhere.filter(|_| !gang) {
-            self.order_stop(other, key);
+            self.mark_stopping(other, key);
         }
         if step_done {
             self.jobs.mark_all_steps_waiting(key.step.job);
@@ -224,8 +225,8 @@
         }
     }
 
-    /// Ends the jobs that have failed as often as their queues allow: when they did, this owner may
-    /// not have known their queues yet.
+    /// Ends the jobs that have failed as often as their queues allow. Their queues may not have
+    /// been known to this owner when the failures were counted.
     pub(crate) fn end_exhausted(&mut self, now: Millis) {
         for id in self.jobs.ids() {
             let most = self.max_attempts(id);
@@ -240,7 +241,7 @@
         queue.map_or(u32::MAX, |q| q.max_attempts.max(1))
     }
 
-    /// Takes note that a task doesn't run on the worker any more.
+    /// Records that a run is no longer on the worker.
     pub(crate) fn unplace(&mut self, p: Placement, now: Millis) {
         let Some(task) = self.jobs.task_mut(p.task) else { return };
         if task.worker != Some(p.idx) || task.run != p.run {
@@ -255,7 +256,7 @@
         step.gang_changed_at = now;
     }
 
-    /// Stops everything of a job that runs.
+    /// Marks all held tasks of a job as stopping.
     pub(crate) fn stop_job(&mut self, id: JobId) {
         for idx in self.workers.indexes() {
             let Some(w) = self.workers.get_mut(idx) else { continue };
@@ -265,8 +266,8 @@
         }
     }
 
-    /// Stops a task on a worker.
-    pub(crate) fn order_stop(&mut self, idx: WorkerIdx, key: TaskKey) {
+    /// Marks a task on a worker as stopping.
+    pub(crate) fn mark_stopping(&mut self, idx: WorkerIdx, key: TaskKey) {
         let Some(w) = self.workers.get_mut(idx) else { return };
         for h in w.held.iter_mut().filter(|h| h.task == key) {
             h.phase = Phase::Stopping;
--- a/crates/hollowford-jobs/src/worker.rs
+++ b/crates/hollowford-jobs/src/worker.rs
@@ -1,4 +1,4 @@
-//! One worker as the owner knows it.
+//! State that a partition's owner keeps for one worker.
 
 use crate::answer_timeouts;
 use crate::crashes::{FRESH_PERIOD, LostRun};
@@ -12,94 +12,96 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// The slowest that a worker's steady clock may run, in hundredths of true time (PROTOCOL).
+/// Slowest rate of a worker's steady clock, in percent of true time, that the protocol allows.
 pub const MIN_CLOCK_RATE_PERCENT: u64 = 98;
 
-/// What the owner knows of a worker's clock.
+/// The last known reading of a worker's clock.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WorkerClock {
-    /// A reading.
+    /// Reading in milliseconds.
     pub reading: u64,
-    /// When its answer arrived.
+    /// When the answer with this reading arrived.
     pub at: Millis,
 }
 
 impl WorkerClock {
-    /// Returns the reading to expect at `now`, if the clock runs true.
+    /// Returns the expected reading at `now`, assuming that the clock runs at the true rate.
     pub fn expected_reading(&self, now: Millis) -> u64 {
         self.reading + now.since(self.at).0
     }
 
-    /// Returns the time at which the clock has surely passed `reading`.
+    /// Returns the time at which the clock has passed `reading` even at its slowest allowed rate.
     pub fn certainly_past(&self, reading: u64) -> Millis {
         let ahead = reading.saturating_sub(self.reading);
         self.at + Millis(ahead * 100 / MIN_CLOCK_RATE_PERCENT + 1)
     }
 }
 
-/// One worker.
+/// A worker and the tasks that the owner knows on it.
 #[derive(Clone, Debug)]
 pub(crate) struct Worker {
     pub life: WorkerLife,
-    /// It became known without an incarnation, and was told apart by its first answer.
+    /// Whether it was first known without an incarnation, which its first answer then supplied.
     pub lacked_incarnation: bool,
-    /// When it became known to this owner.
+    /// When this owner first learned of it.
     pub known_at: Millis,
     pub address: Arc<str>,
     pub pool: Arc<str>,
     pub labels: Vec<Arc<str>>,
     pub capacity: Resources,
-    /// Capacity less what is held.
+    /// Capacity minus the allocations of the held tasks.
     pub free: Resources,
     pub held: Vec<HeldTask>,
-    /// How many of them are suspect.
+    /// Number of held tasks under which workers have crashed before.
     pub suspect_count: u32,
-    /// Runs that were given up as it fell silent, until it is known whether it has crashed.
+    /// Runs given up after the worker's lease expired, kept until it is known whether the worker
+    /// crashed.
     pub lost_runs: Vec<LostRun>,
-    /// Starts that got no answer, which may be carried out later.
+    /// Unanswered starts that the worker may still execute.
     pub late_starts: Vec<LateStart>,
-    /// It stands in the platform's list.
+    /// Whether the platform's list of workers contains it.
     pub listed: bool,
-    /// The row of workers that names it is in the store.
+    /// Whether the stored row of workers contains it.
     pub recorded: bool,
     pub leaving: bool,
-    /// When it may be gone, once it is leaving.
+    /// Earliest time at which the platform may remove it; set once it is leaving.
     pub leaves_at: Option<Millis>,
-    /// It has answered a look of this owner, and so refuses orders of earlier ones.
+    /// Whether it has answered a look of this owner and so rejects orders of earlier owners.
     pub fenced: bool,
-    /// When it first did.
+    /// When it was fenced.
     pub fenced_at: Millis,
-    /// Reading of its clock in the newest lists that were taken in.
+    /// Its clock reading in the newest look that was processed.
     pub look_clock: u64,
-    /// It has answered another one since: what was on its way before is listed, too.
+    /// Whether it may get tasks: it has answered a second look after fencing, which lists
+    /// everything that earlier owners' orders started.
     pub claimed: bool,
     pub clock: Option<WorkerClock>,
-    /// The latest reading of its clock until which an order let it run.
+    /// Latest clock reading up to which an order allowed it to run tasks.
     pub lease_until: u64,
-    /// Ends that are taken in and have to be written down before they may be forgotten.
+    /// Numbers of processed ends whose effects are not stored yet. They must not be acknowledged
+    /// before.
     pub unwritten_ends: BTreeSet<u64>,
-    /// Ends up to this number are taken in.
+    /// Highest number of a processed end.
     pub last_processed_end: u64,
-    /// A look is under way.
     pub look_in_flight: bool,
-    /// The next look is due.
+    /// When the next look is due.
     pub next_look_at: Millis,
-    /// Calls without an answer since the last that got one.
+    /// Consecutive calls without an answer.
     pub unanswered_calls: u32,
-    /// When the last call went unanswered, until a list that was asked for later tells that this life goes
-    /// on: it may have started again since, and other answers don't say which life they are of.
+    /// When the last call went unanswered; cleared by the answer to a look sent later. Until then
+    /// the worker may have restarted, and answers to other calls don't contain the incarnation.
     pub restart_suspected_since: Option<Millis>,
     pub answer_times: AnswerTimes,
     pub last_answer: Millis,
     pub health: Health,
-    /// How long its tasks take as a multiple of what their callers guess, smoothed.
+    /// Smoothed ratio of its tasks' run times to their estimates.
     pub slowness: f32,
-    /// When what fills was slowed down or sped up here last.
+    /// When the pace of best-effort tasks on it last changed.
     pub paced_at: Millis,
 }
 
 impl Worker {
-    /// Makes a worker that is known by its address only.
+    /// Creates a worker of which only the incarnation and address are known.
     pub fn new(life: WorkerLife, address: Arc<str>, now: Millis) -> Worker {
         Worker {
             life,
@@ -138,13 +140,13 @@
         }
     }
 
-    /// Takes over what the platform's list says.
+    /// Applies the worker's entry in the platform's list.
     pub fn apply_listing(&mut self, l: &WorkerListing, now: Millis) {
         self.pool = l.pool.clone();
         self.labels = l.labels.clone();
         self.capacity = l.capacity;
         self.listed = true;
-        // A life that leaves doesn't stay after all.
+        // Leaving is final for an incarnation, even if a later list no longer says so.
         self.leaving |= l.leaving;
         if let Some(remaining) = l.remaining {
             let at = now + remaining;
@@ -153,7 +155,7 @@
         self.update_free();
     }
 
-    /// Tells whether new tasks may be started here.
+    /// Returns true if new tasks may be started on the worker.
     pub fn is_usable(&self, now: Millis) -> bool {
         self.listed
             && self.claimed
@@ -162,8 +164,9 @@
             && self.health.is_available(now)
     }
 
-    /// Returns the room for new tasks. A worker that is tried again takes one task only, and nothing is
-    /// started beside a task that may be about to crash it, since it would be given up for that.
+    /// Returns the resources for new tasks. A worker on trial takes one task only. Nothing is
+    /// started beside a recently started suspect task, because a crash would count against the new
+    /// task too.
     pub fn available(&self, now: Millis) -> Resources {
         let on_trial = self.health.on_trial(now) && !self.held.is_empty();
         if on_trial || self.has_fresh_suspect(now) {
@@ -172,24 +175,25 @@
         self.free
     }
 
-    /// Tells whether a task was started here just now under which workers have crashed before.
+    /// Returns true if a suspect task was started here within [`FRESH_PERIOD`].
     fn has_fresh_suspect(&self, now: Millis) -> bool {
         let fresh = |h: &HeldTask| h.suspect && now < h.since + FRESH_PERIOD;
         self.suspect_count > 0 && self.held.iter().any(fresh)
     }
 
-    /// Counts again what is free, and how many tasks are suspect.
+    /// Recomputes the free resources and the number of suspect tasks.
     pub fn update_free(&mut self) {
         self.suspect_count = self.held.iter().filter(|h| h.suspect).count() as u32;
         self.free = self.capacity.minus(&self.used());
     }
 
-    /// Returns what is held.
+    /// Returns the sum of the held tasks' allocations.
     fn used(&self) -> Resources {
         self.held.iter().fold(Resources::default(), |sum, h| sum.plus(&h.allocation))
     }
 
-    /// Tells whether all that is held fits; its capacity may have shrunk since it was placed.
+    /// Returns true if the held tasks fit the capacity, which may have shrunk since they were
+    /// placed.
     pub fn fits_capacity(&self) -> bool {
         self.used().fits(&self.capacity)
     }
@@ -207,13 +211,14 @@
         self.held.iter_mut().find(|h| h.task == task && h.run == run)
     }
 
-    /// Tells whether what becomes of a run is told by this worker, or by its next life.
+    /// Returns true if the outcome of a run will become known from this worker or its next
+    /// incarnation.
     pub fn tracks_run(&self, task: TaskKey, run: u32) -> bool {
         let lost = self.lost_runs.iter().any(|l| l.task == task && l.run == run);
         lost || self.find(task, run).is_some()
     }
 
-    /// Takes note that a task that it holds crashes nothing.
+    /// Marks a held task as no longer suspected of crashing workers.
     pub fn clear_suspect(&mut self, task: TaskKey, run: u32) {
         if let Some(h) = self.find_mut(task, run) {
             h.suspect = false;
@@ -227,8 +232,9 @@
         held
     }
 
-    /// Returns the number up to which ends are acknowledged. A worker that may have started again
-    /// counts its ends anew: it is to forget none of them unread.
+    /// Returns the number up to which ends are acknowledged; 0 while the worker may have restarted,
+    /// because a new incarnation numbers its ends from 1 and would forget ends that were never
+    /// read.
     pub fn acknowledged_ends(&self) -> u64 {
         if self.restart_suspected_since.is_some() {
             return 0;
@@ -236,17 +242,17 @@
         self.unwritten_ends.first().map_or(self.last_processed_end, |first| first - 1)
     }
 
-    /// Returns how long to wait for the answer to a call that is made now.
+    /// Returns the timeout for the answer to a call that is made now.
     pub fn answer_timeout(&self) -> Millis {
         answer_timeouts::answer_timeout(&self.answer_times, self.unanswered_calls)
     }
 
-    /// Takes note that a list that was asked for at `sent` has told that this life goes on.
+    /// Records that the answer to a look sent at `sent` has confirmed this incarnation.
     pub fn confirm_alive(&mut self, sent: Millis) {
         self.restart_suspected_since = self.restart_suspected_since.filter(|&at| at > sent);
     }
 
-    /// Takes note of an answer of this life, with its clock.
+    /// Records an answer of this incarnation and its clock reading.
     pub fn record_answer(&mut self, reading: u64, now: Millis) {
         self.last_answer = now;
         if self.clock.is_none_or(|c| reading >= c.reading) {
@@ -254,8 +260,11 @@
         }
     }
 
-    /// Returns the reading to write into the next order, and remembers it. A worker that
-    /// doesn't answer gets no longer lease, or what it holds could never be given up.
+    /// Returns the lease end, as a reading of the worker's clock, for the next order and remembers
+    /// it. The lease is not extended while the worker doesn't answer; otherwise its tasks could
+    /// never be given up.
+    ///
+    /// Returns `None` while the worker's clock is unknown.
     pub fn extend_lease(&mut self, now: Millis, lease: Millis) -> Option<u64> {
         let clock = self.clock?;
         if self.unanswered_calls == 0 {
@@ -264,7 +273,8 @@
         Some(self.lease_until)
     }
 
-    /// Returns when nothing that this owner ordered can run here any more without its word.
+    /// Returns when every lease that this owner granted has expired; `None` while the worker's
+    /// clock is unknown.
     pub fn lease_expiry(&self) -> Option<Millis> {
         self.clock.map(|c| c.certainly_past(self.lease_until))
     }
--- a/crates/hollowford-jobs/src/worker_life.rs
+++ b/crates/hollowford-jobs/src/worker_life.rs
@@ -1,16 +1,16 @@
-//! What tells the lives of workers apart.
+//! Identity of one incarnation of a worker.
 
 use hollowford_core::InstanceId;
 use std::fmt::{self, Display};
 
-/// Tells the lives apart that bear the same id. It is made of a time of day, which jumps, also back: so it
-/// is compared for being the same only. Which of two lives is the later one is told by what surely
-/// came after.
+/// Distinguishes incarnations with the same id. It is derived from the time of day, which may jump
+/// backwards, so incarnations are compared for equality only, never for order. Which one is later
+/// follows from the order of calls and answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Incarnation(pub u64);
 
-/// One life of a worker: from one start to its end. Nothing that is known of one life holds for another,
-/// though both may bear the same id.
+/// One incarnation of a worker, from the start of its process to its end. State of one incarnation
+/// doesn't apply to another with the same id.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct WorkerLife {
     id: InstanceId,
@@ -18,22 +18,24 @@
 }
 
 impl WorkerLife {
-    /// Makes the life of a worker. Without an incarnation it isn't told apart from others under its id.
+    /// Creates an identity. Without an incarnation it can't be distinguished from others with the
+    /// same id.
     pub fn new(id: InstanceId, incarnation: Option<Incarnation>) -> WorkerLife {
         WorkerLife { id, incarnation }
     }
 
-    /// Returns the id, which calls to the worker bear.
+    /// Returns the worker's id, which calls to it contain.
     pub fn id(&self) -> &InstanceId {
         &self.id
     }
 
-    /// Returns what tells it apart from other lives under its id.
+    /// Returns the incarnation, if known.
     pub fn incarnation(&self) -> Option<Incarnation> {
         self.incarnation
     }
 
-    /// Tells whether both may be the same life: nothing tells them apart.
+    /// Returns true if both may be the same incarnation: the ids are equal and the incarnations
+    /// equal or unknown.
     pub fn may_be_same(&self, other: &WorkerLife) -> bool {
         let is_told = self.incarnation.is_some() && other.incarnation.is_some();
         self.id == other.id && (!is_told || self.incarnation == other.incarnation)
--- a/crates/hollowford-jobs/src/worker_removal.rs
+++ b/crates/hollowford-jobs/src/worker_removal.rs
@@ -1,4 +1,4 @@
-//! Workers that are gone, and what they held: it waits again.
+//! Workers that are dead or have left. Their tasks wait again.
 
 use crate::engine::Engine;
 use crate::event::{Event, GiveUpCause, WorkerExit};
@@ -8,8 +8,8 @@
 use hollowford_core::Millis;
 
 impl Engine {
-    /// Gives up on what workers held whose leases are surely over, and forgets those that
-    /// are not listed and hold nothing.
+    /// Gives up the tasks of workers whose leases have expired, and removes unlisted workers
+    /// without tasks.
     pub(crate) fn expire_leases(&mut self, now: Millis) {
         for idx in self.workers.indexes() {
             if self.has_left(idx) {
@@ -34,13 +34,13 @@
         }
     }
 
-    /// This life of the worker is over: nothing that it held runs any more.
+    /// Ends an incarnation that has no known successor: none of its tasks runs any more.
     pub(crate) fn mark_worker_dead(&mut self, idx: WorkerIdx, now: Millis) {
-        self.end_life(idx, None, now);
+        self.end_incarnation(idx, None, now);
     }
 
-    /// This life of the worker is over. `next`: the one that has followed it under its id.
-    pub(crate) fn end_life(&mut self, idx: WorkerIdx, next: Option<WorkerIdx>, now: Millis) {
+    /// Ends an incarnation; `next` is the one that has followed it under its id.
+    pub(crate) fn end_incarnation(&mut self, idx: WorkerIdx, next: Option<WorkerIdx>, now: Millis) {
         let Some(w) = self.workers.get(idx) else { return };
         let (worker, tasks) = (w.life.clone(), w.held.len());
         let how = if w.leaving { WorkerExit::Left } else { WorkerExit::Crashed };
@@ -57,9 +57,9 @@
         self.forget_worker(idx);
     }
 
-    /// One address, and one id, has one life at a time: the others there that were known before this one
-    /// was called, at `sent`, are over once it answers.
-    pub(crate) fn end_other_lives(
+    /// Ends the other incarnations with the same id or address that were known before `sent`, when
+    /// the answering one was called: only one exists at a time.
+    pub(crate) fn end_other_incarnations(
         &mut self,
         idx: WorkerIdx,
         look: &Look,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Takes a task off a worker on which it can't run any more; it waits again.
+    /// Takes a task off a worker on which it can no longer run, so that it waits again.
     pub(crate) fn free(&mut self, p: Placement, cause: GiveUpCause, now: Millis) {
         let Placement { idx, task, run } = p;
         if cause != GiveUpCause::Lapsed {
--- a/crates/hollowford-jobs/src/worker_restart.rs
+++ b/crates/hollowford-jobs/src/worker_restart.rs
@@ -1,9 +1,9 @@
-//! Lives of workers that follow each other under one id.
+//! Workers that restart under the same id.
 //!
-//! A worker may start again under the id that it had, and then knows nothing of before. Calls bear the id, so
-//! one that was meant for the earlier life reaches the next one. What tells them apart is in the answer:
-//! a life that answers a call that was meant for another one is the later one, since the call was made
-//! after that one had become known.
+//! A restarted worker knows nothing of its previous incarnation. Calls contain only the id, so a
+//! call meant for the previous incarnation reaches the next one. Only the answer identifies the
+//! incarnation: if it differs from the one that was called, it is the later one, because the call
+//! was made after the called one became known.
 
 use crate::accounts::NO_ACCOUNT;
 use crate::engine::Engine;
@@ -15,7 +15,7 @@
 use crate::workers::{Placement, WorkerIdx};
 use hollowford_core::Millis;
 
-/// A start without an answer may be carried out for so long.
+/// Time during which a worker may still execute a start whose call was given up.
 const LATE_START_TIMEOUT: Millis = Millis(15_000);
 
 /// A start that got no answer.
@@ -28,7 +28,7 @@
 }
 
 impl Worker {
-    /// Takes note that a start got no answer.
+    /// Records that a start got no answer.
     pub fn record_late_start(&mut self, task: TaskKey, run: u32, now: Millis) {
         self.late_starts.retain(|s| now.since(s.since) < LATE_START_TIMEOUT);
         self.late_starts.push(LateStart { task, run, since: now });
@@ -36,8 +36,8 @@
 }
 
 impl Engine {
-    /// Returns the life that has answered a call to `called`, which stands at `idx`; none when the answer
-    /// may be of an earlier one.
+    /// Returns the index of the incarnation that answered a call to `called`, found at `idx`.
+    /// Returns `None` if the answer may be from an earlier incarnation.
     pub(crate) fn responder(
         &mut self,
         idx: WorkerIdx,
@@ -46,35 +46,41 @@
         now: Millis,
     ) -> Option<WorkerIdx> {
         let w = self.workers.get(idx)?;
-        let Some(told) = look.incarnation else { return Some(idx) };
+        let Some(incarnation) = look.incarnation else { return Some(idx) };
         match w.life.incarnation() {
-            Some(known) if known == told => Some(idx),
-            None if !w.fenced => Some(self.set_incarnation(idx, told, now)),
-            _ if w.life == *called => self.add_successor(idx, told, look, now),
+            Some(known) if known == incarnation => Some(idx),
+            None if !w.fenced => Some(self.set_incarnation(idx, incarnation, now)),
+            _ if w.life == *called => self.add_successor(idx, incarnation, look, now),
             _ => None,
         }
     }
 
-    /// Takes note of what tells a life apart that was known by its id only.
-    fn set_incarnation(&mut self, idx: WorkerIdx, told: Incarnation, now: Millis) -> WorkerIdx {
+    /// Sets the incarnation of a worker that was known by its id only.
+    fn set_incarnation(
+        &mut self,
+        idx: WorkerIdx,
+        incarnation: Incarnation,
+        now: Millis,
+    ) -> WorkerIdx {
         if let Some(w) = self.workers.get_mut(idx) {
-            w.life = WorkerLife::new(w.life.id().clone(), Some(told));
+            w.life = WorkerLife::new(w.life.id().clone(), Some(incarnation));
             w.lacked_incarnation = true;
         }
         self.apply_listing(idx, now);
         idx
     }
 
-    /// Takes note that another life answers under the id of the one at `idx`, which is over.
+    /// Adds the incarnation that answers under the id of the one at `idx`, which is over.
     fn add_successor(
         &mut self,
         idx: WorkerIdx,
-        told: Incarnation,
+        incarnation: Incarnation,
         look: &Look,
         now: Millis,
     ) -> Option<WorkerIdx> {
         let w = self.workers.get(idx)?;
-        let (life, address) = (WorkerLife::new(w.life.id().clone(), Some(told)), w.address.clone());
+        let (life, address) =
+            (WorkerLife::new(w.life.id().clone(), Some(incarnation)), w.address.clone());
         if self.ended_lives.contains(&life) {
             return None;
         }
@@ -87,7 +93,7 @@
         Some(next)
     }
 
-    /// Takes note that the life at `next` has followed the one at `idx` under its id.
+    /// Ends the incarnation at `idx`, which the one at `next` has replaced under the same id.
     pub(crate) fn replace_with_successor(
         &mut self,
         idx: WorkerIdx,
@@ -97,7 +103,8 @@
     ) {
         let longest = self.bounds.longest_lease;
         if let Some(w) = self.workers.get_mut(next) {
-            // A lease by the earlier life's clock lies far ahead, and the worker cuts it.
+            // The previous incarnation's clock is unrelated, so its lease end may lie far ahead.
+            // The worker shortens longer leases to this maximum.
             w.lease_until = w.lease_until.max(look.clock + longest.0);
         }
         let Some(w) = self.workers.get(idx) else { return };
@@ -110,11 +117,11 @@
         for (task, run) in begun {
             self.move_held(Placement { idx, task, run }, next);
         }
-        self.end_life(idx, Some(next), now);
+        self.end_incarnation(idx, Some(next), now);
     }
 
-    /// Has the next life refuse the starts that the earlier one may not have carried out: their tasks
-    /// wait until then.
+    /// Marks starts that the previous incarnation may not have executed as stopping at the next
+    /// one, which then rejects them. Their tasks wait until that is confirmed.
     pub(crate) fn stop_late_starts(&mut self, idx: WorkerIdx, next: WorkerIdx, now: Millis) {
         let Some(w) = self.workers.get(idx) else { return };
         let may_come = |h: &&HeldTask| !h.unsent && (h.call_in_flight || h.start_unanswered);
@@ -137,7 +144,7 @@
         }
     }
 
-    /// Moves what a life held to the next one. Tells whether it held it.
+    /// Moves a held run to the next incarnation. Returns true if the run was held.
     fn move_held(&mut self, from: Placement, next: WorkerIdx) -> bool {
         let Placement { idx, task, run } = from;
         let Some(w) = self.workers.get_mut(idx) else { return false };
@@ -156,7 +163,8 @@
         true
     }
 
-    /// Holds a run that is nowhere now, and may begin: it is to be refused.
+    /// Holds a run that is not placed on a worker but may still be started there, so that it is
+    /// stopped and rejected.
     fn hold_for_refusal(&mut self, p: Placement, now: Millis) {
         let job = p.task.step.job;
         let name = self.account_of(job).unwrap_or(NO_ACCOUNT).to_owned();
--- a/crates/hollowford-jobs/src/workers.rs
+++ b/crates/hollowford-jobs/src/workers.rs
@@ -1,4 +1,4 @@
-//! All workers of the partition.
+//! The table of a partition's workers.
 
 use crate::spec::TaskKey;
 use crate::worker::Worker;
@@ -7,10 +7,10 @@
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
 
-/// Position of a worker in the owner's table; not used again for another.
+/// Index of a worker in the owner's table. Indexes are not reused.
 pub(crate) type WorkerIdx = u32;
 
-/// One start of a task on a worker.
+/// A run of a task on a worker.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Placement {
     pub idx: WorkerIdx,
@@ -18,14 +18,14 @@
     pub run: u32,
 }
 
-/// The lives of workers, by position and by id.
+/// Incarnations of workers, by index and by id.
 #[derive(Debug, Default)]
 pub(crate) struct Workers {
     list: Vec<Option<Box<Worker>>>,
-    /// The lives under each id, as they became known.
+    /// Indexes of the incarnations with each id, in the order in which they became known.
     by_id: FxHashMap<InstanceId, Vec<WorkerIdx>>,
     count: usize,
-    /// Names of pools, each once, so that most comparisons are of addresses.
+    /// Interned pool names, so that most comparisons are of pointers.
     pools: Vec<Arc<str>>,
 }
 
@@ -38,7 +38,7 @@
         idx
     }
 
-    /// Returns the one copy of a pool's name.
+    /// Returns the interned copy of a pool name.
     pub fn pool_name(&mut self, name: &Arc<str>) -> Arc<str> {
         if let Some(known) = self.pools.iter().find(|p| *p == name) {
             return known.clone();
@@ -47,13 +47,14 @@
         name.clone()
     }
 
-    /// Returns the lives under an id, as they became known.
+    /// Returns the incarnations with an id, in the order in which they became known.
     pub fn with_id(&self, id: &InstanceId) -> impl Iterator<Item = (WorkerIdx, &Worker)> {
-        let lives = self.by_id.get(id).into_iter().flatten();
-        lives.filter_map(|&idx| Some((idx, self.get(idx)?)))
+        let indexes = self.by_id.get(id).into_iter().flatten();
+        indexes.filter_map(|&idx| Some((idx, self.get(idx)?)))
     }
 
-    /// Returns the position of a life, also under the name that it had before it was told apart.
+    /// Returns the index of an incarnation. A name without an incarnation number also finds the
+    /// worker that was first known under it.
     pub fn find(&self, life: &WorkerLife) -> Option<WorkerIdx> {
         let exact = self.with_id(life.id()).find(|(_, w)| w.life == *life);
         let named = || {
@@ -74,9 +75,9 @@
     pub fn remove(&mut self, idx: WorkerIdx) -> Option<Worker> {
         let w = self.list.get_mut(idx as usize)?.take()?;
         self.count -= 1;
-        if let Some(lives) = self.by_id.get_mut(w.life.id()) {
-            lives.retain(|&i| i != idx);
-            if lives.is_empty() {
+        if let Some(indexes) = self.by_id.get_mut(w.life.id()) {
+            indexes.retain(|&i| i != idx);
+            if indexes.is_empty() {
                 self.by_id.remove(w.life.id());
             }
         }
