--- a/crates/hollowford-jobs/src/audit.rs
+++ b/crates/hollowford-jobs/src/audit.rs
@@ -1,32 +1,32 @@
-//! A look over the whole state for tasks that wait for what can't come.
+//! Consistency check that finds tasks waiting for something that can't happen.
 
 use crate::engine::Engine;
 use crate::job::{Job, Task};
 use crate::spec::{StepKey, TaskKey};
 use std::fmt::{self, Display};
 
-/// Why a task can never be started again.
+/// A task that can never be started again, and why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StuckTask {
-    /// It is placed on a worker that doesn't hold it, so no end of it will be told.
+    /// The task is placed on a worker that doesn't hold it, so its end will never be reported.
     NotHeld {
-        /// The task.
+        /// The task that waits.
         task: TaskKey,
-        /// Number of the start.
+        /// Number of its current run.
         run: u32,
     },
-    /// It waits for a row of its job's progress that nobody will write.
+    /// The task waits for a progress row of its job that will never be written.
     RowNeverWritten {
-        /// The task.
+        /// The task that waits.
         task: TaskKey,
-        /// Number of the row.
+        /// Number of the progress row.
         row: u64,
     },
-    /// It waits for what became of a run that no worker holds or has lost.
+    /// The task waits for the outcome of a run that no worker holds or has lost.
     UntrackedRun {
-        /// The task.
+        /// The task that waits.
         task: TaskKey,
-        /// Number of the start.
+        /// Number of the open run.
         run: u32,
     },
 }
@@ -44,7 +44,8 @@
 }
 
 impl Engine {
-    /// Returns the tasks that wait for what can't come; none as long as the engine is right.
+    /// Returns the tasks that can never be started again. A task in the list is a bug in the
+    /// engine.
     pub fn stuck_tasks(&self) -> Vec<StuckTask> {
         let open = self.jobs.open().filter(|j| j.end.is_none());
         open.flat_map(|job| self.stuck_tasks_of_job(job)).collect()
@@ -82,7 +83,8 @@
     }
 }
 
-/// Tells whether a task waits for a row that is not to come: none is under way or to be cut.
+/// Returns a finding if a task waits for a progress row that is neither in flight nor to be
+/// written.
 fn check_awaited_row(job: &Job, task: TaskKey, t: &Task) -> Option<StuckTask> {
     let row = t.crash_record.as_ref()?.unwritten_row?;
     let is_pending = job.progress_unwritten || row <= job.progress_rows_built;
--- a/crates/hollowford-jobs/src/batch.rs
+++ b/crates/hollowford-jobs/src/batch.rs
@@ -1,8 +1,8 @@
 //! Batches of rows for the store.
 //!
-//! Several may be under way side by side, and may be made in any order. What belongs to one job
-//! is in one of them at a time, so that its rows are written in order; what changes of it
-//! meanwhile goes into a later one.
+//! Several batches may be in flight and may be committed in any order. Rows of one job are in only
+//! one of them at a time, so that they are written in order; later changes of the job wait for a
+//! later batch.
 
 use crate::engine::Engine;
 use crate::job::EndRef;
@@ -17,64 +17,65 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::BTreeMap;
 
-/// Most rows that one job writes: its own and its progress.
+/// Most rows that one job adds to a batch: its job row and its progress row.
 const MAX_ROWS_PER_JOB: usize = 2;
-/// Rows of jobs in one batch. A transaction takes 100 entries; the others are for the owner, the
-/// workers, and jobs that are forgotten.
+/// Most rows of jobs in one batch. A transaction takes 100 entries; the rest is for the owner row,
+/// the row of workers and removed jobs.
 const MAX_JOB_ROWS_PER_BATCH: usize = 89;
-/// Jobs that somebody waits for in one batch, some: one in [`BACKGROUND_POP_INTERVAL`] is another one, and as many
-/// write one row, for an acceptance, as write two, for an end.
+/// Estimated number of urgent jobs in one batch: one job in [`BACKGROUND_POP_INTERVAL`] is a
+/// background one, and half of the urgent ones write two rows, for an end, instead of one.
 pub(crate) const URGENT_JOBS_PER_BATCH: usize = MAX_JOB_ROWS_PER_BATCH
     * (BACKGROUND_POP_INTERVAL as usize - 1)
     / BACKGROUND_POP_INTERVAL as usize
     * 2
     / 3;
-/// Most bytes of values in one batch, before their encoding; a transaction takes 1 MB.
+/// Bytes of row values, before encoding, above which no further job is added to a batch; a
+/// transaction takes 1 MB.
 const MAX_VALUE_BYTES_PER_BATCH: usize = 500_000;
-/// Most ended jobs forgotten by one batch.
+/// Most ended jobs whose rows one batch removes.
 const MAX_EXPIRED_JOBS_PER_BATCH: usize = 8;
 
 /// A row to write or remove.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RowWrite {
-    /// Its key within the partition.
+    /// Key of the row within the partition.
     pub key: String,
-    /// Its bytes; none: remove it.
+    /// The new value; `None` removes the row.
     pub value: Option<Vec<u8>>,
 }
 
 impl RowWrite {
-    /// Returns the bytes of its value.
+    /// Returns the size of the value in bytes.
     fn bytes(&self) -> usize {
         self.value.as_ref().map_or(0, Vec::len)
     }
 }
 
-/// Rows that are written together, or not at all.
+/// Rows that are written in one transaction.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Batch {
-    /// Counts the owner's batches, from 1.
+    /// Number of the batch, counted from 1 by each owner.
     pub number: u64,
-    /// The rows.
+    /// The rows to write or remove.
     pub rows: Vec<RowWrite>,
 }
 
-/// What a batch under way will have made durable.
+/// What becomes durable when a batch is committed.
 #[derive(Debug, Default)]
 pub(crate) struct BatchContents {
     accepted: Vec<JobId>,
-    /// Jobs with rows of their progress, and how many were cut of each with this one.
+    /// Jobs with a progress row in the batch, and the number of that row.
     progressed: Vec<(JobId, u64)>,
     ended: Vec<(JobId, JobState, Millis)>,
-    /// Jobs whose rows are removed.
+    /// Jobs whose rows the batch removes.
     expired: Vec<JobId>,
-    /// Ends at workers that the rows contain, with the job of each.
+    /// Ends of tasks whose effects the batch stores, with their jobs.
     ends: Vec<(JobId, EndRef)>,
     workers: Option<Vec<WorkerAddress>>,
 }
 
 impl BatchContents {
-    /// Returns the jobs that have rows in the batch, some of them twice.
+    /// Returns the jobs with rows in the batch; some occur twice.
     fn jobs(&self) -> impl Iterator<Item = JobId> {
         let ended = self.ended.iter().map(|&(id, ..)| id);
         let progressed = self.progressed.iter().map(|&(id, _)| id);
@@ -83,15 +84,15 @@
     }
 }
 
-/// Batches that are cut and not made yet.
+/// Batches that are neither committed nor refused yet.
 #[derive(Debug, Default)]
 pub(crate) struct InFlight {
     batches: BTreeMap<u64, BatchContents>,
-    /// Jobs with rows in one of them.
+    /// Jobs with rows in one of the batches.
     jobs: FxHashSet<JobId>,
-    /// Ended jobs whose rows were to be removed by a batch that was refused.
+    /// Ended jobs whose removal was in a refused batch.
     pending_removals: Vec<JobId>,
-    /// Jobs that have something to write once that one is made, and whether somebody waits.
+    /// Jobs to queue for writing again once their batch is done; true for urgent ones.
     deferred: FxHashMap<JobId, bool>,
 }
 
@@ -107,13 +108,13 @@
 }
 
 impl Engine {
-    /// Tells whether somebody waits for the next batch: a caller for an acceptance or the
-    /// end of a job.
+    /// Returns true if a caller waits for the next batch, which contains the acceptance or the end
+    /// of a job.
     pub fn batch_is_urgent(&self) -> bool {
         self.jobs.write_queue.urgent_len() > 0
     }
 
-    /// Returns the next batch; none when there is nothing to write.
+    /// Builds the next batch; returns `None` if there is nothing to write.
     pub fn next_batch(&mut self, now: Millis) -> Option<Batch> {
         let mut contents = BatchContents::default();
         let mut rows = Vec::new();
@@ -129,7 +130,7 @@
         Some(Batch { number: self.batch_no, rows })
     }
 
-    /// Removes the rows of jobs that ended long ago.
+    /// Adds the removal of jobs whose retention has ended.
     fn remove_expired(
         &mut self,
         now: Millis,
@@ -138,9 +139,9 @@
     ) {
         let ended_before = now - self.bounds.keep_ended;
         let mut expired = std::mem::take(&mut self.in_flight.pending_removals);
-        // A job that came anew under the same id has a row of its own.
+        // A job that was submitted again under the same id has a new row.
         expired.retain(|&id| self.jobs.get(id).is_none() && self.jobs.ended(id).is_none());
-        // What several refused batches were to remove may be more than one takes.
+        // Several refused batches together may remove more than one batch takes.
         self.in_flight.pending_removals =
             expired.split_off(expired.len().min(MAX_EXPIRED_JOBS_PER_BATCH));
         expired.extend(self.jobs.expire(ended_before, MAX_EXPIRED_JOBS_PER_BATCH - expired.len()));
@@ -150,7 +151,7 @@
         }
     }
 
-    /// A batch is in the store.
+    /// Records that a batch is in the store.
     pub fn batch_committed(&mut self, number: u64, now: Millis) {
         let Some(contents) = self.take_in_flight(number) else { return };
         for &id in &contents.accepted {
@@ -167,7 +168,7 @@
             self.end_durable(end, now);
         }
         for &(id, state, at) in &contents.ended {
-            // What was told of it after its end was decided needs no row.
+            // Ends reported after the job's end was decided need no row.
             let late_ends = self.jobs.get_mut(id).map(|j| std::mem::take(&mut j.ends));
             late_ends.into_iter().flatten().for_each(|end| self.end_durable(end, now));
             self.close_job(id, state, at);
@@ -178,7 +179,7 @@
         self.dirty = true;
     }
 
-    /// Takes a batch out of those under way; what waited for it may be written next.
+    /// Removes a batch from those in flight, and queues its jobs that have changed since.
     fn take_in_flight(&mut self, number: u64) -> Option<BatchContents> {
         let contents = self.in_flight.batches.remove(&number)?;
         for id in contents.jobs() {
@@ -192,7 +193,7 @@
         Some(contents)
     }
 
-    /// An end at a worker is in the store, or needs not be.
+    /// Records that an end is in the store or needs no row.
     fn end_durable(&mut self, end: EndRef, now: Millis) {
         let Some(w) = self.workers.get_mut(end.worker) else { return };
         w.unwritten_ends.remove(&end.number);
@@ -201,7 +202,7 @@
         }
     }
 
-    /// A batch was refused and will never be made: its changes are to be written again.
+    /// Records that a batch was refused and will never be committed. Its changes are written again.
     pub fn batch_refused(&mut self, number: u64) {
         let Some(contents) = self.take_in_flight(number) else { return };
         for &(id, end) in &contents.ends {
@@ -227,9 +228,9 @@
         }
     }
 
-    /// Writes the row of workers when it lacks one that may get work.
+    /// Adds the row of workers if it lacks a listed one.
     fn write_workers(&mut self, rows: &mut Vec<RowWrite>, contents: &mut BatchContents) {
-        // Two lists under way could be made in the wrong order.
+        // Two versions of the row in flight could be committed in the wrong order.
         let is_in_flight = self.in_flight.batches.values().any(|n| n.workers.is_some());
         let is_incomplete = self.workers.iter().any(|(_, w)| !w.recorded && w.listed);
         if is_in_flight || !is_incomplete {
--- a/crates/hollowford-jobs/src/event.rs
+++ b/crates/hollowford-jobs/src/event.rs
@@ -1,4 +1,4 @@
-//! What the engine has decided or come to believe, for the log.
+//! Events of the engine, for the log.
 
 use crate::job::JobState;
 use crate::order::{EndKind, StartAnswer};
@@ -8,205 +8,205 @@
 use std::fmt::{self, Display};
 use std::sync::Arc;
 
-/// One decision, or one change of what is believed, with the inputs that decided it.
+/// A decision or a change of state, with the inputs that led to it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A job was taken.
+    /// A job was accepted.
     JobAccepted {
-        /// The job.
+        /// The accepted job.
         job: JobId,
-        /// The client account that handed it in; empty: none.
+        /// The client account that submitted it; empty if there is none.
         account: Arc<str>,
-        /// Its queue.
+        /// The job's queue.
         queue: Arc<str>,
-        /// Its steps.
+        /// Number of steps.
         steps: usize,
     },
-    /// A job was taken back before its acceptance was sent to the store.
+    /// A job was withdrawn before its acceptance was sent to the store.
     JobWithdrawn {
-        /// The job.
+        /// The withdrawn job.
         job: JobId,
     },
-    /// A job's end is decided.
+    /// The final state of a job was decided.
     JobEnded {
-        /// The job.
+        /// The job that ends.
         job: JobId,
-        /// How.
+        /// Its final state.
         state: JobState,
-        /// Time since its acceptance.
+        /// Time since the job's acceptance.
         age: Millis,
     },
-    /// A task is to start.
+    /// A task was placed on a worker and is to start.
     TaskStarting {
-        /// The task.
+        /// The task to start.
         task: TaskKey,
-        /// Number of the start.
+        /// Number of the new run.
         run: u32,
-        /// Where.
+        /// The worker on which it was placed.
         worker: WorkerLife,
-        /// What the worker has free afterwards.
+        /// Resources that remain free on the worker.
         free: Resources,
         /// Time since the job's acceptance.
         age: Millis,
     },
     /// A worker refused a start.
     StartRefused {
-        /// The task.
+        /// The task that was to start.
         task: TaskKey,
-        /// Number of the start.
+        /// Number of the refused run.
         run: u32,
-        /// The worker.
+        /// The worker that refused.
         worker: WorkerLife,
-        /// Why.
+        /// The worker's answer, with the reason.
         answer: StartAnswer,
     },
-    /// A task has ended.
+    /// A worker has reported the end of a task.
     TaskEnded {
-        /// The task.
+        /// The task that has ended.
         task: TaskKey,
-        /// Number of the start.
+        /// Number of the run.
         run: u32,
-        /// Where.
+        /// The worker that reported the end.
         worker: WorkerLife,
-        /// How.
+        /// How the run ended.
         kind: EndKind,
         /// The worker's number of the end.
         number: u64,
-        /// Whether the owner had it there.
+        /// Whether the owner knew the run on this worker.
         expected: bool,
     },
-    /// A task was found running that an earlier owner started.
+    /// A task that an earlier owner started was found running and adopted.
     TaskAdopted {
-        /// The task.
+        /// The adopted task.
         task: TaskKey,
-        /// Number of the start.
+        /// Number of the run.
         run: u32,
-        /// Where.
+        /// The worker on which it runs.
         worker: WorkerLife,
     },
-    /// A task was found running that should not; it is stopped.
+    /// A task was found running that should not run there; it is stopped.
     ForeignTask {
-        /// The task.
+        /// The task that is stopped.
         task: TaskKey,
-        /// Number of the start.
+        /// Number of the run.
         run: u32,
-        /// Where.
+        /// The worker on which it was found.
         worker: WorkerLife,
     },
-    /// A task was given up.
+    /// A run was given up; its task waits again.
     TaskGivenUp {
-        /// The task.
+        /// The task of the run.
         task: TaskKey,
-        /// Number of the start.
+        /// Number of the run.
         run: u32,
-        /// Where it was.
+        /// The worker on which it was placed.
         worker: WorkerLife,
-        /// Why.
+        /// Why it was given up.
         cause: GiveUpCause,
     },
     /// A worker answered this owner for the first time.
     WorkerClaimed {
-        /// The worker.
+        /// The worker that answered.
         worker: WorkerLife,
-        /// How many tasks it runs.
+        /// Number of tasks that it runs.
         running: usize,
-        /// How many ends it remembers.
+        /// Number of ends that it keeps.
         ended: usize,
     },
-    /// A worker doesn't answer, or does again.
+    /// A worker stopped answering, or answers again.
     WorkerSilent {
-        /// The worker.
+        /// The worker concerned.
         worker: WorkerLife,
-        /// Whether it doesn't answer.
+        /// True if it stopped answering, false if it answers again.
         silent: bool,
         /// Time since its last answer.
         since: Millis,
     },
-    /// A worker is put aside, since it fails what it starts.
+    /// A worker was quarantined because tasks keep failing on it.
     WorkerQuarantined {
-        /// The worker.
+        /// The quarantined worker.
         worker: WorkerLife,
     },
-    /// A worker answers, and what it runs stands still.
+    /// A worker answers, but its tasks make no progress.
     WorkerStalled {
-        /// The worker.
+        /// The stalled worker.
         worker: WorkerLife,
-        /// How many of its tasks.
+        /// Number of stalled tasks.
         tasks: usize,
     },
-    /// A life of a worker is over.
+    /// A worker incarnation has ended.
     WorkerDead {
-        /// The worker.
+        /// The incarnation that has ended.
         worker: WorkerLife,
-        /// How it ended.
+        /// Whether it had left or crashed.
         how: WorkerExit,
-        /// Tasks that it held.
+        /// Number of tasks that it held.
         tasks: usize,
     },
     /// A worker has crashed while a task was on it.
     WorkerCrashed {
-        /// The task.
+        /// The task that was on the worker.
         task: TaskKey,
-        /// Number of the start.
+        /// Number of the run.
         run: u32,
-        /// The worker.
+        /// The worker that crashed.
         worker: WorkerLife,
-        /// It had been started shortly before.
+        /// Whether the run had been started shortly before.
         fresh: bool,
-        /// Workers that have crashed under the task, this one among them.
+        /// Number of crashes under the task so far, including this one.
         crashes: usize,
     },
-    /// A row of an earlier owner tells that workers have crashed under a task, or may have.
+    /// A crash record of a task, stored by an earlier owner, was restored.
     CrashRecordRecovered {
-        /// The task.
+        /// The task of the record.
         task: TaskKey,
-        /// Workers that have crashed under it.
+        /// Number of crashes under the task.
         crashes: usize,
-        /// Runs of which it isn't known yet.
+        /// Number of runs whose outcome is not known yet.
         open: usize,
     },
     /// A worker is leaving.
     WorkerLeaving {
-        /// The worker.
+        /// The worker that leaves.
         worker: WorkerLife,
     },
-    /// A call for advice was answered, or not.
+    /// An advice call was answered or timed out.
     AdviceAnswered {
-        /// The step.
+        /// The step for which advice was asked.
         step: StepKey,
-        /// How many workers were named.
+        /// Number of workers in the call.
         asked: usize,
-        /// How many of them may run it; none: no answer.
+        /// Number of workers that may run the step; `None` if there was no answer.
         good: Option<usize>,
     },
-    /// Tasks that waited for unclaimed workers wait no longer.
+    /// Tasks no longer wait for workers that this owner has not claimed.
     PartitionSettled {
-        /// Workers that were not claimed in time.
+        /// Number of workers that were not claimed in time.
         unclaimed: usize,
     },
 }
 
-/// How a life of a worker has ended.
+/// How a worker incarnation ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerExit {
-    /// It was said to be leaving.
+    /// It had been listed as leaving.
     Left,
-    /// Another life answers at its address, and nobody had said that it would leave.
+    /// It ended without having been listed as leaving.
     Crashed,
 }
 
-/// Why a task was given up.
+/// Why a run was given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GiveUpCause {
-    /// Its worker's lease is surely over.
+    /// The lease of its worker has expired.
     Lapsed,
-    /// This life of its worker is over.
+    /// The worker incarnation has ended.
     WorkerDead,
-    /// Its worker lists it no more.
+    /// The worker no longer lists it.
     Vanished,
-    /// Its worker refused the start.
+    /// The worker refused the start.
     Refused,
-    /// Its start was not ordered: the store lacks the row that tells of it.
+    /// The start was never sent, because the row that records it is not stored.
     Unsent,
 }
 
--- a/crates/hollowford-jobs/src/order.rs
+++ b/crates/hollowford-jobs/src/order.rs
@@ -1,28 +1,28 @@
-//! What the engine asks for, and what it is told of the outcome.
+//! Orders of the engine, and the answers of workers and of the platform.
 
 use crate::spec::{StepKey, TaskKey};
 use crate::worker_life::{Incarnation, WorkerLife};
 use hollowford_core::{InstanceId, Millis, Resources};
 use std::sync::Arc;
 
-/// What the owner is to carry out.
+/// An action that the owner has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
     /// Call a worker.
     Worker {
-        /// The call.
+        /// The call to make.
         call: WorkerCall,
-        /// How long to wait for the answer, beyond the time that the call itself lets the
-        /// worker wait.
+        /// Timeout of the answer, in addition to the time for which the call itself lets the worker
+        /// wait.
         limit: Millis,
     },
-    /// Ask which of these workers may run a step.
+    /// Ask the advice service which of these workers may run a step.
     Advice {
-        /// Position of the instance that makes the call, in the list of seats.
+        /// Index of the advice channel that makes the call.
         seat: usize,
-        /// The step.
+        /// The step that waits for advice.
         step: StepKey,
-        /// The workers, by their ids.
+        /// Ids of the workers to ask about.
         workers: Vec<InstanceId>,
     },
 }
@@ -32,58 +32,59 @@
 pub enum WorkerCall {
     /// Start a task.
     Start {
-        /// The worker.
+        /// The worker that is called.
         worker: WorkerLife,
-        /// Its address.
+        /// `IP:port` of the worker.
         address: Arc<str>,
-        /// The task.
+        /// The task to start.
         task: TaskKey,
-        /// Number of the start.
+        /// Run number, which increases with each start of the task.
         run: u32,
-        /// Reading of the worker's clock until which it may run what it runs.
+        /// Clock reading of the worker up to which it may run all its tasks.
         lease_until: u64,
-        /// The job's template.
+        /// The job's template, passed to the worker unchanged.
         template: Arc<str>,
-        /// Checkpoint to go on from; empty: from the start.
+        /// Checkpoint to resume from; empty to start from the beginning.
         saved: Arc<str>,
-        /// The ticket for the worker; empty: none is needed.
+        /// Ticket of the advice service for the worker; empty if none is needed.
         ticket: Arc<str>,
     },
     /// Stop a task.
     Stop {
-        /// The worker.
+        /// The worker that is called.
         worker: WorkerLife,
-        /// Its address.
+        /// `IP:port` of the worker.
         address: Arc<str>,
-        /// The task.
+        /// The task to stop.
         task: TaskKey,
-        /// Number of the start.
+        /// Number of the run to stop.
         run: u32,
     },
-    /// Let a task work at a share of its full pace.
+    /// Run a task at part of its full pace.
     Pace {
-        /// The worker.
+        /// The worker that is called.
         worker: WorkerLife,
-        /// Its address.
+        /// `IP:port` of the worker.
         address: Arc<str>,
-        /// The task.
+        /// The task to slow down or speed up.
         task: TaskKey,
-        /// Number of the start.
+        /// Number of the run.
         run: u32,
-        /// The share, in percent.
+        /// New pace, in percent of full pace.
         percent: u32,
     },
-    /// Renew the lease, acknowledge ends, and list what runs and has ended.
+    /// Look: renew the lease, acknowledge ends, and list running and ended tasks.
     Look {
-        /// The worker.
+        /// The worker that is called.
         worker: WorkerLife,
-        /// Its address.
+        /// `IP:port` of the worker.
         address: Arc<str>,
-        /// Reading of the worker's clock until which it may run; none before its first answer.
+        /// Clock reading of the worker up to which it may run its tasks; `None` before its first
+        /// answer.
         lease_until: Option<u64>,
         /// Ends up to this number are acknowledged: the worker may forget them.
         acknowledged: u64,
-        /// How long the answer may wait for an end.
+        /// How long the worker may wait for an end before it answers.
         wait: Millis,
     },
 }
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Returns its address.
+    /// Returns the worker's address.
     pub fn address(&self) -> &Arc<str> {
         match self {
             WorkerCall::Start { address, .. }
@@ -110,85 +111,85 @@
     }
 }
 
-/// What a worker said to a start.
+/// A worker's answer to a start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartAnswer {
-    /// It runs; the worker's clock.
+    /// The task runs; with the worker's clock reading.
     Runs(u64),
     /// A newer owner has claimed the worker.
     Fenced,
-    /// The run has been stopped or has ended there.
+    /// The run was already stopped or has ended on the worker.
     Old,
-    /// The lease in the order was over.
+    /// The lease in the order had expired.
     Late,
-    /// The worker has no room.
+    /// The worker lacks the resources.
     NoRoom,
     /// The ticket is not valid.
     Ticket,
-    /// The worker is not well; nothing was done.
+    /// The worker is unhealthy and has not started the task.
     Unhealthy,
-    /// Another life of the worker answered.
+    /// Another incarnation of the worker answered.
     OtherLife,
-    /// The order is not one that the worker understands.
+    /// The worker doesn't understand the order.
     Invalid,
-    /// No answer: it may run now, or later.
+    /// There was no answer: the task may run now or be started later.
     Unanswered,
 }
 
 /// A worker's answer to a look.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Look {
-    /// Tells which life answers, of those under the id that was called; none: the worker doesn't say.
+    /// The incarnation that answers; `None` if the worker doesn't report it.
     pub incarnation: Option<Incarnation>,
-    /// Reading of its clock.
+    /// Reading of the worker's clock, in milliseconds.
     pub clock: u64,
-    /// What runs.
+    /// Tasks that run on the worker.
     pub running: Vec<Running>,
-    /// What has ended and is not forgotten.
+    /// Ended tasks whose ends are not acknowledged yet.
     pub ended: Vec<End>,
 }
 
 /// A task that runs on a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Running {
-    /// The task.
+    /// The task that runs.
     pub task: TaskKey,
-    /// Number of the start.
+    /// Number of the run.
     pub run: u32,
-    /// Its last checkpoint; empty: none.
+    /// Its last checkpoint; empty if there is none.
     pub saved: Arc<str>,
-    /// How much of its work is done, in percent.
+    /// Completed share of its work, in percent.
     pub progress: u32,
-    /// Of a task that serves users: the tail of their answer times in milliseconds. Of any
-    /// other: the processors in use.
+    /// For a service task, the tail of its users' response times in milliseconds; for other tasks,
+    /// the processors in use.
     pub load: u32,
 }
 
 /// A task that has ended on a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct End {
-    /// Counts the ends of this life of the worker, from 1.
+    /// Number of the end, counted from 1 by each incarnation of the worker.
     pub number: u64,
-    /// The task.
+    /// The task that has ended.
     pub task: TaskKey,
-    /// Number of the start.
+    /// Number of the run.
     pub run: u32,
-    /// How it ended.
+    /// How the run ended.
     pub kind: EndKind,
-    /// What it can go on from; empty: nothing.
+    /// Checkpoint to resume from; empty if there is none.
     pub saved: Arc<str>,
 }
 
-/// How a task ended.
+/// How a run of a task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndKind {
-    /// Well.
+    /// It completed its work.
     Done,
-    /// By a fault of its own or the worker's.
+    /// It failed through its own fault or the worker's.
     Failed,
-    /// By an order.
+    /// It was stopped by an order.
     Stopped,
-    /// Its lease was over.
+    /// Its lease expired.
     Lapsed,
     /// Another member of its gang ended.
     Broken,
@@ -196,26 +197,26 @@
     Alone,
 }
 
-/// An answer of the service for advice: who may run the step, each with a ticket.
+/// Answer of the advice service: the workers that may run a step, each with a ticket.
 pub type WorkerTickets = Vec<(InstanceId, Arc<str>)>;
 
-/// A worker as the platform lists it.
+/// A worker in the platform's list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerListing {
-    /// This life of the worker.
+    /// The worker incarnation.
     pub life: WorkerLife,
-    /// `IP:port`.
+    /// `IP:port` of the worker.
     pub address: Arc<str>,
     /// Its availability zone.
     pub zone: Arc<str>,
     /// The pool that it belongs to.
     pub pool: Arc<str>,
-    /// What it has.
+    /// Its total resources.
     pub capacity: Resources,
-    /// Its labels, the rack among them.
+    /// Its labels, including the rack.
     pub labels: Vec<Arc<str>>,
-    /// Whether it is about to leave.
+    /// Whether the platform is about to remove it.
     pub leaving: bool,
-    /// The least time that it stays, once it is leaving.
+    /// Shortest time until its removal, once it is leaving.
     pub remaining: Option<Millis>,
 }
--- a/crates/hollowford-jobs/src/progress_rows.rs
+++ b/crates/hollowford-jobs/src/progress_rows.rs
@@ -1,17 +1,17 @@
-//! The rows that tell how far jobs have come, as bytes.
+//! Encoding of the stored rows with the progress of jobs.
 
 use crate::crash_record::{CrashRecord, OpenRun};
 use crate::job::{Job, Round, Step, Task};
 use crate::worker_life::{Incarnation, WorkerLife};
 use prost::Message;
 
-/// How far a job has come.
+/// Row with the progress of a job.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct ProgressRow {
-    /// Rounds that have fallen due.
+    /// Number of rounds that have become due.
     #[prost(uint32, tag = "1")]
     pub due_rounds: u32,
-    /// Rounds that are not done, with the tasks that differ from a fresh one.
+    /// Unfinished rounds, with the tasks that differ from a new one.
     #[prost(message, repeated, tag = "2")]
     pub rounds: Vec<RoundRow>,
     #[prost(bool, tag = "3")]
@@ -26,7 +26,7 @@
     pub due: u64,
     #[prost(message, repeated, tag = "3")]
     pub tasks: Vec<TaskRow>,
-    /// Runs of gangs that failed.
+    /// Failed runs of gangs.
     #[prost(message, repeated, tag = "4")]
     pub gangs: Vec<GangRow>,
 }
@@ -53,7 +53,7 @@
     pub failed_runs: Vec<u32>,
     #[prost(string, tag = "6")]
     pub saved: String,
-    /// A worker has crashed under it, or may have.
+    /// Crashes and open runs; set if a worker has crashed under the task or may have.
     #[prost(message, optional, tag = "7")]
     pub crash_record: Option<CrashRecordRow>,
 }
@@ -63,16 +63,16 @@
     /// Runs under which a worker has crashed.
     #[prost(uint32, repeated, tag = "1")]
     pub crashed_runs: Vec<u32>,
-    /// Those of them that had been started shortly before.
+    /// Crashed runs that had been started shortly before.
     #[prost(uint32, repeated, tag = "2")]
     pub fresh_runs: Vec<u32>,
-    /// Runs of which it isn't known yet.
+    /// Runs whose outcome is not known yet.
     #[prost(message, repeated, tag = "3")]
     pub open_runs: Vec<OpenRunRow>,
     /// Crashed runs that their workers had not confirmed.
     #[prost(uint32, repeated, tag = "4")]
     pub unconfirmed_runs: Vec<u32>,
-    /// Crashed runs that may have worked or ended without its being written.
+    /// Crashed runs that may have become stable or ended without this being stored.
     #[prost(uint32, repeated, tag = "5")]
     pub uncertain_runs: Vec<u32>,
 }
@@ -81,22 +81,22 @@
 pub(crate) struct OpenRunRow {
     #[prost(uint32, tag = "1")]
     pub run: u32,
-    /// The life of the worker.
+    /// Id of the worker.
     #[prost(string, tag = "2")]
     pub worker: String,
-    /// It is known to have worked for a while.
+    /// Whether the run is known to be no longer fresh.
     #[prost(bool, tag = "3")]
     pub is_stable: bool,
-    /// Tells lives under one id apart; rows of earlier releases lack it.
+    /// Distinguishes incarnations with the same id; missing in rows of earlier releases.
     #[prost(uint64, optional, tag = "4")]
     pub incarnation: Option<u64>,
-    /// That it has worked or ended may not have been written.
+    /// The run may have become stable or ended without this being stored.
     #[prost(bool, tag = "5")]
     pub uncertain: bool,
 }
 
 impl ProgressRow {
-    /// Returns the row of a job's progress.
+    /// Creates the progress row of a job.
     pub fn of(job: &Job) -> ProgressRow {
         let rounds = job.rounds.iter().filter(|r| !r.is_done()).map(RoundRow::of).collect();
         ProgressRow { due_rounds: job.due_rounds, rounds, begun: job.begun }
--- a/crates/hollowford-jobs/src/recover.rs
+++ b/crates/hollowford-jobs/src/recover.rs
@@ -1,4 +1,4 @@
-//! A new owner takes over what the store holds.
+//! Restores a partition's state from the store for a new owner.
 
 use crate::engine::Engine;
 use crate::job::{JobState, Round};
@@ -12,24 +12,26 @@
 use prost::Message;
 use std::sync::Arc;
 
-/// How much a recovery found.
+/// Counts of what a recovery found in the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Recovered {
-    /// Jobs that have not ended.
+    /// Open jobs.
     pub open: usize,
-    /// Jobs that have.
+    /// Ended jobs that are still retained.
     pub ended: usize,
-    /// Workers that an earlier owner may have used.
+    /// Workers that earlier owners may have used.
     pub workers: usize,
-    /// Rows that are none of the above.
+    /// Rows of other kinds.
     pub other: usize,
 }
 
 impl Engine {
-    /// Takes in the partition's rows, once, before anything else but the queues.
+    /// Restores the state from the partition's rows. Called once, before anything else but setting
+    /// the queues.
     ///
     /// # Errors
-    /// When a row can't be read: the partition must not be served without it.
+    /// Returns an error if a row can't be decoded. The partition must not be served without that
+    /// row.
     pub fn recover(
         &mut self,
         rows: &[(String, Vec<u8>)],
--- a/crates/hollowford-jobs/src/rows.rs
+++ b/crates/hollowford-jobs/src/rows.rs
@@ -1,4 +1,4 @@
-//! The rows of jobs and workers in the store, as bytes.
+//! Encoding of the stored rows of jobs and workers.
 
 use crate::job::{Job, JobState};
 use crate::spec::{JobSpec, RawJob, RawStep, Schedule, SpecError};
@@ -7,21 +7,21 @@
 use prost::Message;
 use std::sync::Arc;
 
-/// Why a row can't be read.
+/// An error in decoding a row.
 #[derive(Debug, thiserror::Error)]
 pub enum RowError {
-    /// The bytes are not the message.
+    /// The bytes are not a valid message.
     #[error("row: {0}")]
     Decode(#[from] prost::DecodeError),
-    /// The job in it is not valid.
+    /// The job specification is not valid.
     #[error("row: {0}")]
     Spec(#[from] SpecError),
-    /// It names a state that there isn't.
+    /// The number of a job state is unknown.
     #[error("row: no state {0}")]
     State(u32),
 }
 
-/// A job. One that has ended keeps `state`, `ended_at` and `account` only.
+/// Row of a job. For an ended job only `state`, `ended_at` and `account` are set.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct JobRow {
     #[prost(uint32, tag = "1")]
@@ -40,7 +40,8 @@
     pub epoch: u64,
     #[prost(uint64, tag = "8")]
     pub accepted_at: u64,
-    /// The client account that handed it in; empty: none, or a row of a version before.
+    /// The client account that submitted the job; empty if there is none or the row was written by
+    /// an earlier release.
     #[prost(string, tag = "9")]
     pub account: String,
 }
@@ -95,7 +96,7 @@
     pub latency_ms: u64,
 }
 
-/// The workers that may hold a lease.
+/// Row of the workers that may hold a lease.
 #[derive(Clone, PartialEq, Message)]
 struct WorkersRow {
     #[prost(message, repeated, tag = "1")]
@@ -108,21 +109,21 @@
     id: String,
     #[prost(string, tag = "2")]
     address: String,
-    /// Tells lives under one id apart; rows of earlier releases lack it.
+    /// Distinguishes incarnations with the same id; missing in rows of earlier releases.
     #[prost(uint64, optional, tag = "3")]
     incarnation: Option<u64>,
 }
 
-/// Where a worker is found.
+/// A worker incarnation and its address.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerAddress {
-    /// This life of the worker.
+    /// The worker incarnation.
     pub life: WorkerLife,
-    /// `IP:port`.
+    /// `IP:port` of the worker.
     pub address: Arc<str>,
 }
 
-/// Writes the row of workers.
+/// Encodes the row of workers.
 pub fn encode_workers(list: &[WorkerAddress]) -> Vec<u8> {
     let row = |w: &WorkerAddress| WorkerRow {
         id: w.life.id().as_str().to_owned(),
@@ -132,10 +133,10 @@
     WorkersRow { workers: list.iter().map(row).collect() }.encode_to_vec()
 }
 
-/// Reads the row of workers.
+/// Decodes the row of workers.
 ///
 /// # Errors
-/// `Decode` when the bytes are not such a row.
+/// `RowError::Decode` if the bytes are not such a row.
 pub fn decode_workers(bytes: &[u8]) -> Result<Vec<WorkerAddress>, RowError> {
     let row = WorkersRow::decode(bytes)?;
     let life =
@@ -145,7 +146,7 @@
 }
 
 impl JobState {
-    /// Returns its number in rows and messages.
+    /// Returns the number that rows and messages use for the state.
     pub fn code(self) -> u32 {
         match self {
             JobState::Queued => 0,
@@ -156,10 +157,10 @@
         }
     }
 
-    /// Returns the state of a number.
+    /// Returns the state with this number.
     ///
     /// # Errors
-    /// `State` when no state has it.
+    /// `RowError::State` if there is no such state.
     pub fn from_code(code: u32) -> Result<JobState, RowError> {
         match code {
             0 => Ok(JobState::Queued),
@@ -221,7 +222,7 @@
 }
 
 impl JobRow {
-    /// Returns the row of an open job.
+    /// Creates the row of an open job.
     pub fn open(job: &Job, account: &str) -> JobRow {
         let schedule = job.spec.schedule.map(ScheduleRow::from);
         JobRow {
@@ -237,13 +238,14 @@
         }
     }
 
-    /// Returns the row of a job that has ended.
+    /// Creates the row of an ended job; `at` is the time of its end in milliseconds of the store's
+    /// clock.
     pub fn ended(state: JobState, at: u64, account: &str) -> JobRow {
         let account = account.to_owned();
         JobRow { state: state.code(), ended_at: at, account, ..JobRow::default() }
     }
 
-    /// Returns the job that the row describes.
+    /// Takes the job specification out of the row and validates it.
     pub fn spec(&mut self) -> Result<JobSpec, SpecError> {
         let schedule = self.schedule.take().map(|s| Schedule {
             first_unix_ms: s.first_unix_ms,
@@ -255,7 +257,7 @@
     }
 }
 
-/// Writes a job's specification, for messages between processes.
+/// Encodes a job specification for messages between processes.
 pub fn encode_spec(spec: &JobSpec) -> Vec<u8> {
     let schedule = spec.schedule.map(ScheduleRow::from);
     let steps = spec.steps.iter().map(StepRow::from).collect();
@@ -263,10 +265,10 @@
         .encode_to_vec()
 }
 
-/// Reads a job's specification.
+/// Decodes a job specification.
 ///
 /// # Errors
-/// When the bytes are not one, or it is not valid.
+/// `RowError::Decode` if the bytes are not a specification, `RowError::Spec` if it is not valid.
 pub fn decode_spec(bytes: &[u8]) -> Result<JobSpec, RowError> {
     Ok(JobRow::decode(bytes)?.spec()?)
 }
--- a/crates/hollowford-jobs/src/view.rs
+++ b/crates/hollowford-jobs/src/view.rs
@@ -1,44 +1,44 @@
-//! What the engine shows of itself.
+//! Summary of the engine's state.
 
 use crate::engine::{Engine, Stats};
 use hollowford_core::Millis;
 use std::fmt::{self, Display};
 
-/// A summary of the partition, for the state page, logs and metrics.
+/// Summary of a partition's state, for the state page, logs and metrics.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineView {
-    /// The owner's epoch.
+    /// Epoch of the owner.
     pub epoch: u64,
     /// Jobs that have not ended.
     pub open_jobs: usize,
-    /// Steps with tasks that wait.
+    /// Steps with tasks that wait to be started.
     pub waiting_steps: usize,
-    /// Tasks that wait until it is known what became of earlier runs of theirs.
+    /// Tasks that wait only for the outcome of their earlier runs.
     pub held_back: usize,
-    /// Tasks that wait for what can't come: a fault of the engine.
+    /// Tasks that can never be started again; more than 0 is a bug in the engine.
     pub stuck: usize,
-    /// Workers known.
+    /// Known workers.
     pub workers: usize,
     /// Workers that may get tasks now.
     pub usable_workers: usize,
-    /// Workers that may still run what an earlier owner ordered.
+    /// Workers that may still run tasks of an earlier owner.
     pub unsettled_workers: usize,
-    /// Thousandths of a core of usable workers, and how many of them are free.
+    /// CPU capacity of the usable workers, in thousandths of a core.
     pub cores_milli: u64,
-    /// Of these, free ones.
+    /// Free CPU capacity of the usable workers, in thousandths of a core.
     pub free_milli: u64,
-    /// Share of workers' answers that were lost lately, in thousandths.
+    /// Recent share of lost worker answers, in thousandths.
     pub lost_permille: u32,
-    /// Tasks that hold room.
+    /// Tasks that occupy resources on workers.
     pub held: usize,
-    /// Batches cut.
+    /// Batches built by this owner.
     pub batches: u64,
-    /// Counters.
+    /// Counters since the engine was created.
     pub stats: Stats,
 }
 
 impl Engine {
-    /// Returns a summary.
+    /// Returns a summary of the partition's state at `now`.
     pub fn view(&self, now: Millis) -> EngineView {
         let usable = || self.workers.iter().filter(|(_, w)| w.is_usable(now)).map(|(_, w)| w);
         EngineView {
--- a/crates/hollowford-jobs/src/write_queue.rs
+++ b/crates/hollowford-jobs/src/write_queue.rs
@@ -1,32 +1,33 @@
-//! Jobs with something to write, in the order in which they are written.
+//! The order in which jobs' rows are written to the store.
 //!
-//! A slow store takes a few batches a second. Callers wait for acceptances and ends, nobody
-//! for the progress of a job: it goes along as far as it fits, and a part of each batch is
-//! left to it, since workers keep their ends until it is written.
+//! A slow store commits only a few batches per second. Callers wait for acceptances and ends of
+//! jobs (urgent), but not for progress (background). Background jobs fill the remaining space of a
+//! batch and get a fixed share of each, because workers keep their ends until the progress is
+//! stored.
 
 use crate::spec::JobId;
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 use std::collections::hash_map::Entry;
 
-/// One job in so many is one that nobody waits for, while both kinds are there.
+/// Every n-th job taken from the queue is a background one while there are both kinds.
 pub(crate) const BACKGROUND_POP_INTERVAL: u32 = 4;
 
-/// The jobs, each once.
+/// Jobs with rows to write, each queued once.
 #[derive(Debug, Default)]
 pub(crate) struct WriteQueue {
-    /// Jobs that somebody waits for, the first that came first.
+    /// Jobs for which a caller waits, oldest first.
     urgent: VecDeque<JobId>,
-    /// The others, and some that have become urgent meanwhile.
+    /// Background jobs, oldest first; may contain jobs that have become urgent since.
     background: VecDeque<JobId>,
-    /// Whether each job is urgent.
+    /// The queued jobs, with true for the urgent ones.
     queued: FxHashMap<JobId, bool>,
     urgent_len: usize,
     pop_count: u32,
 }
 
 impl WriteQueue {
-    /// Adds a job that somebody waits for.
+    /// Adds a job for which a caller waits, or makes it urgent if it is queued already.
     pub fn add_urgent(&mut self, id: JobId) {
         if self.queued.insert(id, true) != Some(true) {
             self.urgent.push_back(id);
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Adds a job that nobody waits for, unless it is there.
+    /// Adds a background job, unless it is queued already.
     pub fn add_background(&mut self, id: JobId) {
         if let Entry::Vacant(entry) = self.queued.entry(id) {
             entry.insert(false);
@@ -42,19 +43,19 @@
         }
     }
 
-    /// Removes a job.
+    /// Removes a job from the queue.
     pub fn remove(&mut self, id: JobId) {
         if self.queued.remove(&id) == Some(true) {
             self.urgent_len -= 1;
         }
     }
 
-    /// Returns how many jobs somebody waits for.
+    /// Returns the number of urgent jobs.
     pub fn urgent_len(&self) -> usize {
         self.urgent_len
     }
 
-    /// Takes the next job out, and tells whether somebody waits for it.
+    /// Takes the next job from the queue; the flag is true if it is urgent.
     pub fn pop(&mut self) -> Option<(JobId, bool)> {
         self.pop_count = self.pop_count.wrapping_add(1);
         let background_first = self.pop_count.is_multiple_of(BACKGROUND_POP_INTERVAL);
