--- a/crates/hollowford-jobs/src/audit.rs
+++ b/crates/hollowford-jobs/src/audit.rs
@@ -34,11 +34,15 @@
 impl Display for StuckTask {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            StuckTask::NotHeld { task, run } => write!(f, "{task} run {run} is held nowhere"),
+            StuckTask::NotHeld { task, run } => {
+                write!(f, "{task} run {run} is not held by its worker")
+            }
             StuckTask::RowNeverWritten { task, row } => {
-                write!(f, "{task} waits for row {row}, never written")
+                write!(f, "{task} waits for row {row}, which will never be written")
+            }
+            StuckTask::UntrackedRun { task, run } => {
+                write!(f, "{task} run {run} is open, but no worker tracks it")
             }
-            StuckTask::UntrackedRun { task, run } => write!(f, "{task} run {run} is open nowhere"),
         }
     }
 }
--- a/crates/hollowford-jobs/src/crash_record.rs
+++ b/crates/hollowford-jobs/src/crash_record.rs
@@ -17,7 +17,7 @@
 /// Number of crashes that fail a job while fewer than [`MIN_CONFIRMED_RUNS`] of the runs were
 /// confirmed by their workers: an unconfirmed start may have reached its worker after the crash.
 const UNCONFIRMED_CRASH_LIMIT: usize = 5;
-/// Number of uncertain crashes that are counted as fresh. One is likely to be real, but a store
+/// Most uncertain crashes that are counted as fresh. One is likely to be real, but a store
 /// outage alone can produce several in a row.
 const MAX_UNCERTAIN_CRASHES: usize = 1;
 /// Number of confirmed runs from which [`CRASH_LIMIT`] applies.
--- a/crates/hollowford-jobs/src/crashes.rs
+++ b/crates/hollowford-jobs/src/crashes.rs
@@ -91,9 +91,10 @@
         }
         // A suspect task that has just been started is the likely cause, so the crash is not
         // counted for runs that were stable by then.
-        let explained = runs.iter().any(|r| r.stage == RunStage::Fresh && self.is_suspect(r.task));
+        let has_likely_cause =
+            runs.iter().any(|r| r.stage == RunStage::Fresh && self.is_suspect(r.task));
         for run in runs {
-            if explained && run.stage == RunStage::Stable {
+            if has_likely_cause && run.stage == RunStage::Stable {
                 self.close_run(run.task, run.run);
             } else {
                 self.count_crash(run, &worker, now);
@@ -112,16 +113,16 @@
         if self.jobs.get(job).is_none_or(|j| j.end.is_some()) {
             return;
         }
-        let first = stage != RunStage::Stable;
-        let Some(crash_record) = self.jobs.crash_record_mut(key, first) else { return };
+        let store_first = stage != RunStage::Stable;
+        let Some(crash_record) = self.jobs.crash_record_mut(key, store_first) else { return };
         if !crash_record.record_crash(run, stage) {
             return;
         }
-        let (crashes, quarantine_threshold) =
+        let (crashes, limit_reached) =
             (crash_record.crashed_runs.len(), crash_record.reaches_crash_limit());
         let (worker, fresh) = (worker.clone(), stage == RunStage::Fresh);
         self.notes.push(Event::WorkerCrashed { task: key, run, worker, fresh, crashes });
-        if quarantine_threshold {
+        if limit_reached {
             self.stats.crashing_jobs += 1;
             self.end_job(job, JobState::Failed, now);
         }
@@ -144,13 +145,13 @@
         let life = w.life.clone();
         for h in &w.held {
             let (key, run) = (h.task, h.run);
-            let here = |t: &Task| !t.done && t.worker == Some(idx) && t.run == run;
-            if !self.jobs.task(key).is_some_and(here) {
+            let is_current = |t: &Task| !t.done && t.worker == Some(idx) && t.run == run;
+            if !self.jobs.task(key).is_some_and(is_current) {
                 continue;
             }
             let lost = LostRun::of(h, w.last_answer, now);
-            let first = lost.stage != RunStage::Stable;
-            let Some(crash_record) = self.jobs.crash_record_mut(key, first) else { continue };
+            let store_first = lost.stage != RunStage::Stable;
+            let Some(crash_record) = self.jobs.crash_record_mut(key, store_first) else { continue };
             crash_record.open_run(run, &life, lost.stage == RunStage::Fresh);
             w.lost_runs.push(lost);
         }
@@ -184,8 +185,8 @@
     /// Closes lost runs whose worker has not returned in time.
     pub(crate) fn expire_lost_runs(&mut self, idx: WorkerIdx, now: Millis) {
         let Some(w) = self.workers.get_mut(idx) else { return };
-        let old = |l: &mut LostRun| now.since(l.since) >= WORKER_RETURN_TIMEOUT;
-        for lost in w.lost_runs.extract_if(.., old).collect::<Vec<_>>() {
+        let is_expired = |l: &mut LostRun| now.since(l.since) >= WORKER_RETURN_TIMEOUT;
+        for lost in w.lost_runs.extract_if(.., is_expired).collect::<Vec<_>>() {
             self.close_run(lost.task, lost.run);
         }
     }
--- a/crates/hollowford-jobs/src/evacuate.rs
+++ b/crates/hollowford-jobs/src/evacuate.rs
@@ -13,8 +13,8 @@
     pub(crate) fn evacuate(&mut self, idx: WorkerIdx, now: Millis) {
         let Some(w) = self.workers.get(idx).filter(|w| w.leaving) else { return };
         let Some(leaves_at) = w.leaves_at.filter(|&at| at > now + STOP_MARGIN) else { return };
-        let too_late = |h: &&HeldTask| h.phase == Phase::Running && h.expected_end > leaves_at;
-        let late: Vec<_> = w.held.iter().filter(too_late).map(|h| h.task).collect();
+        let ends_too_late = |h: &&HeldTask| h.phase == Phase::Running && h.expected_end > leaves_at;
+        let late: Vec<_> = w.held.iter().filter(ends_too_late).map(|h| h.task).collect();
         for key in late {
             if self.jobs.step_spec(key.step).is_some_and(|s| s.checkpoints) {
                 self.move_task_elsewhere(idx, key, now);
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Returns true if a worker has left: it had announced it, no longer answers and is no longer
+    /// Returns true if a worker has left: it was leaving, no longer answers and is no longer
     /// listed. A worker that is only cut off stays listed for longer than its lease lasts.
     pub(crate) fn has_left(&self, idx: WorkerIdx) -> bool {
         self.workers.get(idx).is_some_and(|w| w.leaving && !w.listed && w.unanswered_calls > 0)
--- a/crates/hollowford-jobs/src/health.rs
+++ b/crates/hollowford-jobs/src/health.rs
@@ -3,8 +3,7 @@
 use crate::spec::JobId;
 use hollowford_core::Millis;
 
-/// Largest probability that the failures in a row on a healthy worker would be chance, at which a
-/// worker is quarantined.
+/// Probability of the same failures in a row on a healthy worker at which a worker is quarantined.
 const MAX_CHANCE_PROBABILITY: f32 = 1e-4;
 /// Fewest and most failed jobs in a row that quarantine a worker.
 const FAILED_JOBS_RANGE: (usize, usize) = (2, 4);
@@ -94,8 +93,10 @@
         if !self.failed_jobs.contains(&job) {
             self.failed_jobs.push(job);
         }
-        let again = self.on_trial(now);
-        if !self.is_available(now) || (!again && self.failed_jobs.len() < quarantine_threshold) {
+        let was_on_trial = self.on_trial(now);
+        if !self.is_available(now)
+            || (!was_on_trial && self.failed_jobs.len() < quarantine_threshold)
+        {
             return false;
         }
         let doubled =
--- a/crates/hollowford-jobs/src/health_tests.rs
+++ b/crates/hollowford-jobs/src/health_tests.rs
@@ -12,20 +12,24 @@
 }
 
 #[test]
-fn failures_tell_the_sooner_the_rarer_they_are() {
+fn rarer_failures_lower_the_quarantine_threshold() {
     assert_eq!(learned(200).quarantine_threshold(), 2);
     assert_eq!(learned(25).quarantine_threshold(), 3);
-    assert_eq!(learned(3).quarantine_threshold(), 4, "four at most, or nothing would be put aside");
-    assert_eq!(FailureRate::default().quarantine_threshold(), 3, "before anything is known");
+    assert_eq!(
+        learned(3).quarantine_threshold(),
+        4,
+        "four at most, so that failing workers are still quarantined"
+    );
+    assert_eq!(FailureRate::default().quarantine_threshold(), 3, "with the initial failure share");
 }
 
 #[test]
-fn a_worker_is_put_aside_by_so_many_jobs_that_fail_in_a_row() {
+fn failures_of_different_jobs_in_a_row_quarantine_a_worker() {
     let now = Millis(1_000);
     let mut h = Health::default();
     assert!(!h.record_failure(JobId(1), 2, now));
     assert!(h.is_suspect());
-    assert!(!h.record_failure(JobId(1), 2, now), "the same job tells nothing more");
+    assert!(!h.record_failure(JobId(1), 2, now), "another failure of the same job doesn't count");
     h.record_success();
     assert!(!h.is_suspect());
     assert!(!h.record_failure(JobId(2), 2, now));
--- a/crates/hollowford-jobs/src/job.rs
+++ b/crates/hollowford-jobs/src/job.rs
@@ -267,15 +267,19 @@
         self.rounds.iter().any(|r| r.steps.iter().any(step))
     }
 
-    /// Returns the crash record of a task for a change, and creates it if there is none. If `first`
-    /// is set, the task starts again only after the next progress row is stored.
-    pub fn crash_record_mut(&mut self, key: TaskKey, first: bool) -> Option<&mut CrashRecord> {
+    /// Returns the crash record of a task for a change, and creates it if there is none. If
+    /// `store_first` is set, the task starts again only after the next progress row is stored.
+    pub fn crash_record_mut(
+        &mut self,
+        key: TaskKey,
+        store_first: bool,
+    ) -> Option<&mut CrashRecord> {
         let row = self.progress_rows_built + 1;
         self.has_crash_record = true;
         let step = self.round_mut(key.step.round)?.steps.get_mut(key.step.step as usize)?;
         let task = step.tasks.get_mut(key.index as usize).filter(|t| !t.done)?;
         let crash_record = task.crash_record.get_or_insert_default();
-        if first {
+        if store_first {
             crash_record.unwritten_row = Some(row);
         }
         Some(crash_record)
@@ -284,8 +288,9 @@
     /// Records that the progress row with this number is stored.
     pub fn row_written(&mut self, row: u64) {
         let steps = self.rounds.iter_mut().flat_map(|r| &mut r.steps);
-        let suspicions = steps.flat_map(|s| &mut s.tasks).filter_map(|t| t.crash_record.as_mut());
-        suspicions.for_each(|s| s.row_written(row));
+        let crash_records =
+            steps.flat_map(|s| &mut s.tasks).filter_map(|t| t.crash_record.as_mut());
+        crash_records.for_each(|s| s.row_written(row));
     }
 
     /// Returns the number above which the next runs of a task are numbered at `epoch`.
--- a/crates/hollowford-jobs/src/jobs.rs
+++ b/crates/hollowford-jobs/src/jobs.rs
@@ -158,9 +158,13 @@
 
     /// Returns the crash record of a task for a change, and creates it if there is none. Marks the
     /// job's progress as unwritten, so that the row for which the task may wait is always written.
-    pub fn crash_record_mut(&mut self, key: TaskKey, first: bool) -> Option<&mut CrashRecord> {
+    pub fn crash_record_mut(
+        &mut self,
+        key: TaskKey,
+        store_first: bool,
+    ) -> Option<&mut CrashRecord> {
         self.mark_progress_unwritten(key.step.job);
-        self.get_mut(key.step.job)?.crash_record_mut(key, first)
+        self.get_mut(key.step.job)?.crash_record_mut(key, store_first)
     }
 
     /// Records that a worker has started a task of a job. An order to start one doesn't count,
--- a/crates/hollowford-jobs/src/lease.rs
+++ b/crates/hollowford-jobs/src/lease.rs
@@ -201,8 +201,8 @@
 
     /// Processes new ends, then the running tasks.
     fn process_listed(&mut self, idx: WorkerIdx, look: &Look, now: Millis) {
-        let Some(taken) = self.workers.get(idx).map(|w| w.last_processed_end) else { return };
-        for end in look.ended.iter().filter(|e| e.number > taken) {
+        let Some(processed) = self.workers.get(idx).map(|w| w.last_processed_end) else { return };
+        for end in look.ended.iter().filter(|e| e.number > processed) {
             self.process_end(idx, end, now);
             self.retain_end(idx, end);
         }
@@ -232,15 +232,15 @@
     /// Schedules the next look. It waits for the batch that stores the ends, except after the first
     /// look, which could not renew the lease.
     fn schedule_next_look(&mut self, idx: WorkerIdx, first: bool, now: Millis) {
-        let all_in_turn =
+        let round_duration =
             Millis(self.workers.len() as u64 * 1_000 / MAX_UNWRITTEN_LOOKS_PER_SECOND);
-        let unwritten =
-            all_in_turn.max(MIN_UNWRITTEN_LOOK_INTERVAL).min(MAX_UNWRITTEN_LOOK_INTERVAL);
+        let interval =
+            round_duration.max(MIN_UNWRITTEN_LOOK_INTERVAL).min(MAX_UNWRITTEN_LOOK_INTERVAL);
         let Some(w) = self.workers.get_mut(idx) else { return };
         w.next_look_at = if first {
             now + CLAIM_DELAY
         } else if !w.unwritten_ends.is_empty() {
-            now + unwritten
+            now + interval
         } else {
             now
         };
@@ -261,15 +261,16 @@
         let Some(w) = self.workers.get(idx) else { return };
         let listed =
             |task: TaskKey, run: u32| look.running.iter().any(|r| r.task == task && r.run == run);
-        let sure = |h: &HeldTask| match h.phase {
+        let is_confirmed = |h: &HeldTask| match h.phase {
             Phase::Starting => false,
             Phase::Running => true,
             Phase::Stopping => h.stop_answered,
         };
         let grace = self.bounds.stop_timeout;
-        let gone = |h: &&HeldTask| sure(h) && h.since + grace < sent && !listed(h.task, h.run);
-        let gone: Vec<_> = w.held.iter().filter(gone).map(|h| (h.task, h.run)).collect();
-        for (task, run) in gone {
+        let vanished =
+            |h: &&HeldTask| is_confirmed(h) && h.since + grace < sent && !listed(h.task, h.run);
+        let vanished: Vec<_> = w.held.iter().filter(vanished).map(|h| (h.task, h.run)).collect();
+        for (task, run) in vanished {
             self.stats.vanished += 1;
             self.free(Placement { idx, task, run }, GiveUpCause::Vanished, now);
         }
--- a/crates/hollowford-jobs/src/rows.rs
+++ b/crates/hollowford-jobs/src/rows.rs
@@ -11,13 +11,13 @@
 #[derive(Debug, thiserror::Error)]
 pub enum RowError {
     /// The bytes are not a valid message.
-    #[error("row: {0}")]
+    #[error("can't decode the row: {0}")]
     Decode(#[from] prost::DecodeError),
     /// The job specification is not valid.
-    #[error("row: {0}")]
+    #[error("the row contains an invalid job: {0}")]
     Spec(#[from] SpecError),
     /// The number of a job state is unknown.
-    #[error("row: no state {0}")]
+    #[error("the row contains an unknown job state: {0}")]
     State(u32),
 }
 
--- a/crates/hollowford-jobs/src/stall.rs
+++ b/crates/hollowford-jobs/src/stall.rs
@@ -42,16 +42,16 @@
         h.progress = r.progress;
         h.progressed_at = now;
         let (from, since) = *h.first_progress.get_or_insert((r.progress, now));
-        let done = r.progress.saturating_sub(from);
-        if done < MIN_SAMPLE_PROGRESS_PERCENT {
+        let gained = r.progress.saturating_sub(from);
+        if gained < MIN_SAMPLE_PROGRESS_PERCENT {
             return;
         }
-        let whole = now.since(since).0 * 100 / u64::from(done);
-        h.expected_end = now + Millis(whole * u64::from(100 - r.progress.min(100)) / 100);
+        let total_ms = now.since(since).0 * 100 / u64::from(gained);
+        h.expected_end = now + Millis(total_ms * u64::from(100 - r.progress.min(100)) / 100);
         if estimate > Millis(0) {
-            let reading = whole as f32 / estimate.0 as f32;
-            let reading = reading.clamp(SLOWNESS_RANGE.0, SLOWNESS_RANGE.1);
-            w.slowness += (reading - w.slowness) * SLOWNESS_WEIGHT;
+            let sample = total_ms as f32 / estimate.0 as f32;
+            let sample = sample.clamp(SLOWNESS_RANGE.0, SLOWNESS_RANGE.1);
+            w.slowness += (sample - w.slowness) * SLOWNESS_WEIGHT;
         }
     }
 
@@ -64,23 +64,23 @@
     pub(crate) fn check_stalled(&mut self, idx: WorkerIdx, now: Millis) {
         let Some(w) = self.workers.get(idx) else { return };
         let running: Vec<&HeldTask> = w.held.iter().filter(|h| h.phase == Phase::Running).collect();
-        let still = |h: &&&HeldTask| {
-            let slow = Millis(self.estimate(h.task).0 * STALL_ESTIMATE_PERCENT / 100);
+        let is_stalled = |h: &&&HeldTask| {
+            let allowance = Millis(self.estimate(h.task).0 * STALL_ESTIMATE_PERCENT / 100);
             h.progress < NEARLY_DONE_PERCENT
-                && now.since(h.progressed_at) >= MIN_STALL_TIMEOUT.max(slow)
+                && now.since(h.progressed_at) >= MIN_STALL_TIMEOUT.max(allowance)
         };
-        let stuck = running.iter().filter(still).count();
-        if stuck == 0 || stuck < running.len() {
+        let stalled = running.iter().filter(is_stalled).count();
+        if stalled == 0 || stalled < running.len() {
             return;
         }
-        let short = |h: &&HeldTask| {
+        let is_short = |h: &&HeldTask| {
             now.since(h.progressed_at) >= STALLED_TASK_MOVE_TIMEOUT
                 && self.estimate(h.task) <= MAX_SHORT_TASK_ESTIMATE
         };
-        let moved: Vec<TaskKey> = running.into_iter().filter(short).map(|h| h.task).collect();
+        let moved: Vec<TaskKey> = running.into_iter().filter(is_short).map(|h| h.task).collect();
         let Some(w) = self.workers.get_mut(idx) else { return };
         if !w.health.is_quarantined(now) {
-            self.notes.push(Event::WorkerStalled { worker: w.life.clone(), tasks: stuck });
+            self.notes.push(Event::WorkerStalled { worker: w.life.clone(), tasks: stalled });
         }
         w.health.pause(now + STALL_PAUSE);
         for key in moved {
--- a/crates/hollowford-jobs/src/task_ends.rs
+++ b/crates/hollowford-jobs/src/task_ends.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 
 /// Shortest pause before a service task that has ended is started again.
-const LASTING_RESTART_DELAY: Millis = Millis(200);
+const SERVICE_RESTART_DELAY: Millis = Millis(200);
 
 impl Engine {
     /// Processes a report that a task runs.
@@ -21,12 +21,12 @@
         let Some(w) = self.workers.get_mut(idx) else { return };
         if let Some(h) = w.find_mut(r.task, r.run) {
             h.mark_begun(now);
-            let (worked, cleared) = (h.becomes_stable(now), h.becomes_cleared(now));
+            let (stable, cleared) = (h.becomes_stable(now), h.becomes_cleared(now));
             self.record_progress(idx, r, now);
             let p = Placement { idx, task: r.task, run: r.run };
             if cleared {
                 self.clear_crash_record(p);
-            } else if worked {
+            } else if stable {
                 self.record_stable(p);
             }
             self.record_checkpoint(r.task, &r.saved);
@@ -108,14 +108,14 @@
         let spec = job.spec.clone();
         let Some(step_spec) = spec.steps.get(key.step.step as usize) else { return };
         let Some(task) = self.jobs.task(key) else { return };
-        let here = task.worker == Some(idx) && task.run == end.run;
-        let earlier = task.worker.is_none() && end.run >= task.run;
+        let is_current = task.worker == Some(idx) && task.run == end.run;
+        let is_newest = task.worker.is_none() && end.run >= task.run;
         // Ends of earlier runs count too: an earlier owner may not have stored them.
         let counts = matches!(end.kind, EndKind::Done | EndKind::Failed);
-        if task.done || !(here || earlier || counts) {
+        if task.done || !(is_current || is_newest || counts) {
             return;
         }
-        if here {
+        if is_current {
             self.unplace(Placement { idx, task: key, run: end.run }, now);
         }
         if let Some(task) = self.jobs.task_mut(key) {
@@ -149,7 +149,7 @@
         match end.kind {
             EndKind::Done if !spec.lasting => self.task_done(end.task, spec.gang, now),
             EndKind::Failed if !spec.lasting => self.task_failed(idx, end, spec, now),
-            EndKind::Done | EndKind::Failed => self.lasting_ended(end.task, now),
+            EndKind::Done | EndKind::Failed => self.service_task_ended(end.task, now),
             _ => self.stats.interrupted += 1,
         }
     }
@@ -172,10 +172,10 @@
         }
     }
 
-    fn lasting_ended(&mut self, key: TaskKey, now: Millis) {
+    fn service_task_ended(&mut self, key: TaskKey, now: Millis) {
         self.stats.interrupted += 1;
         if let Some(task) = self.jobs.task_mut(key) {
-            task.not_before = now + LASTING_RESTART_DELAY;
+            task.not_before = now + SERVICE_RESTART_DELAY;
         }
     }
 
@@ -192,8 +192,8 @@
             step.remaining -= 1;
         }
         let step_done = step.is_done();
-        let elsewhere = step.tasks[key.index as usize].worker;
-        if let Some(other) = elsewhere.filter(|_| !gang) {
+        let other_worker = step.tasks[key.index as usize].worker;
+        if let Some(other) = other_worker.filter(|_| !gang) {
             self.mark_stopping(other, key);
         }
         if step_done {
--- a/crates/hollowford-jobs/src/worker.rs
+++ b/crates/hollowford-jobs/src/worker.rs
@@ -31,7 +31,7 @@
     }
 
     /// Returns the time at which the clock has passed `reading` even at its slowest allowed rate.
-    pub fn certainly_past(&self, reading: u64) -> Millis {
+    pub fn passed_at(&self, reading: u64) -> Millis {
         let ahead = reading.saturating_sub(self.reading);
         self.at + Millis(ahead * 100 / MIN_CLOCK_RATE_PERCENT + 1)
     }
@@ -276,7 +276,7 @@
     /// Returns when every lease that this owner granted has expired; `None` while the worker's
     /// clock is unknown.
     pub fn lease_expiry(&self) -> Option<Millis> {
-        self.clock.map(|c| c.certainly_past(self.lease_until))
+        self.clock.map(|c| c.passed_at(self.lease_until))
     }
 
     pub fn has_label(&self, label: &str) -> bool {
--- a/crates/hollowford-jobs/src/worker_life.rs
+++ b/crates/hollowford-jobs/src/worker_life.rs
@@ -37,8 +37,8 @@
     /// Returns true if both may be the same incarnation: the ids are equal and the incarnations
     /// equal or unknown.
     pub fn may_be_same(&self, other: &WorkerLife) -> bool {
-        let is_told = self.incarnation.is_some() && other.incarnation.is_some();
-        self.id == other.id && (!is_told || self.incarnation == other.incarnation)
+        let both_known = self.incarnation.is_some() && other.incarnation.is_some();
+        self.id == other.id && (!both_known || self.incarnation == other.incarnation)
     }
 }
 
--- a/crates/hollowford-jobs/src/worker_removal.rs
+++ b/crates/hollowford-jobs/src/worker_removal.rs
@@ -17,8 +17,8 @@
                 continue;
             }
             let Some(w) = self.workers.get(idx) else { continue };
-            let over = w.lease_expiry().is_some_and(|at| at + self.bounds.stop_timeout <= now);
-            if over && !w.held.is_empty() {
+            let expired = w.lease_expiry().is_some_and(|at| at + self.bounds.stop_timeout <= now);
+            if expired && !w.held.is_empty() {
                 self.stats.lapsed += w.held.len() as u64;
                 self.record_lost_runs(idx, now);
                 self.free_all(idx, GiveUpCause::Lapsed, now);
@@ -26,9 +26,9 @@
             self.expire_lost_runs(idx, now);
             let Some(w) = self.workers.get(idx) else { continue };
             let silent = w.unanswered_calls > 0 && !w.look_in_flight;
-            let known = !w.claimed && now < self.settled_at;
+            let may_run_tasks = !w.claimed && now < self.settled_at;
             let empty = w.held.is_empty() && w.lost_runs.is_empty();
-            if !w.listed && silent && empty && (over || !w.claimed) && !known {
+            if !w.listed && silent && empty && (expired || !w.claimed) && !may_run_tasks {
                 self.forget_worker(idx);
             }
         }
@@ -69,8 +69,8 @@
         let Some(w) = self.workers.get(idx) else { return };
         let (id, address) = (w.life.id().clone(), w.address.clone());
         let is_other = |i: WorkerIdx, w: &Worker| {
-            let there = *w.life.id() == id || w.address == address;
-            i != idx && w.known_at < sent && there
+            let same_id_or_address = *w.life.id() == id || w.address == address;
+            i != idx && w.known_at < sent && same_id_or_address
         };
         let others = self.workers.iter().filter(|&(i, w)| is_other(i, w));
         let others: Vec<_> = others.map(|(i, w)| (i, *w.life.id() == id)).collect();
--- a/crates/hollowford-jobs/src/worker_restart.rs
+++ b/crates/hollowford-jobs/src/worker_restart.rs
@@ -109,9 +109,9 @@
         }
         let Some(w) = self.workers.get(idx) else { return };
         let begun = |h: &&HeldTask| {
-            let is_this = |task: TaskKey, run: u32| task == h.task && run == h.run;
-            look.running.iter().any(|r| is_this(r.task, r.run))
-                || look.ended.iter().any(|e| is_this(e.task, e.run))
+            let is_same_run = |task: TaskKey, run: u32| task == h.task && run == h.run;
+            look.running.iter().any(|r| is_same_run(r.task, r.run))
+                || look.ended.iter().any(|e| is_same_run(e.task, e.run))
         };
         let begun: Vec<_> = w.held.iter().filter(begun).map(|h| (h.task, h.run)).collect();
         for (task, run) in begun {
@@ -124,8 +124,8 @@
     /// one, which then rejects them. Their tasks wait until that is confirmed.
     pub(crate) fn stop_late_starts(&mut self, idx: WorkerIdx, next: WorkerIdx, now: Millis) {
         let Some(w) = self.workers.get(idx) else { return };
-        let may_come = |h: &&HeldTask| !h.unsent && (h.call_in_flight || h.start_unanswered);
-        let held = w.held.iter().filter(may_come).map(|h| (h.task, h.run));
+        let may_be_executed = |h: &&HeldTask| !h.unsent && (h.call_in_flight || h.start_unanswered);
+        let held = w.held.iter().filter(may_be_executed).map(|h| (h.task, h.run));
         let recent = |s: &&LateStart| now.since(s.since) < LATE_START_TIMEOUT;
         let given_up = w.late_starts.iter().filter(recent).map(|s| (s.task, s.run));
         let late: Vec<_> = held.chain(given_up).collect();
