--- a/crates/hollowford-jobs/src/answer_timeouts.rs
+++ b/crates/hollowford-jobs/src/answer_timeouts.rs
@@ -23,8 +23,8 @@
 const LOSS_WEIGHT: f32 = 1.0 / 256.0;
 /// Largest share of lost answers at which looks wait for [`MAX_LOOK_WAIT`].
 const MAX_RARE_LOSS_SHARE: f32 = 0.005;
-/// Longest time that a look waits for an end. Looks renew leases; with this wait, a lease is renewed
-/// three times before it expires.
+/// Longest time that a look waits for an end. Looks renew leases; with this wait, a lease is
+/// renewed three times before it expires.
 pub(crate) const MAX_LOOK_WAIT: Millis = Millis(1_000);
 /// Shortest time that a look waits for an end, however many answers are lost.
 const MIN_LOOK_WAIT: Millis = Millis(150);
--- a/crates/hollowford-jobs/src/rows.rs
+++ b/crates/hollowford-jobs/src/rows.rs
@@ -11,13 +11,13 @@
 #[derive(Debug, thiserror::Error)]
 pub enum RowError {
     /// The bytes are not a valid message.
-    #[error("can't decode the row: {0}")]
+    #[error("malformed message: {0}")]
     Decode(#[from] prost::DecodeError),
     /// The job specification is not valid.
-    #[error("the row contains an invalid job: {0}")]
+    #[error("invalid job: {0}")]
     Spec(#[from] SpecError),
     /// The number of a job state is unknown.
-    #[error("the row contains an unknown job state: {0}")]
+    #[error("unknown job state: {0}")]
     State(u32),
 }
 
