--- a/crates/hollowford-jobs/src/rows.rs
+++ b/crates/hollowford-jobs/src/rows.rs
@@ -69,31 +69,31 @@
     #[prost(uint64, tag = "5")]
     pub estimate_ms: u64,
     #[prost(uint32, repeated, tag = "6")]
-    pub depends: Vec<u32>,
+    pub depends_on: Vec<u32>,
     #[prost(bool, tag = "7")]
-    pub checkpoints: bool,
+    pub resumable: bool,
     #[prost(bool, tag = "8")]
     pub gang: bool,
     #[prost(bool, tag = "9")]
-    pub one_rack: bool,
+    pub prefer_one_rack: bool,
     #[prost(string, tag = "10")]
-    pub requires: String,
+    pub required_label: String,
     #[prost(string, tag = "11")]
     pub data_rack: String,
     #[prost(uint32, tag = "12")]
-    pub spread: u32,
+    pub max_per_worker: u32,
     #[prost(bool, tag = "13")]
     pub speculative: bool,
     #[prost(bool, tag = "14")]
-    pub lasting: bool,
+    pub service: bool,
     #[prost(uint32, tag = "15")]
-    pub may_miss: u32,
+    pub max_unavailable: u32,
     #[prost(bool, tag = "16")]
-    pub filler: bool,
+    pub best_effort: bool,
     #[prost(string, tag = "17")]
     pub image: String,
     #[prost(uint64, tag = "18")]
-    pub latency_ms: u64,
+    pub latency_target_ms: u64,
 }
 
 /// Row of the workers that may hold a lease.
@@ -181,19 +181,19 @@
             memory_mib: s.need.memory_mib,
             accelerators: s.need.accelerators,
             estimate_ms: s.estimate_ms,
-            depends: s.depends.clone(),
-            checkpoints: s.checkpoints,
+            depends_on: s.depends.clone(),
+            resumable: s.checkpoints,
             gang: s.gang,
-            one_rack: s.one_rack,
-            requires: s.requires.clone(),
+            prefer_one_rack: s.one_rack,
+            required_label: s.requires.clone(),
             data_rack: s.data_rack.clone(),
-            spread: s.spread,
+            max_per_worker: s.spread,
             speculative: s.speculative,
-            lasting: s.lasting,
-            may_miss: s.may_miss,
-            filler: s.filler,
+            service: s.lasting,
+            max_unavailable: s.may_miss,
+            best_effort: s.filler,
             image: s.image.clone(),
-            latency_ms: s.latency_ms,
+            latency_target_ms: s.latency_ms,
         }
     }
 }
@@ -204,19 +204,19 @@
             count: r.count,
             need: Resources::new(r.cpu_milli, r.memory_mib, r.accelerators),
             estimate_ms: r.estimate_ms,
-            depends: r.depends,
-            checkpoints: r.checkpoints,
+            depends: r.depends_on,
+            checkpoints: r.resumable,
             gang: r.gang,
-            one_rack: r.one_rack,
-            requires: r.requires,
+            one_rack: r.prefer_one_rack,
+            requires: r.required_label,
             data_rack: r.data_rack,
-            spread: r.spread,
+            spread: r.max_per_worker,
             speculative: r.speculative,
-            lasting: r.lasting,
-            may_miss: r.may_miss,
-            filler: r.filler,
+            lasting: r.service,
+            may_miss: r.max_unavailable,
+            filler: r.best_effort,
             image: r.image,
-            latency_ms: r.latency_ms,
+            latency_ms: r.latency_target_ms,
         }
     }
 }
