--- a/crates/hollowford-jobs/benches/ledger.rs
+++ b/crates/hollowford-jobs/benches/ledger.rs
@@ -112,13 +112,13 @@
         {
             let batch = entry.remove();
             written += batch.rows.len() as u64;
-            self.engine.committed(batch.number, Millis(self.now));
+            self.engine.batch_committed(batch.number, Millis(self.now));
             let rows = batch.rows.into_iter().filter_map(|r| Some((r.key, r.value?)));
             self.rows.extend(rows);
         }
         let may_send = self.in_flight.len() < self.lanes
             && self.now >= self.last_batch_at + MIN_BATCH_INTERVAL_MS;
-        if may_send && let Some(batch) = self.engine.cut_batch(Millis(self.now)) {
+        if may_send && let Some(batch) = self.engine.next_batch(Millis(self.now)) {
             self.last_batch_at = self.now;
             let arrives_at = self.now + self.network_ms / 2;
             self.store_free_at = self.store_free_at.max(arrives_at) + self.transaction_ms;
--- a/crates/hollowford-jobs/src/accounts.rs
+++ b/crates/hollowford-jobs/src/accounts.rs
@@ -203,7 +203,7 @@
         for (_, w) in self.workers.iter() {
             for h in &w.held {
                 // What a job that has ended takes is not known: the whole worker at most.
-                let room = if h.room == Resources::ALL { &w.capacity } else { &h.room };
+                let room = if h.allocation == Resources::ALL { &w.capacity } else { &h.allocation };
                 self.accounts.take(h.account, room);
             }
         }
@@ -237,7 +237,7 @@
     let mut sum = Totals::default();
     for round in &job.rounds {
         for (step, spec) in round.steps.iter().zip(&job.spec.steps) {
-            let tasks = step.tasks.iter().filter(|t| t.unsettled && t.at.is_none()).count();
+            let tasks = step.tasks.iter().filter(|t| t.unsettled && t.worker.is_none()).count();
             sum.plus(&Totals::of(&spec.room(), tasks as u32));
         }
     }
--- a/crates/hollowford-jobs/src/batch.rs
+++ b/crates/hollowford-jobs/src/batch.rs
@@ -1,77 +1,81 @@
 //! Batches of rows for the store.
 //!
-//! Several may be under way side by side, and may be made in any order. What belongs to one job
-//! is in one of them at a time, so that its rows are written in order; what changes of it
-//! meanwhile goes into a later one.
+//! Several batches may be in flight and may be committed in any order. Rows of one job are in only
+//! one of them at a time, so that they are written in order; later changes of the job wait for a
+//! later batch.
 
-use crate::dirty::ONE_IN;
 use crate::engine::Engine;
-use crate::job::EndAt;
+use crate::job::EndRef;
 use crate::job::JobState;
 use crate::progress_rows::ProgressRow;
 use crate::rows::{JobRow, WorkerAddress, encode_workers};
 use crate::spec::JobId;
 use crate::worker::Worker;
+use crate::write_queue::BACKGROUND_POP_INTERVAL;
 use hollowford_core::Millis;
 use prost::Message;
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::BTreeMap;
 
-/// Most rows that one job writes: its own and its progress.
-const ROWS_OF_JOB: usize = 2;
-/// Rows of jobs in one batch. A transaction takes 100 entries; the others are for the owner, the
-/// workers, and jobs that are forgotten.
-const MOST_ROWS: usize = 89;
-/// Jobs that somebody waits for in one batch, some: one in [`ONE_IN`] is another one, and as many
-/// write one row, for an acceptance, as write two, for an end.
-pub(crate) const WANTED_IN_BATCH: usize =
-    MOST_ROWS * (ONE_IN as usize - 1) / ONE_IN as usize * 2 / 3;
-/// Most bytes of values in one batch, before their encoding; a transaction takes 1 MB.
-const MOST_BYTES: usize = 500_000;
-/// Most ended jobs forgotten by one batch.
-const MOST_EXPIRED: usize = 8;
+/// Most rows that one job adds to a batch: its job row and its progress row.
+const MAX_ROWS_PER_JOB: usize = 2;
+/// Most rows of jobs in one batch. A transaction takes 100 entries; the rest is for the owner row,
+/// the row of workers and removed jobs.
+const MAX_JOB_ROWS_PER_BATCH: usize = 89;
+/// Estimated number of urgent jobs in one batch: one job in [`BACKGROUND_POP_INTERVAL`] is a
+/// background one, and half of the urgent ones write two rows, for an end, instead of one.
+pub(crate) const URGENT_JOBS_PER_BATCH: usize = MAX_JOB_ROWS_PER_BATCH
+    * (BACKGROUND_POP_INTERVAL as usize - 1)
+    / BACKGROUND_POP_INTERVAL as usize
+    * 2
+    / 3;
+/// Bytes of row values, before encoding, above which no further job is added to a batch; a
+/// transaction takes 1 MB.
+const MAX_VALUE_BYTES_PER_BATCH: usize = 500_000;
+/// Most ended jobs whose rows one batch removes.
+const MAX_EXPIRED_JOBS_PER_BATCH: usize = 8;
 
 /// A row to write or remove.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RowWrite {
-    /// Its key within the partition.
+    /// Key of the row within the partition.
     pub key: String,
-    /// Its bytes; none: remove it.
+    /// The new value; `None` removes the row.
     pub value: Option<Vec<u8>>,
 }
 
 impl RowWrite {
-    /// Returns the bytes of its value.
+    /// Returns the size of the value in bytes.
     fn bytes(&self) -> usize {
         self.value.as_ref().map_or(0, Vec::len)
     }
 }
 
-/// Rows that are written together, or not at all.
+/// Rows that are written in one transaction.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Batch {
-    /// Counts the owner's batches, from 1.
+    /// Number of the batch, counted from 1 by each owner.
     pub number: u64,
-    /// The rows.
+    /// The rows to write or remove.
     pub rows: Vec<RowWrite>,
 }
 
-/// What a batch under way will have made durable.
+/// What becomes durable when a batch is committed.
 #[derive(Debug, Default)]
-pub(crate) struct BatchNote {
+pub(crate) struct BatchContents {
     accepted: Vec<JobId>,
-    /// Jobs with rows of their progress, and how many were cut of each with this one.
+    /// Jobs with a progress row in the batch, and the number of that row.
     progressed: Vec<(JobId, u64)>,
     ended: Vec<(JobId, JobState, Millis)>,
-    /// Jobs whose rows are removed.
+    /// Jobs whose rows the batch removes.
     expired: Vec<JobId>,
-    /// Ends at workers that the rows contain, with the job of each.
-    ends: Vec<(JobId, EndAt)>,
+    /// Ends of tasks whose effects the batch stores, with their jobs.
+    ends: Vec<(JobId, EndRef)>,
     workers: Option<Vec<WorkerAddress>>,
 }
 
-impl BatchNote {
-    /// Returns the jobs that have rows in the batch, some of them twice.
+impl BatchContents {
+    /// Returns the jobs with rows in the batch; some occur twice.
     fn jobs(&self) -> impl Iterator<Item = JobId> {
         let ended = self.ended.iter().map(|&(id, ..)| id);
         let progressed = self.progressed.iter().map(|&(id, _)| id);
@@ -80,16 +84,16 @@
     }
 }
 
-/// Batches that are cut and not made yet.
+/// Batches that are neither committed nor refused yet.
 #[derive(Debug, Default)]
 pub(crate) struct InFlight {
-    notes: BTreeMap<u64, BatchNote>,
-    /// Jobs with rows in one of them.
+    batches: BTreeMap<u64, BatchContents>,
+    /// Jobs with rows in one of the batches.
     jobs: FxHashSet<JobId>,
-    /// Ended jobs whose rows were to be removed by a batch that was refused.
-    unremoved: Vec<JobId>,
-    /// Jobs that have something to write once that one is made, and whether somebody waits.
-    waiting: FxHashMap<JobId, bool>,
+    /// Ended jobs whose removal was in a refused batch.
+    pending_removals: Vec<JobId>,
+    /// Jobs to queue for writing again once their batch is done; true for urgent ones.
+    deferred: FxHashMap<JobId, bool>,
 }
 
 /// Key of the row of workers.
@@ -104,135 +108,141 @@
 }
 
 impl Engine {
-    /// Tells whether somebody waits for the next batch: a caller for an acceptance or the
-    /// end of a job.
+    /// Returns true if a caller waits for the next batch, which contains the acceptance or the end
+    /// of a job.
     pub fn batch_is_urgent(&self) -> bool {
-        self.jobs.dirty.wanted_len() > 0
+        self.jobs.write_queue.urgent_len() > 0
     }
 
-    /// Returns the next batch; none when there is nothing to write.
-    pub fn cut_batch(&mut self, now: Millis) -> Option<Batch> {
-        let mut note = BatchNote::default();
+    /// Builds the next batch; returns `None` if there is nothing to write.
+    pub fn next_batch(&mut self, now: Millis) -> Option<Batch> {
+        let mut contents = BatchContents::default();
         let mut rows = Vec::new();
-        self.write_workers(&mut rows, &mut note);
-        self.write_jobs(now, &mut rows, &mut note);
-        self.remove_expired(now, &mut rows, &mut note);
+        self.write_workers(&mut rows, &mut contents);
+        self.write_jobs(now, &mut rows, &mut contents);
+        self.remove_expired(now, &mut rows, &mut contents);
         if rows.is_empty() {
             return None;
         }
         self.batch_no += 1;
-        self.in_flight.jobs.extend(note.jobs());
-        self.in_flight.notes.insert(self.batch_no, note);
+        self.in_flight.jobs.extend(contents.jobs());
+        self.in_flight.batches.insert(self.batch_no, contents);
         Some(Batch { number: self.batch_no, rows })
     }
 
-    /// Removes the rows of jobs that ended long ago.
-    fn remove_expired(&mut self, now: Millis, rows: &mut Vec<RowWrite>, note: &mut BatchNote) {
-        let old = now - self.bounds.keep_ended;
-        let mut expired = std::mem::take(&mut self.in_flight.unremoved);
-        // A job that came anew under the same id has a row of its own.
+    /// Adds the removal of jobs whose retention has ended.
+    fn remove_expired(
+        &mut self,
+        now: Millis,
+        rows: &mut Vec<RowWrite>,
+        contents: &mut BatchContents,
+    ) {
+        let ended_before = now - self.bounds.keep_ended;
+        let mut expired = std::mem::take(&mut self.in_flight.pending_removals);
+        // A job that was submitted again under the same id has a new row.
         expired.retain(|&id| self.jobs.get(id).is_none() && self.jobs.ended(id).is_none());
-        // What several refused batches were to remove may be more than one takes.
-        self.in_flight.unremoved = expired.split_off(expired.len().min(MOST_EXPIRED));
-        expired.extend(self.jobs.expire(old, MOST_EXPIRED - expired.len()));
+        // Several refused batches together may remove more than one batch takes.
+        self.in_flight.pending_removals =
+            expired.split_off(expired.len().min(MAX_EXPIRED_JOBS_PER_BATCH));
+        expired.extend(self.jobs.expire(ended_before, MAX_EXPIRED_JOBS_PER_BATCH - expired.len()));
         for id in expired {
             rows.push(RowWrite { key: job_key(id), value: None });
-            note.expired.push(id);
+            contents.expired.push(id);
         }
     }
 
-    /// A batch is in the store.
-    pub fn committed(&mut self, number: u64, now: Millis) {
-        let Some(note) = self.take_in_flight(number) else { return };
-        for &id in &note.accepted {
+    /// Records that a batch is in the store.
+    pub fn batch_committed(&mut self, number: u64, now: Millis) {
+        let Some(contents) = self.take_in_flight(number) else { return };
+        for &id in &contents.accepted {
             if let Some(job) = self.jobs.get_mut(id) {
-                job.kept = true;
+                job.durable = true;
             }
         }
-        for &(id, row) in &note.progressed {
-            if let Some(job) = self.jobs.get_mut(id).filter(|j| j.is_tracked) {
-                job.row_made(row);
+        for &(id, row) in &contents.progressed {
+            if let Some(job) = self.jobs.get_mut(id).filter(|j| j.has_crash_record) {
+                job.row_written(row);
             }
         }
-        for &(_, end) in &note.ends {
+        for &(_, end) in &contents.ends {
             self.end_durable(end, now);
         }
-        for &(id, state, at) in &note.ended {
-            // What was told of it after its end was decided needs no row.
-            let told = self.jobs.get_mut(id).map(|j| std::mem::take(&mut j.ends));
-            told.into_iter().flatten().for_each(|end| self.end_durable(end, now));
+        for &(id, state, at) in &contents.ended {
+            // Ends reported after the job's end was decided need no row.
+            let late_ends = self.jobs.get_mut(id).map(|j| std::mem::take(&mut j.ends));
+            late_ends.into_iter().flatten().for_each(|end| self.end_durable(end, now));
             self.close_job(id, state, at);
         }
-        if let Some(list) = note.workers {
+        if let Some(list) = contents.workers {
             self.workers_recorded(list);
         }
         self.dirty = true;
     }
 
-    /// Takes a batch out of those under way; what waited for it may be written next.
-    fn take_in_flight(&mut self, number: u64) -> Option<BatchNote> {
-        let note = self.in_flight.notes.remove(&number)?;
-        for id in note.jobs() {
+    /// Removes a batch from those in flight, and queues its jobs that have changed since.
+    fn take_in_flight(&mut self, number: u64) -> Option<BatchContents> {
+        let contents = self.in_flight.batches.remove(&number)?;
+        for id in contents.jobs() {
             self.in_flight.jobs.remove(&id);
-            match self.in_flight.waiting.remove(&id) {
-                Some(true) => self.jobs.dirty.want(id),
-                Some(false) => self.jobs.dirty.add(id),
+            match self.in_flight.deferred.remove(&id) {
+                Some(true) => self.jobs.write_queue.add_urgent(id),
+                Some(false) => self.jobs.write_queue.add_background(id),
                 None => {}
             }
         }
-        Some(note)
+        Some(contents)
     }
 
-    /// An end at a worker is in the store, or needs not be.
-    fn end_durable(&mut self, end: EndAt, now: Millis) {
+    /// Records that an end is in the store or needs no row.
+    fn end_durable(&mut self, end: EndRef, now: Millis) {
         let Some(w) = self.workers.get_mut(end.worker) else { return };
         w.unwritten_ends.remove(&end.number);
         if w.unwritten_ends.is_empty() {
-            w.look_at = now;
+            w.next_look_at = now;
         }
     }
 
-    /// A batch was refused and will never be made: its changes are to be written again.
+    /// Records that a batch was refused and will never be committed. Its changes are written again.
     pub fn batch_refused(&mut self, number: u64) {
-        let Some(note) = self.take_in_flight(number) else { return };
-        for &(id, end) in &note.ends {
+        let Some(contents) = self.take_in_flight(number) else { return };
+        for &(id, end) in &contents.ends {
             if let Some(job) = self.jobs.get_mut(id) {
                 job.ends.push(end);
             }
         }
-        let progressed = note.progressed.iter().map(|&(id, _)| id);
-        for id in note.accepted.iter().copied().chain(progressed) {
-            let accepted = note.accepted.contains(&id);
+        let progressed = contents.progressed.iter().map(|&(id, _)| id);
+        for id in contents.accepted.iter().copied().chain(progressed) {
+            let accepted = contents.accepted.contains(&id);
             let Some(job) = self.jobs.get_mut(id) else { continue };
-            job.unwritten |= accepted;
-            job.progressed |= !accepted || job.has_progress;
+            job.acceptance_unwritten |= accepted;
+            job.progress_unwritten |= !accepted || job.has_progress_row;
             if accepted {
-                self.jobs.dirty.want(id);
+                self.jobs.write_queue.add_urgent(id);
             } else {
-                self.jobs.dirty.add(id);
+                self.jobs.write_queue.add_background(id);
             }
         }
-        self.in_flight.unremoved.extend(note.expired);
-        for (id, ..) in note.ended {
-            self.jobs.dirty.want(id);
+        self.in_flight.pending_removals.extend(contents.expired);
+        for (id, ..) in contents.ended {
+            self.jobs.write_queue.add_urgent(id);
         }
     }
 
-    /// Writes the row of workers when it lacks one that may get work.
-    fn write_workers(&mut self, rows: &mut Vec<RowWrite>, note: &mut BatchNote) {
-        // Two lists under way could be made in the wrong order.
-        let under_way = self.in_flight.notes.values().any(|n| n.workers.is_some());
-        let lacking = self.workers.iter().any(|(_, w)| !w.recorded && w.listed);
-        if under_way || !lacking {
+    /// Adds the row of workers if it lacks a listed one.
+    fn write_workers(&mut self, rows: &mut Vec<RowWrite>, contents: &mut BatchContents) {
+        // Two versions of the row in flight could be committed in the wrong order.
+        let is_in_flight = self.in_flight.batches.values().any(|n| n.workers.is_some());
+        let is_incomplete = self.workers.iter().any(|(_, w)| !w.recorded && w.listed);
+        if is_in_flight || !is_incomplete {
             return;
         }
         let address =
             |w: &Worker| WorkerAddress { life: w.life.clone(), address: w.address.clone() };
-        let lives = self.workers.iter().map(|(_, w)| address(w));
+        let incarnations = self.workers.iter().map(|(_, w)| address(w));
         let crashed = self.crashed_lives.iter().map(|l| l.address.clone());
-        let list: Vec<_> = lives.chain(crashed).collect();
+        let list: Vec<_> = incarnations.chain(crashed).collect();
         rows.push(RowWrite { key: WORKERS_KEY.to_owned(), value: Some(encode_workers(&list)) });
-        note.workers = Some(list);
+        contents.workers = Some(list);
     }
 
     fn workers_recorded(&mut self, list: Vec<WorkerAddress>) {
@@ -245,16 +255,18 @@
         self.recorded = list;
     }
 
-    fn write_jobs(&mut self, now: Millis, rows: &mut Vec<RowWrite>, note: &mut BatchNote) {
+    fn write_jobs(&mut self, now: Millis, rows: &mut Vec<RowWrite>, contents: &mut BatchContents) {
         let mut bytes = 0;
-        while rows.len() + ROWS_OF_JOB <= MOST_ROWS && bytes <= MOST_BYTES {
-            let Some((id, wanted)) = self.jobs.dirty.pop() else { return };
+        while rows.len() + MAX_ROWS_PER_JOB <= MAX_JOB_ROWS_PER_BATCH
+            && bytes <= MAX_VALUE_BYTES_PER_BATCH
+        {
+            let Some((id, urgent)) = self.jobs.write_queue.pop() else { return };
             if self.in_flight.jobs.contains(&id) {
-                *self.in_flight.waiting.entry(id).or_default() |= wanted;
+                *self.in_flight.deferred.entry(id).or_default() |= urgent;
                 continue;
             }
             let start = rows.len();
-            self.write_job(id, now, rows, note);
+            self.write_job(id, now, rows, contents);
             bytes += rows[start..].iter().map(RowWrite::bytes).sum::<usize>();
         }
     }
@@ -264,28 +276,28 @@
         id: JobId,
         now: Millis,
         rows: &mut Vec<RowWrite>,
-        note: &mut BatchNote,
+        contents: &mut BatchContents,
     ) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let account = self.accounts.name(job.account);
-        note.ends.extend(job.ends.drain(..).map(|end| (id, end)));
+        contents.ends.extend(job.ends.drain(..).map(|end| (id, end)));
         if let Some(state) = job.end {
             rows.push(put(job_key(id), JobRow::ended(state, now.0, account).encode_to_vec()));
-            if job.has_progress {
+            if job.has_progress_row {
                 rows.push(RowWrite { key: progress_key(id), value: None });
             }
-            note.ended.push((id, state, now));
+            contents.ended.push((id, state, now));
             return;
         }
-        if std::mem::take(&mut job.unwritten) {
+        if std::mem::take(&mut job.acceptance_unwritten) {
             rows.push(put(job_key(id), JobRow::open(job, account).encode_to_vec()));
-            note.accepted.push(id);
+            contents.accepted.push(id);
         }
-        if std::mem::take(&mut job.progressed) {
-            job.has_progress = true;
-            job.rows_cut += 1;
+        if std::mem::take(&mut job.progress_unwritten) {
+            job.has_progress_row = true;
+            job.progress_rows_built += 1;
             rows.push(put(progress_key(id), ProgressRow::of(job).encode_to_vec()));
-            note.progressed.push((id, job.rows_cut));
+            contents.progressed.push((id, job.progress_rows_built));
         }
     }
 }
--- a/crates/hollowford-jobs/src/jobs.rs
+++ b/crates/hollowford-jobs/src/jobs.rs
@@ -1,34 +1,34 @@
-//! All jobs of the partition.
+//! The jobs of a partition.
 
 use crate::accounts::AccountIdx;
-use crate::dirty::Dirty;
+use crate::crash_record::CrashRecord;
 use crate::job::{Job, JobState, Step, Task};
 use crate::spec::{JobId, StepKey, StepSpec, TaskKey};
-use crate::suspicion::Suspicion;
+use crate::write_queue::WriteQueue;
 use hollowford_core::Millis;
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::{BTreeSet, VecDeque};
 
-/// How a job ended, and when.
+/// The final state of a job.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Ended {
+pub(crate) struct EndedJob {
     pub state: JobState,
     pub at: Millis,
     pub account: AccountIdx,
 }
 
-/// Open jobs, and how the others ended.
+/// Open jobs, and the final states of ended ones.
 #[derive(Debug, Default)]
 pub(crate) struct Jobs {
     open: FxHashMap<JobId, Job>,
-    ended: FxHashMap<JobId, Ended>,
-    /// Ended jobs, the first that ended first.
+    ended: FxHashMap<JobId, EndedJob>,
+    /// Ended jobs in the order in which they ended.
     by_end: VecDeque<JobId>,
-    /// Jobs with something to write.
-    pub dirty: Dirty,
-    /// Steps that may have tasks to start. A step is taken out once a pass finds none.
+    /// Jobs with rows to write.
+    pub write_queue: WriteQueue,
+    /// Steps that may have tasks to start. A step is removed once a pass finds none.
     waiting: FxHashSet<StepKey>,
-    /// Open jobs with rounds that fall due.
+    /// Open jobs with a schedule.
     scheduled: BTreeSet<JobId>,
 }
 
@@ -47,23 +47,23 @@
             self.scheduled.insert(id);
         }
         self.open.insert(id, job);
-        self.rounds_wait(id);
+        self.mark_all_steps_waiting(id);
     }
 
-    /// Removes an open job as if it had never been.
+    /// Removes an open job without recording an end.
     pub fn remove(&mut self, id: JobId) {
         self.open.remove(&id);
-        self.dirty.remove(id);
+        self.write_queue.remove(id);
         self.scheduled.remove(&id);
     }
 
-    /// Takes note that tasks of a step may have to be started.
-    pub fn step_waits(&mut self, key: StepKey) {
+    /// Marks a step as possibly having tasks to start.
+    pub fn mark_step_waiting(&mut self, key: StepKey) {
         self.waiting.insert(key);
     }
 
-    /// Takes note that tasks of any step of a job may have to be started.
-    pub fn rounds_wait(&mut self, id: JobId) {
+    /// Marks all steps of a job as possibly having tasks to start.
+    pub fn mark_all_steps_waiting(&mut self, id: JobId) {
         let Some(job) = self.open.get(&id) else { return };
         for round in &job.rounds {
             let key = |step| StepKey { job: id, round: round.number, step };
@@ -76,13 +76,13 @@
         self.waiting.iter()
     }
 
-    /// Takes the steps that may have tasks to start; `keep_waiting` gives back those that do.
+    /// Takes the steps that may have tasks to start; `restore_waiting` returns those that do.
     pub fn take_waiting(&mut self) -> FxHashSet<StepKey> {
         std::mem::take(&mut self.waiting)
     }
 
-    /// Gives back the steps that do have tasks to start.
-    pub fn keep_waiting(&mut self, steps: FxHashSet<StepKey>) {
+    /// Returns to the waiting steps those that still have tasks to start.
+    pub fn restore_waiting(&mut self, steps: FxHashSet<StepKey>) {
         if self.waiting.is_empty() {
             self.waiting = steps;
         } else {
@@ -107,12 +107,12 @@
         self.open.keys().copied().collect()
     }
 
-    pub fn ended(&self, id: JobId) -> Option<Ended> {
+    pub fn ended(&self, id: JobId) -> Option<EndedJob> {
         self.ended.get(&id).copied()
     }
 
-    /// Replaces an open job by how it ended.
-    pub fn close(&mut self, id: JobId, ended: Ended) {
+    /// Replaces an open job by its final state.
+    pub fn close(&mut self, id: JobId, ended: EndedJob) {
         self.open.remove(&id);
         self.scheduled.remove(&id);
         if self.ended.insert(id, ended).is_none() {
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Forgets jobs that ended before `before`, at most `most`, and returns them.
+    /// Removes at most `most` jobs that ended before `before`, and returns them.
     pub fn expire(&mut self, before: Millis, most: usize) -> Vec<JobId> {
         let mut out = Vec::new();
         while out.len() < most {
@@ -135,7 +135,7 @@
         out
     }
 
-    /// Returns what an open job says of one of its steps.
+    /// Returns the specification of a step of an open job.
     pub fn step_spec(&self, key: StepKey) -> Option<&StepSpec> {
         self.open.get(&key.job)?.spec.steps.get(key.step as usize)
     }
@@ -156,26 +156,30 @@
         self.step_mut(key.step)?.tasks.get_mut(key.index as usize)
     }
 
-    /// Returns the record of crashes of a task, made when there is none, for a change. The row that the
-    /// record may wait for is always to come: a task waiting for one that isn't would wait for ever.
-    pub fn change_suspicion(&mut self, key: TaskKey, first: bool) -> Option<&mut Suspicion> {
-        self.progressed(key.step.job);
-        self.get_mut(key.step.job)?.change_suspicion(key, first)
+    /// Returns the crash record of a task for a change, and creates it if there is none. Marks the
+    /// job's progress as unwritten, so that the row for which the task may wait is always written.
+    pub fn crash_record_mut(
+        &mut self,
+        key: TaskKey,
+        store_first: bool,
+    ) -> Option<&mut CrashRecord> {
+        self.mark_progress_unwritten(key.step.job);
+        self.get_mut(key.step.job)?.crash_record_mut(key, store_first)
     }
 
-    /// Takes note that a worker has begun a task of a job. An order to start one is not enough: its worker may be
-    /// down, and callers are told how many jobs wait.
-    pub fn has_begun(&mut self, id: JobId) {
+    /// Records that a worker has started a task of a job. An order to start one doesn't count,
+    /// because the worker may be down and callers query how many jobs are waiting.
+    pub fn mark_begun(&mut self, id: JobId) {
         if let Some(job) = self.open.get_mut(&id) {
             job.begun = true;
         }
     }
 
-    /// Marks a job's progress as to be written.
-    pub fn progressed(&mut self, id: JobId) {
+    /// Marks a job's progress for writing.
+    pub fn mark_progress_unwritten(&mut self, id: JobId) {
         if let Some(job) = self.open.get_mut(&id) {
-            job.progressed = true;
-            self.dirty.add(id);
+            job.progress_unwritten = true;
+            self.write_queue.add_background(id);
         }
     }
 }
--- a/crates/hollowford-jobs/tests/answers.rs
+++ b/crates/hollowford-jobs/tests/answers.rs
@@ -135,7 +135,7 @@
     let late = look_at(&mut cell, at);
     let sent = cell.now;
     cell.run(400);
-    assert!(!cell.engine.looked_late(&id, late, sent, cell.now));
+    assert!(!cell.engine.look_answered_late(&id, late, sent, cell.now));
     cell.run(6_000);
     assert_eq!(cell.state(1), Some(JobState::Completed));
     assert_eq!(cell.workers.iter().map(|w| w.starts).sum::<u64>(), 1);
@@ -150,7 +150,7 @@
     let sent = cell.now;
     cell.run(600);
     assert_eq!(cell.state(1), Some(JobState::Completed));
-    cell.engine.looked_late(&"w0".into(), old, sent, cell.now);
+    cell.engine.look_answered_late(&"w0".into(), old, sent, cell.now);
     cell.run(100);
     assert_eq!(cell.engine.stats().foreign, 0);
 }
--- a/crates/hollowford-jobs/tests/common/mod.rs
+++ b/crates/hollowford-jobs/tests/common/mod.rs
@@ -59,7 +59,7 @@
     pub at: Millis,
     pub seat: Seat,
     pub step: StepKey,
-    pub rows: Advised,
+    pub rows: WorkerTickets,
 }
 
 /// An engine with simulated workers, store and advice service.
@@ -138,7 +138,7 @@
     pub fn update_worker_list(&mut self) {
         let list: Vec<_> =
             self.workers.iter().filter(|w| w.listed).map(SimWorker::listing).collect();
-        self.engine.list_workers(&list, self.now);
+        self.engine.set_worker_list(&list, self.now);
     }
 
     pub fn set_queues(&mut self, queues: Vec<Queue>) {
@@ -210,7 +210,7 @@
     /// Builds a batch if none is in flight, and writes all batches if the store is up.
     pub fn write_batches(&mut self) {
         if self.pending_batches.is_empty() {
-            self.pending_batches.extend(self.engine.cut_batch(self.now));
+            self.pending_batches.extend(self.engine.next_batch(self.now));
         }
         if self.store_up {
             self.write_pending();
@@ -219,7 +219,7 @@
 
     /// Adds one more batch to those in flight. Returns false if there was nothing to write.
     pub fn add_pending_batch(&mut self) -> bool {
-        let batch = self.engine.cut_batch(self.now);
+        let batch = self.engine.next_batch(self.now);
         let cut = batch.is_some();
         self.pending_batches.extend(batch);
         cut
@@ -235,7 +235,7 @@
     /// Writes the batch in flight at this position.
     pub fn write_batch(&mut self, at: usize) {
         let number = self.write_batch_unconfirmed(at);
-        self.engine.committed(number, self.now);
+        self.engine.batch_committed(number, self.now);
     }
 
     /// Writes the batch in flight at this position, but loses the store's answer. Returns the
@@ -342,7 +342,7 @@
                     false => LookAnswer::Unanswered,
                 };
                 let answer = self.worker(worker.id()).map_or(LookAnswer::OtherLife, look);
-                self.engine.looked(&worker, answer, now, now);
+                self.engine.look_answered(&worker, answer, now, now);
             }
         }
     }
--- a/crates/hollowford-jobs/tests/crashes.rs
+++ b/crates/hollowford-jobs/tests/crashes.rs
@@ -30,8 +30,8 @@
 }
 
 /// Returns whether a counted crash came soon after the start of the task; none for other events.
-fn crash_freshness(note: &Note) -> Option<bool> {
-    if let Note::CrashedUnder { fresh, .. } = note { Some(*fresh) } else { None }
+fn crash_freshness(note: &Event) -> Option<bool> {
+    if let Event::WorkerCrashed { fresh, .. } = note { Some(*fresh) } else { None }
 }
 
 /// Advances the clock until the next crash, or until the job has failed.
@@ -139,7 +139,7 @@
     );
     cell.run(2_000);
     let other =
-        |n: &Note| matches!(n, Note::CrashedUnder { task, .. } if task.step.job == JobId(2));
+        |n: &Event| matches!(n, Event::WorkerCrashed { task, .. } if task.step.job == JobId(2));
     assert!(!cell.engine.take_notes().iter().any(other));
 }
 
@@ -200,7 +200,7 @@
     assert!(cell.workers[at].running.is_empty(), "the task should run on the other worker");
     cell.crashes.crash(&mut cell.workers[at]);
     cell.run(5_000);
-    let under = |n: &Note| matches!(n, Note::CrashedUnder { .. });
+    let under = |n: &Event| matches!(n, Event::WorkerCrashed { .. });
     assert_eq!(cell.engine.take_notes().iter().filter(|n| under(n)).count(), 0);
     assert_eq!(cell.engine.stats().crashes, 1);
 }
--- a/crates/hollowford-jobs/tests/restarts.rs
+++ b/crates/hollowford-jobs/tests/restarts.rs
@@ -221,7 +221,7 @@
     assert!(is_used(&mut cell, 2));
     let look = Look { incarnation: earlier.incarnation(), clock: 999_999, ..Look::default() };
     let (sent, now) = (cell.now - Millis(700), cell.now);
-    cell.engine.looked_late(&earlier, LookAnswer::Lists(look), Millis(sent.0), now);
+    cell.engine.look_answered_late(&earlier, LookAnswer::Lists(look), Millis(sent.0), now);
     cell.run(5_000);
     assert_eq!(cell.running_tasks(), 1);
     assert_eq!(cell.engine.stats().crashes, 1);
@@ -234,7 +234,7 @@
     let (mut cell, earlier) = cell_with_restarted_worker();
     assert!(is_used(&mut cell, 2));
     let stale = WorkerListing { life: earlier, ..cell.workers[0].listing() };
-    cell.engine.list_workers(&[stale], cell.now);
+    cell.engine.set_worker_list(&[stale], cell.now);
     cell.run(2_000);
     assert_eq!(cell.running_tasks(), 1);
     cell.update_worker_list();
@@ -277,7 +277,7 @@
     cell.take_over_without_worker_list();
     cell.engine.set_seats(&[Seat { address: "".into() }]);
     let old = WorkerListing { life: unnamed(&listing.life), ..listing };
-    cell.engine.list_workers(&[old], cell.now);
+    cell.engine.set_worker_list(&[old], cell.now);
     cell.run(500);
     cell.update_worker_list();
     cell.run(5_000);
@@ -387,8 +387,8 @@
     assert!(is_used(&mut cell, 2));
     start_answered_by_next_incarnation(&mut cell, 3, 1_000);
     cell.run(500);
-    let fresh = |n: &Note| match n {
-        Note::CrashedUnder { task, fresh, .. } => (task.step.job == JobId(2)).then_some(*fresh),
+    let fresh = |n: &Event| match n {
+        Event::WorkerCrashed { task, fresh, .. } => (task.step.job == JobId(2)).then_some(*fresh),
         _ => None,
     };
     let notes = cell.engine.take_notes();
@@ -400,7 +400,7 @@
 fn a_late_first_answer_does_not_end_a_later_incarnation() {
     let mut cell = TestCell::new(0);
     let mut w = worker::SimWorker::new(0, cell.now);
-    cell.engine.list_workers(&[w.listing()], cell.now);
+    cell.engine.set_worker_list(&[w.listing()], cell.now);
     let sent = cell.now;
     cell.poll();
     let LookAnswer::Lists(look) = w.look(None, 0, 1) else { panic!("the worker should answer") };
@@ -410,7 +410,7 @@
     w.restart_with_same_id();
     cell.workers.push(w);
     cell.update_worker_list();
-    cell.engine.looked_late(&earlier, LookAnswer::Lists(look), sent, cell.now);
+    cell.engine.look_answered_late(&earlier, LookAnswer::Lists(look), sent, cell.now);
     cell.run(1_000);
     assert!(is_used(&mut cell, 2));
 }
@@ -418,7 +418,7 @@
 /// Returns true if a crash was counted against a task of the job.
 fn is_blamed(cell: &mut TestCell, id: u64) -> bool {
     let blamed =
-        |n: &Note| matches!(n, Note::CrashedUnder { task, .. } if task.step.job == JobId(id));
+        |n: &Event| matches!(n, Event::WorkerCrashed { task, .. } if task.step.job == JobId(id));
     cell.engine.take_notes().iter().any(blamed)
 }
 
@@ -447,7 +447,7 @@
 fn a_crash_is_not_counted_again_for_a_list_that_still_names_the_earlier_incarnation() {
     let (mut cell, earlier) = cell_with_restarted_worker();
     let stale = WorkerListing { life: earlier, ..cell.workers[0].listing() };
-    cell.engine.list_workers(&[stale], cell.now);
+    cell.engine.set_worker_list(&[stale], cell.now);
     cell.run(1_000);
     assert_eq!(cell.engine.stats().crashes, 1);
     assert_eq!(cell.engine.view(cell.now).workers, 1);
@@ -495,12 +495,12 @@
     cell.take_over_without_worker_list();
     let answer = cell.workers[0].look(None, 0, 2);
     assert_eq!(cell.poll().len(), 1);
-    cell.engine.looked(&row.life, LookAnswer::Unanswered, cell.now, cell.now);
+    cell.engine.look_answered(&row.life, LookAnswer::Unanswered, cell.now, cell.now);
     let sent = cell.now;
     cell.now = cell.now + Millis(100);
     assert_eq!(cell.poll().len(), 1);
-    cell.engine.looked_late(&row.life, answer.clone(), sent, cell.now);
-    cell.engine.looked(&row.life, answer, cell.now, cell.now);
+    cell.engine.look_answered_late(&row.life, answer.clone(), sent, cell.now);
+    cell.engine.look_answered(&row.life, answer, cell.now, cell.now);
     cell.update_worker_list();
     cell.engine.set_seats(&[Seat { address: "".into() }]);
     cell.run(1_000);
--- a/crates/hollowford-node/src/batches.rs
+++ b/crates/hollowford-node/src/batches.rs
@@ -103,7 +103,7 @@
             return;
         }
         let Some(lane) = self.free_lane(now) else { return };
-        let Some(batch) = engine.cut_batch(now) else { return };
+        let Some(batch) = engine.next_batch(now) else { return };
         self.last_started_at = now;
         self.uncommitted_since.get_or_insert(now);
         self.lanes[lane].in_flight =
--- a/crates/hollowford-node/src/calls.rs
+++ b/crates/hollowford-node/src/calls.rs
@@ -5,7 +5,7 @@
 use crate::wire::Advice;
 use hollowford_adapter::{Called, WorkerClient};
 use hollowford_core::Millis;
-use hollowford_jobs::{Advised, LookAnswer, Seat, StartAnswer, StepKey, WorkerCall};
+use hollowford_jobs::{LookAnswer, Seat, StartAnswer, StepKey, WorkerCall, WorkerTickets};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::timeout;
@@ -128,7 +128,7 @@
     shared: &Shared,
     step: &str,
     workers: &[String],
-) -> Option<(Advised, Millis)> {
+) -> Option<(WorkerTickets, Millis)> {
     let client = shared.advice.as_ref()?;
     let answer = client.ask(step, workers, ADVICE_TIMEOUT).await;
     let outcome = if answer.is_ok() { "answered" } else { "failed" };
@@ -150,7 +150,7 @@
 
 /// Decodes a member's answer to a call for advice. Returns `None` if the service did not answer the
 /// member.
-pub fn decode_advice(msg: Advice) -> Option<(Advised, Millis)> {
+pub fn decode_advice(msg: Advice) -> Option<(WorkerTickets, Millis)> {
     let rows = msg.workers.iter().zip(&msg.tickets);
     let rows = rows.map(|(id, t)| (id.as_str().into(), t.as_str().into())).collect();
     msg.answered.then_some((rows, Millis(msg.validity_ms)))
--- a/crates/hollowford-node/src/inbox.rs
+++ b/crates/hollowford-node/src/inbox.rs
@@ -9,7 +9,7 @@
 use crate::writer::BatchOutcome;
 use hollowford_adapter::Called;
 use hollowford_core::Millis;
-use hollowford_jobs::{Advised, Seat, StepKey, WorkerCall, WorkerListing};
+use hollowford_jobs::{Seat, StepKey, WorkerCall, WorkerListing, WorkerTickets};
 use tokio::sync::{mpsc, oneshot};
 
 /// Maximum number of messages waiting for the owner; further calls are rejected.
@@ -40,7 +40,7 @@
         step: StepKey,
         /// The workers that may run the step and how long the tickets are valid, or `None` if the
         /// call failed.
-        answer: Option<(Advised, Millis)>,
+        answer: Option<(WorkerTickets, Millis)>,
     },
     /// The outcome of a batch.
     BatchFinished {
--- a/crates/hollowford-node/src/owner.rs
+++ b/crates/hollowford-node/src/owner.rs
@@ -183,7 +183,7 @@
             }
             OwnerMsg::WorkerList(list) => {
                 self.delegation.set_workers(&list);
-                self.engine.list_workers(&list, now);
+                self.engine.set_worker_list(&list, now);
             }
             OwnerMsg::WorkerChanges(changes) => self.members.send_worker_changes(&changes),
             OwnerMsg::Joined(link, hello, outbox) => {
@@ -240,7 +240,7 @@
         self.batches.record_outcome(batch, &outcome, now);
         match outcome {
             BatchOutcome::Made { .. } => {
-                self.engine.committed(batch, now);
+                self.engine.batch_committed(batch, now);
                 self.waiters.answer_committed(&self.engine);
             }
             BatchOutcome::Deposed(by) => {
