--- a/crates/hollowford-jobs/benches/ledger.rs
+++ b/crates/hollowford-jobs/benches/ledger.rs
@@ -5,7 +5,9 @@
 //! after the other; half of its answer time is the turn of a transaction, half the way there.
 
 use hollowford_core::{Millis, Resources};
-use hollowford_jobs::{Batch, Bounds, Engine, JobId, JobSpec, NO_ACCOUNT, Queue, RawJob, RawStep};
+use hollowford_jobs::{
+    Batch, Engine, JobId, JobSpec, NO_ACCOUNT, Queue, RawJob, RawStep, TimeLimits,
+};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Instant;
@@ -24,13 +26,13 @@
 /// Open jobs of the recoveries that are timed.
 const OPEN_JOBS: [u64; 3] = [100, 1_000, 10_000];
 
-const BOUNDS: Bounds = Bounds {
+const BOUNDS: TimeLimits = TimeLimits {
     lease: Millis(3_000),
-    earlier_lease: Millis(5_100),
-    longest_lease: Millis(6_000),
+    previous_lease: Millis(5_100),
+    max_lease: Millis(6_000),
     stop_timeout: Millis(400),
     gang_timeout: Millis(3_000),
-    keep_ended: Millis(150_000),
+    ended_job_retention: Millis(150_000),
 };
 
 fn main() {
@@ -128,7 +130,7 @@
 fn spec() -> Arc<JobSpec> {
     let step = RawStep {
         count: 6,
-        need: Resources::new(3_000, 8_700, 0),
+        resources: Resources::new(3_000, 8_700, 0),
         estimate_ms: 560,
         ..RawStep::default()
     };
--- a/crates/hollowford-jobs/benches/passes.rs
+++ b/crates/hollowford-jobs/benches/passes.rs
@@ -9,7 +9,7 @@
 
 use common::{Cell, LARGE, QUICK, job, queue, step};
 use hollowford_core::Millis;
-use hollowford_jobs::{AdviceCost, Seat, StepSpec};
+use hollowford_jobs::{AdviceChannel, AdviceCost, StepSpec};
 use std::time::{Duration, Instant};
 
 /// Workers of one cell: those of the large deployment, in one partition.
@@ -55,11 +55,12 @@
 /// A cell whose workers are full for a second or so to come.
 fn full_cell() -> Cell {
     let mut cell = Cell::new(WORKERS);
-    let quick = AdviceCost { decide_ms: 7.2, per_worker_ms: 0.1, validity: Millis(2_000) };
-    let large = AdviceCost { decide_ms: 540.0, per_worker_ms: 7.8, validity: Millis(2_000) };
+    let quick = AdviceCost { base_ms: 7.2, per_worker_ms: 0.1, ticket_validity: Millis(2_000) };
+    let large = AdviceCost { base_ms: 540.0, per_worker_ms: 7.8, ticket_validity: Millis(2_000) };
     cell.set_queues(vec![queue(QUICK, 0, Some(quick)), queue(LARGE, 1, Some(large))]);
-    let seats: Vec<_> = (0..SEATS).map(|i| Seat { address: format!("s{i}").into() }).collect();
-    cell.engine.set_seats(&seats);
+    let seats: Vec<_> =
+        (0..SEATS).map(|i| AdviceChannel { address: format!("s{i}").into() }).collect();
+    cell.engine.set_advice_channels(&seats);
     for i in 0..WORKERS * 2 {
         hand_in(&mut cell, i as u64, 0);
     }
--- a/crates/hollowford-jobs/src/accounts.rs
+++ b/crates/hollowford-jobs/src/accounts.rs
@@ -28,7 +28,7 @@
     pub policy: AccountPolicy,
     /// Jobs of it a second that are owed an answer in time; what comes beyond them goes behind what
     /// is owed. 0: all are.
-    pub owed_per_s: u32,
+    pub guaranteed_jobs_per_s: u32,
 }
 
 /// What the engine knows of one account.
@@ -77,7 +77,7 @@
             let idx = self.intern(&a.name);
             let state = &mut self.list[idx as usize];
             state.policy = a.policy;
-            state.allowance.set(f64::from(a.owed_per_s));
+            state.allowance.set(f64::from(a.guaranteed_jobs_per_s));
         }
     }
 
@@ -146,15 +146,15 @@
     }
 
     /// Returns what each account with a quota holds of it.
-    pub fn uses(&self) -> impl Iterator<Item = AccountUse> {
+    pub fn uses(&self) -> impl Iterator<Item = AccountUsage> {
         let limited = self.list.iter().filter(|a| !a.policy.is_unlimited());
-        limited.map(|a| AccountUse { name: a.name.clone(), used: a.used, quota: a.policy.quota })
+        limited.map(|a| AccountUsage { name: a.name.clone(), used: a.used, quota: a.policy.quota })
     }
 }
 
 /// What an account holds of its quota.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AccountUse {
+pub struct AccountUsage {
     /// Its name.
     pub name: Arc<str>,
     /// What its tasks hold.
@@ -163,7 +163,7 @@
     pub quota: Totals,
 }
 
-impl AccountUse {
+impl AccountUsage {
     /// Tells whether the account holds so much of its quota, in percent, of some resource.
     pub fn is_over(&self, percent: u64) -> bool {
         let over = |used: u64, quota: u64| quota > 0 && used * 100 >= quota * percent;
@@ -189,7 +189,7 @@
     }
 
     /// Returns what each account with a quota holds of it.
-    pub fn account_uses(&mut self) -> Vec<AccountUse> {
+    pub fn account_usage(&mut self) -> Vec<AccountUsage> {
         self.count_use();
         self.accounts.uses().collect()
     }
@@ -238,7 +238,7 @@
     for round in &job.rounds {
         for (step, spec) in round.steps.iter().zip(&job.spec.steps) {
             let tasks = step.tasks.iter().filter(|t| t.unsettled && t.at.is_none()).count();
-            sum.plus(&Totals::of(&spec.room(), tasks as u32));
+            sum.plus(&Totals::of(&spec.allocation(), tasks as u32));
         }
     }
     sum
--- a/crates/hollowford-jobs/src/asking.rs
+++ b/crates/hollowford-jobs/src/asking.rs
@@ -44,7 +44,7 @@
         tasks: usize,
         shunned: Option<WorkerIdx>,
     ) -> Option<Vec<WorkerIdx>> {
-        if !pass.may_fit(&step.spec.room()) {
+        if !pass.may_fit(&step.spec.allocation()) {
             return None;
         }
         let c = self.candidates(pass, step, shunned);
@@ -54,7 +54,7 @@
         }
         if !c.full.is_empty() && !workers.is_empty() {
             // Where few have room, others will sooner than a second call would be answered.
-            let more = step.queue.advice.map_or(0, |cost| cost.more_workers(ASK_MORE_PERCENT));
+            let more = step.queue.advice.map_or(0, |cost| cost.extra_workers(ASK_MORE_PERCENT));
             workers.extend(cheapest(c.full, more));
         }
         (!workers.is_empty()).then_some(workers)
@@ -62,7 +62,7 @@
 
     /// Returns the workers that a call for the step may name.
     fn candidates(&self, pass: &Pass, step: Placing<'_>, shunned: Option<WorkerIdx>) -> Candidates {
-        let need = step.spec.room();
+        let need = step.spec.allocation();
         let ends = pass.now + Millis(step.spec.estimate_ms);
         let mut out = Candidates::default();
         let Some(advice) = self.jobs.step(step.key).map(|s| &s.advice) else { return out };
--- a/crates/hollowford-jobs/src/batch.rs
+++ b/crates/hollowford-jobs/src/batch.rs
@@ -128,7 +128,7 @@
 
     /// Removes the rows of jobs that ended long ago.
     fn remove_expired(&mut self, now: Millis, rows: &mut Vec<RowWrite>, note: &mut BatchNote) {
-        let old = now - self.bounds.keep_ended;
+        let old = now - self.time_limits.ended_job_retention;
         let mut expired = std::mem::take(&mut self.in_flight.unremoved);
         // A job that came anew under the same id has a row of its own.
         expired.retain(|&id| self.jobs.get(id).is_none() && self.jobs.ended(id).is_none());
--- a/crates/hollowford-jobs/src/choose.rs
+++ b/crates/hollowford-jobs/src/choose.rs
@@ -86,7 +86,7 @@
     /// Returns the cost of placing one task here; the least is taken.
     pub fn cost(&self, spec: &StepSpec) -> f32 {
         let far = if self.is_far(spec) { FAR_COST } else { 0.0 };
-        self.left_after(&spec.room()) + far + self.slow_cost()
+        self.left_after(&spec.allocation()) + far + self.slow_cost()
     }
 
     /// Returns the cost of placing a task here under which workers have crashed: the least where the
--- a/crates/hollowford-jobs/src/crashes.rs
+++ b/crates/hollowford-jobs/src/crashes.rs
@@ -213,7 +213,7 @@
     /// Takes in what an earlier owner had written down of a task.
     pub(crate) fn recover_suspicion(&mut self, key: TaskKey, mut found: Suspicion, now: Millis) {
         found.open_runs.retain(|r| self.workers.find(&r.worker).is_some());
-        if self.outage_before {
+        if self.store_outage_before {
             found.open_runs.iter_mut().filter(|r| r.fresh).for_each(|r| r.untold = true);
         }
         for r in &found.open_runs {
--- a/crates/hollowford-jobs/src/ends.rs
+++ b/crates/hollowford-jobs/src/ends.rs
@@ -63,7 +63,7 @@
             // How long it has run already is not known.
             expected_end: now + Millis(step_spec.estimate_ms / 2),
             suspect,
-            ..Held::new((key, r.run), account, step_spec.room(), Phase::Running, now)
+            ..Held::new((key, r.run), account, step_spec.allocation(), Phase::Running, now)
         };
         if let Some(w) = self.workers.get_mut(idx) {
             w.hold(held);
@@ -82,7 +82,7 @@
         let Some(w) = self.workers.get_mut(idx) else { return };
         // What a job that has ended takes is not known any more, and the worker's size may not
         // be known yet: nothing fits beside it.
-        let room = step.map_or(Resources::ALL, StepSpec::room);
+        let room = step.map_or(Resources::ALL, StepSpec::allocation);
         w.hold(Held::new((r.task, r.run), account, room, Phase::Stopping, now));
         self.notes.push(Note::Foreign { task: r.task, run: r.run, worker: w.life.clone() });
         self.stats.foreign += 1;
@@ -147,8 +147,8 @@
     /// Draws from an end what it means for the task and its job.
     fn count_end(&mut self, idx: WorkerIdx, end: &End, spec: &StepSpec, now: Millis) {
         match end.kind {
-            EndKind::Done if !spec.lasting => self.task_done(end.task, spec.gang, now),
-            EndKind::Failed if !spec.lasting => self.task_failed(idx, end, spec, now),
+            EndKind::Done if !spec.service => self.task_done(end.task, spec.gang, now),
+            EndKind::Failed if !spec.service => self.task_failed(idx, end, spec, now),
             EndKind::Done | EndKind::Failed => self.lasting_ended(end.task, now),
             _ => self.stats.interrupted += 1,
         }
--- a/crates/hollowford-jobs/src/engine.rs
+++ b/crates/hollowford-jobs/src/engine.rs
@@ -30,19 +30,19 @@
 
 /// Times that hold for a deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct TimeLimits {
     /// How long each order lets a worker run what it runs.
     pub lease: Millis,
     /// How long an earlier owner may have let a worker run, counted from the takeover.
-    pub earlier_lease: Millis,
+    pub previous_lease: Millis,
     /// Workers cut a longer lease to this one.
-    pub longest_lease: Millis,
+    pub max_lease: Millis,
     /// What a worker stops takes room for so long at most.
     pub stop_timeout: Millis,
     /// A gang that is not complete for so long ends.
     pub gang_timeout: Millis,
     /// How long the state of a job that has ended is kept.
-    pub keep_ended: Millis,
+    pub ended_job_retention: Millis,
 }
 
 /// Counters since the engine was made.
@@ -86,7 +86,7 @@
 #[derive(Debug)]
 pub struct Engine {
     pub(crate) epoch: u64,
-    pub(crate) bounds: Bounds,
+    pub(crate) time_limits: TimeLimits,
     pub(crate) jobs: Jobs,
     pub(crate) workers: Workers,
     /// Lives of workers that are over; the list may go on naming them for a while.
@@ -109,7 +109,7 @@
     /// Some tasks wait for the workers above.
     pub(crate) tasks_unsettled: bool,
     /// The store was away shortly before the recovery.
-    pub(crate) outage_before: bool,
+    pub(crate) store_outage_before: bool,
     /// Batches that are under way.
     pub(crate) in_flight: InFlight,
     /// Number of the last batch.
@@ -138,15 +138,15 @@
 impl Engine {
     /// Takes note, before the recovery, that the store was away shortly before: what the earlier owner had
     /// learned by then may not be written.
-    pub fn note_outage_before(&mut self) {
-        self.outage_before = true;
+    pub fn set_store_outage_before(&mut self) {
+        self.store_outage_before = true;
     }
 
     /// Makes the engine of an owner that has just taken the partition at `epoch`.
-    pub fn new(epoch: u64, bounds: Bounds, now: Millis) -> Engine {
+    pub fn new(epoch: u64, time_limits: TimeLimits, now: Millis) -> Engine {
         Engine {
             epoch,
-            bounds,
+            time_limits: time_limits,
             jobs: Jobs::default(),
             workers: Workers::default(),
             ended_lives: HashSet::new(),
@@ -158,9 +158,9 @@
             losses: Losses::default(),
             failures: Failures::default(),
             unsettled: BTreeSet::new(),
-            settled_at: now + bounds.earlier_lease,
+            settled_at: now + time_limits.previous_lease,
             tasks_unsettled: false,
-            outage_before: false,
+            store_outage_before: false,
             in_flight: InFlight::default(),
             batch_no: 0,
             recorded: Vec::new(),
@@ -204,8 +204,8 @@
     }
 
     /// Puts other times in force, from the next order on.
-    pub fn set_bounds(&mut self, bounds: Bounds) {
-        self.bounds = bounds;
+    pub fn set_time_limits(&mut self, time_limits: TimeLimits) {
+        self.time_limits = time_limits;
     }
 
     /// Sets how far Unix time is ahead of the engine's, for jobs with a schedule.
--- a/crates/hollowford-jobs/src/evacuate.rs
+++ b/crates/hollowford-jobs/src/evacuate.rs
@@ -16,7 +16,7 @@
         let too_late = |h: &&Held| h.phase == Phase::Running && h.expected_end > gone_at;
         let late: Vec<_> = w.held.iter().filter(too_late).map(|h| h.task).collect();
         for key in late {
-            if self.jobs.step_spec(key.step).is_some_and(|s| s.checkpoints) {
+            if self.jobs.step_spec(key.step).is_some_and(|s| s.resumable) {
                 self.move_off(idx, key, now);
             }
         }
--- a/crates/hollowford-jobs/src/gang.rs
+++ b/crates/hollowford-jobs/src/gang.rs
@@ -24,7 +24,7 @@
         gang: Placing<'_>,
         out: &mut Vec<Order>,
     ) {
-        let (account, need) = (gang.account, gang.spec.room());
+        let (account, need) = (gang.account, gang.spec.allocation());
         if !self.accounts.allows(account, &need, gang.spec.count) {
             self.accounts.keep(account, &need, gang.spec.count);
             // The answers are slow: the gang gets to know its workers meanwhile.
@@ -55,7 +55,7 @@
         let plan = self.plan_gang(pass, gang, seated, &good);
         self.ask_in_turn(pass, waiting, gang, plan.as_ref(), out);
         if let Some(plan) = plan {
-            plan.keep(pass, &gang.spec.room());
+            plan.keep(pass, &gang.spec.allocation());
             pass.reservations += usize::from(plan.begin > pass.now);
         }
     }
@@ -109,8 +109,8 @@
         let mut index = 0;
         for &(at, n) in seating {
             for _ in 0..n {
-                pass.rooms[at].take(&spec.room());
-                self.accounts.take(account, &spec.room());
+                pass.rooms[at].take(&spec.allocation());
+                self.accounts.take(account, &spec.allocation());
                 let idx = pass.rooms[at].idx;
                 self.start(Placement { idx, task: key.task(index), run }, pass.now, out);
                 index += 1;
@@ -121,7 +121,7 @@
     /// Finds room for all members among these rooms.
     fn seat_gang(&self, pass: &mut Pass, gang: Placing<'_>, rooms: &[usize]) -> Option<Seating> {
         let spec = gang.spec;
-        let need = spec.room();
+        let need = spec.allocation();
         if !pass.may_fit(&need) {
             return None;
         }
@@ -135,7 +135,7 @@
             .collect();
         // Stable between passes: the rooms whose tickets are there, or on their way, first.
         rooms.sort_by_key(|&(unready, _)| unready);
-        if spec.one_rack {
+        if spec.prefer_one_rack {
             let racks = pass.racks();
             let in_rack = |rack| {
                 let of = |(_, at): &(bool, usize)| pass.rooms[*at].rack.as_ref() == Some(rack);
@@ -158,8 +158,8 @@
 
 /// Seats all members in the given rooms: those that are ready first, and of these the fullest.
 fn seat(pass: &Pass, spec: &StepSpec, rooms: Vec<(bool, usize)>) -> Option<Seating> {
-    let need = spec.room();
-    let limit = if spec.spread > 0 { spec.spread } else { u32::MAX };
+    let need = spec.allocation();
+    let limit = if spec.max_per_worker > 0 { spec.max_per_worker } else { u32::MAX };
     let mut slots: Vec<_> = rooms
         .into_iter()
         .map(|(unready, at)| (unready, at, pass.rooms[at].count(&need).min(limit)))
--- a/crates/hollowford-jobs/src/gang_asking.rs
+++ b/crates/hollowford-jobs/src/gang_asking.rs
@@ -60,7 +60,7 @@
         let mut workers: Vec<_> = plan.rooms.iter().map(|&at| pass.rooms[at].idx).collect();
         workers.sort_unstable();
         workers.dedup();
-        let answered = pass.now + Millis(cost.of(workers.len()) as u64);
+        let answered = pass.now + Millis(cost.call_ms(workers.len()) as u64);
         if plan.begin > answered + RENEW_AHEAD {
             return Vec::new();
         }
@@ -75,7 +75,7 @@
         let Some(missing) = self.members_to_find(pass, gang).filter(|&m| m > 0.0) else {
             return Vec::new();
         };
-        let need = gang.spec.room();
+        let need = gang.spec.allocation();
         let mut unknown = self.unknown_rooms(pass, gang);
         if unknown.is_empty() {
             return Vec::new();
@@ -94,8 +94,8 @@
         let job = self.jobs.get(gang.key.job)?;
         let waited = pass.now.since(job.accepted_at).0 as f32 / 1_000.0;
         let wanted = gang.spec.count as f32 * (ROOM_FACTOR + FACTOR_A_SECOND * waited);
-        let need = gang.spec.room();
-        let limit = if gang.spec.spread > 0 { gang.spec.spread } else { u32::MAX };
+        let need = gang.spec.allocation();
+        let limit = if gang.spec.max_per_worker > 0 { gang.spec.max_per_worker } else { u32::MAX };
         let members = |at: usize| copies(&need, &pass.rooms[at].capacity).min(limit) as f32;
         let good = step.advice.allowed().filter_map(|(w, _)| pass.room_of(w));
         let known: f32 = good.map(members).sum();
@@ -108,7 +108,7 @@
     /// Returns the rooms that the gang might use and doesn't know of.
     fn unknown_rooms(&self, pass: &Pass, gang: Placing<'_>) -> Vec<usize> {
         let Some(step) = self.jobs.step(gang.key) else { return Vec::new() };
-        let need = gang.spec.room();
+        let need = gang.spec.allocation();
         let unknown = |at: &usize| {
             let r = &pass.rooms[*at];
             need.fits(&r.capacity)
--- a/crates/hollowford-jobs/src/gone.rs
+++ b/crates/hollowford-jobs/src/gone.rs
@@ -17,7 +17,7 @@
                 continue;
             }
             let Some(w) = self.workers.get(idx) else { continue };
-            let over = w.lease_over().is_some_and(|at| at + self.bounds.stop_timeout <= now);
+            let over = w.lease_over().is_some_and(|at| at + self.time_limits.stop_timeout <= now);
             if over && !w.held.is_empty() {
                 self.stats.lapsed += w.held.len() as u64;
                 self.note_lost(idx, now);
--- a/crates/hollowford-jobs/src/job.rs
+++ b/crates/hollowford-jobs/src/job.rs
@@ -198,7 +198,7 @@
 
     /// Tells whether everything that the step depends on is done.
     pub fn ready(&self, spec: &JobSpec, step: usize) -> bool {
-        spec.steps[step].depends.iter().all(|&d| self.steps[d as usize].done())
+        spec.steps[step].depends_on.iter().all(|&d| self.steps[d as usize].done())
     }
 }
 
--- a/crates/hollowford-jobs/src/lease.rs
+++ b/crates/hollowford-jobs/src/lease.rs
@@ -42,7 +42,7 @@
 impl Engine {
     /// Orders the looks that are due.
     pub(crate) fn look(&mut self, now: Millis, out: &mut Vec<Order>) {
-        let lease = self.bounds.lease;
+        let lease = self.time_limits.lease;
         let longest = self.losses.look_wait();
         for idx in self.workers.indexes() {
             let Some(w) = self.workers.get_mut(idx) else { continue };
@@ -188,7 +188,7 @@
 
     /// Takes in that a worker refuses the orders of earlier owners from now on.
     fn take_fenced(&mut self, idx: WorkerIdx, look: &Look, now: Millis) {
-        let earlier = self.bounds.earlier_lease;
+        let earlier = self.time_limits.previous_lease;
         let Some(w) = self.workers.get_mut(idx) else { return };
         w.fenced = true;
         w.fenced_at = now;
@@ -261,7 +261,7 @@
             Phase::Running => true,
             Phase::Stopping => h.stop_answered,
         };
-        let grace = self.bounds.stop_timeout;
+        let grace = self.time_limits.stop_timeout;
         let gone = |h: &&Held| sure(h) && h.since + grace < sent && !listed(h.task, h.run);
         let gone: Vec<_> = w.held.iter().filter(gone).map(|h| (h.task, h.run)).collect();
         for (task, run) in gone {
--- a/crates/hollowford-jobs/src/lib.rs
+++ b/crates/hollowford-jobs/src/lib.rs
@@ -55,11 +55,11 @@
 mod worker;
 mod workers;
 
-pub use accounts::{Account, AccountUse, NO_ACCOUNT};
+pub use accounts::{Account, AccountUsage, NO_ACCOUNT};
 pub use audit::Stuck;
 pub use batch::{Batch, RowWrite};
 pub use choose::rack_label;
-pub use engine::{Bounds, Engine, Stats};
+pub use engine::{Engine, Stats, TimeLimits};
 pub use job::JobState;
 pub use lease::LookAnswer;
 pub use life::{Incarnation, WorkerLife};
@@ -70,7 +70,7 @@
 pub use queue::{AdviceCost, Queue};
 pub use recover::Recovered;
 pub use rows::{RowError, WorkerAddress, decode_spec, decode_workers, encode_spec, encode_workers};
-pub use seats::Seat;
+pub use seats::AdviceChannel;
 pub use spec::{JobId, JobSpec, RawJob, RawStep, Schedule, SpecError, StepKey, StepSpec, TaskKey};
 pub use submit::{CancelAnswer, SubmitAnswer};
 pub use view::EngineView;
--- a/crates/hollowford-jobs/src/lives.rs
+++ b/crates/hollowford-jobs/src/lives.rs
@@ -89,7 +89,7 @@
 
     /// Takes note that the life at `next` has followed the one at `idx` under its id.
     pub(crate) fn succeed(&mut self, idx: WorkerIdx, next: WorkerIdx, look: &Look, now: Millis) {
-        let longest = self.bounds.longest_lease;
+        let longest = self.time_limits.max_lease;
         if let Some(w) = self.workers.get_mut(next) {
             // A lease by the earlier life's clock lies far ahead, and the worker cuts it.
             w.lease_until = w.lease_until.max(look.clock + longest.0);
@@ -155,7 +155,8 @@
         let job = p.task.step.job;
         let name = self.account_of(job).unwrap_or(NO_ACCOUNT).to_owned();
         let account = self.accounts.intern(&name);
-        let room = self.jobs.step_spec(p.task.step).map_or_else(Default::default, StepSpec::room);
+        let room =
+            self.jobs.step_spec(p.task.step).map_or_else(Default::default, StepSpec::allocation);
         let held = Held::new((p.task, p.run), account, room, Phase::Stopping, now);
         if let Some(w) = self.workers.get_mut(p.idx) {
             w.hold(held);
--- a/crates/hollowford-jobs/src/pacing.rs
+++ b/crates/hollowford-jobs/src/pacing.rs
@@ -41,7 +41,7 @@
     /// ones.
     pub(crate) fn pace_fillers(&mut self, idx: WorkerIdx, running: &[Running], now: Millis) {
         let tails = self.tails(running);
-        let fills = |t: &TaskKey| self.jobs.step_spec(t.step).is_some_and(|s| s.filler);
+        let fills = |t: &TaskKey| self.jobs.step_spec(t.step).is_some_and(|s| s.best_effort);
         let fillers: Vec<TaskKey> = running.iter().map(|r| r.task).filter(fills).collect();
         let Some(w) = self.workers.get_mut(idx) else { return };
         let waited = now.since(w.paced_at);
@@ -72,14 +72,14 @@
         let mut worst = Tails::Calm;
         for r in running {
             let Some(spec) = self.jobs.step_spec(r.task.step) else { continue };
-            if !spec.lasting || spec.latency_ms == 0 {
+            if !spec.service || spec.latency_target_ms == 0 {
                 continue;
             }
             let tail = u64::from(r.load);
-            if tail > spec.latency_ms {
+            if tail > spec.latency_target_ms {
                 return Tails::Missed;
             }
-            if tail * 100 > spec.latency_ms * CALM_PERCENT {
+            if tail * 100 > spec.latency_target_ms * CALM_PERCENT {
                 worst = Tails::Near;
             }
         }
--- a/crates/hollowford-jobs/src/place.rs
+++ b/crates/hollowford-jobs/src/place.rs
@@ -113,7 +113,7 @@
         let (started, shunned) =
             if step.kept { self.start_tasks(pass, step, tasks, out) } else { (0, None) };
         // What the account's quota holds back needs neither advice nor room.
-        let room = step.spec.room();
+        let room = step.spec.allocation();
         let left = self.accounts.room_for(step.account, &room, waiting - started);
         if left == 0 {
             return;
@@ -141,18 +141,18 @@
         let floor = self.jobs.get(step.key.job).map_or(0, |j| j.run_floor(self.epoch));
         let mut started = 0;
         for Candidate { index, run, avoid, suspect } in tasks {
-            if !self.accounts.allows(step.account, &step.spec.room(), 1) {
+            if !self.accounts.allows(step.account, &step.spec.allocation(), 1) {
                 return (started, None);
             }
             let avoid = avoid.filter(|&w| self.has_other(pass, step, w));
             let Some(at) = self.choose(pass, step, avoid, suspect) else {
                 return (started, avoid);
             };
-            pass.rooms[at].take(&step.spec.room());
+            pass.rooms[at].take(&step.spec.allocation());
             if suspect {
                 pass.rooms[at].close();
             }
-            self.accounts.take(step.account, &step.spec.room());
+            self.accounts.take(step.account, &step.spec.allocation());
             let idx = pass.rooms[at].idx;
             let p = Placement { idx, task: step.key.task(index), run: run.max(floor) + 1 };
             self.start(p, pass.now, out);
@@ -189,11 +189,13 @@
         if !Arc::ptr_eq(&room.pool, &queue.pool) && room.pool != queue.pool {
             return false;
         }
-        if spec.spread > 0 && self.jobs.step(key).is_some_and(|s| s.on(room.idx) >= spec.spread) {
+        if spec.max_per_worker > 0
+            && self.jobs.step(key).is_some_and(|s| s.on(room.idx) >= spec.max_per_worker)
+        {
             return false;
         }
-        spec.requires.is_empty()
-            || self.workers.get(room.idx).is_some_and(|w| w.has_label(&spec.requires))
+        spec.required_label.is_empty()
+            || self.workers.get(room.idx).is_some_and(|w| w.has_label(&spec.required_label))
     }
 
     /// Returns what advice says of a worker for the step; where none is needed, each may.
@@ -212,7 +214,7 @@
         avoid: Option<WorkerIdx>,
         suspect: bool,
     ) -> Option<usize> {
-        let need = step.spec.room();
+        let need = step.spec.allocation();
         if !pass.may_fit(&need) {
             return None;
         }
--- a/crates/hollowford-jobs/src/queue.rs
+++ b/crates/hollowford-jobs/src/queue.rs
@@ -10,31 +10,31 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdviceCost {
     /// Milliseconds for each call.
-    pub decide_ms: f64,
+    pub base_ms: f64,
     /// Milliseconds for each worker named.
     pub per_worker_ms: f64,
     /// How long a ticket is valid.
-    pub validity: Millis,
+    pub ticket_validity: Millis,
 }
 
 impl AdviceCost {
     /// Returns how many more workers a call may name if that is to lengthen it by `percent`
     /// hundredths of the time that any call takes.
-    pub fn more_workers(&self, percent: u32) -> usize {
+    pub fn extra_workers(&self, percent: u32) -> usize {
         if self.per_worker_ms <= 0.0 {
             return usize::MAX;
         }
-        (self.decide_ms * f64::from(percent) / 100.0 / self.per_worker_ms) as usize
+        (self.base_ms * f64::from(percent) / 100.0 / self.per_worker_ms) as usize
     }
 
     /// Tells whether a call that names few workers is answered quickly.
     pub fn is_quick(&self) -> bool {
-        self.of(1) <= QUICK_CALL_MS
+        self.call_ms(1) <= QUICK_CALL_MS
     }
 
     /// Returns the time of a call that names `workers`.
-    pub fn of(&self, workers: usize) -> f64 {
-        self.decide_ms + self.per_worker_ms * workers as f64
+    pub fn call_ms(&self, workers: usize) -> f64 {
+        self.base_ms + self.per_worker_ms * workers as f64
     }
 }
 
--- a/crates/hollowford-jobs/src/reserve.rs
+++ b/crates/hollowford-jobs/src/reserve.rs
@@ -58,7 +58,7 @@
         if step.queue.advice.is_some() {
             good.extend(self.rooms_of(pass, step, Standing::Lapsed));
         }
-        let need = step.spec.room();
+        let need = step.spec.allocation();
         good.retain(|&at| takes_large_part(&need, &pass.rooms[at].capacity));
         let slots = self.first_slots(pass, step, &good, left);
         if !slots.is_empty() {
@@ -80,7 +80,7 @@
         if pass.reservations >= MOST_RESERVATIONS {
             return slots;
         }
-        let need = step.spec.room();
+        let need = step.spec.allocation();
         for &at in rooms {
             let room = &pass.rooms[at];
             if !self.allowed(room, step) {
--- a/crates/hollowford-jobs/src/seats.rs
+++ b/crates/hollowford-jobs/src/seats.rs
@@ -34,7 +34,7 @@
 
 /// An instance that can make calls for advice.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seat {
+pub struct AdviceChannel {
     /// The instance's address between processes; empty: this process.
     pub address: Arc<str>,
 }
@@ -52,7 +52,7 @@
 /// A seat with the call that it makes.
 #[derive(Debug)]
 struct Place {
-    seat: Seat,
+    seat: AdviceChannel,
     call: Option<Call>,
     /// Calls that failed since the last one that was answered.
     failures: u32,
@@ -61,7 +61,7 @@
 }
 
 impl Place {
-    fn new(seat: Seat) -> Place {
+    fn new(seat: AdviceChannel) -> Place {
         Place { seat, call: None, failures: 0, rests_until: Millis(0) }
     }
 
@@ -97,7 +97,7 @@
 impl Seats {
     /// Tells whether a seat may be free for a call at this cost, however few workers it names.
     pub fn has_free(&self, cost: &AdviceCost, now: Millis) -> bool {
-        self.free_for(cost.of(1), now).is_some()
+        self.free_for(cost.call_ms(1), now).is_some()
     }
 
     /// Returns the seat for a call of the given time, if one is free for it.
@@ -141,7 +141,7 @@
 
 impl Engine {
     /// Sets the instances that can make calls for advice. The first ones take quick calls.
-    pub fn set_seats(&mut self, seats: &[Seat]) {
+    pub fn set_advice_channels(&mut self, seats: &[AdviceChannel]) {
         let mut old = std::mem::take(&mut self.seats.list);
         for seat in seats {
             let at = old.iter().position(|p| p.seat == *seat);
@@ -154,7 +154,7 @@
     }
 
     /// Returns the seat at a position.
-    pub fn seat(&self, at: usize) -> Option<&Seat> {
+    pub fn advice_channel(&self, at: usize) -> Option<&AdviceChannel> {
         self.seats.list.get(at).map(|p| &p.seat)
     }
 
@@ -168,7 +168,7 @@
     /// before others. What is not asked for comes again with the next pass.
     pub(crate) fn ask_side_by_side(&mut self, want: Want, now: Millis, out: &mut Vec<Order>) {
         let Want { step, workers, cost } = want;
-        let free = self.seats.free_count(cost.of(workers.len()), now);
+        let free = self.seats.free_count(cost.call_ms(workers.len()), now);
         let calls = calls_for(workers.len(), &cost, free);
         for part in workers.chunks(workers.len().div_ceil(calls.max(1)).max(1)) {
             self.ask(Want { step, workers: part.to_vec(), cost }, now, out);
@@ -180,7 +180,7 @@
     pub(crate) fn ask(&mut self, want: Want, now: Millis, out: &mut Vec<Order>) {
         let Want { step: key, mut workers, cost } = want;
         workers.truncate(MOST_NAMED);
-        let ms = cost.of(workers.len());
+        let ms = cost.call_ms(workers.len());
         let Some(seat) = self.seats.free_for(ms, now) else { return };
         let Some(step) = self.jobs.step_mut(key) else { return };
         step.advice.asks(&workers);
@@ -210,9 +210,9 @@
 
     /// Takes in the answer of a call for advice; none when it failed. The tickets hold from
     /// the time of the answer.
-    pub fn advised(
+    pub fn advice_answered(
         &mut self,
-        seat: &Seat,
+        seat: &AdviceChannel,
         key: StepKey,
         answer: Option<(Advised, Millis)>,
         now: Millis,
@@ -269,6 +269,6 @@
 /// takes a fourth of the free seats at most.
 fn calls_for(workers: usize, cost: &AdviceCost, free: usize) -> usize {
     let least = workers.div_ceil(MOST_NAMED);
-    let useful = 2.0 * cost.per_worker_ms * workers as f64 / cost.decide_ms.max(1.0);
+    let useful = 2.0 * cost.per_worker_ms * workers as f64 / cost.base_ms.max(1.0);
     (useful.ceil() as usize).min(free / SEATS_SHARE).max(least)
 }
--- a/crates/hollowford-jobs/src/spec.rs
+++ b/crates/hollowford-jobs/src/spec.rs
@@ -28,7 +28,7 @@
     fn from_str(s: &str) -> Result<JobId, SpecError> {
         let digits = s.len() == 16 && s.bytes().all(|b| b.is_ascii_hexdigit());
         let id = digits.then(|| u64::from_str_radix(s, 16).ok()).flatten();
-        id.map(JobId).ok_or(SpecError::Id)
+        id.map(JobId).ok_or(SpecError::InvalidId)
     }
 }
 
@@ -76,12 +76,12 @@
 
     fn from_str(s: &str) -> Result<TaskKey, SpecError> {
         let mut parts = s.split('.');
-        let mut part = || parts.next().ok_or(SpecError::Task);
+        let mut part = || parts.next().ok_or(SpecError::InvalidTaskName);
         let job = part()?.parse()?;
-        let mut number = || part()?.parse::<u32>().map_err(|_| SpecError::Task);
+        let mut number = || part()?.parse::<u32>().map_err(|_| SpecError::InvalidTaskName);
         let step = StepKey { job, round: number()?, step: number()? };
         let task = step.task(number()?);
-        if parts.next().is_some() { Err(SpecError::Task) } else { Ok(task) }
+        if parts.next().is_some() { Err(SpecError::InvalidTaskName) } else { Ok(task) }
     }
 }
 
@@ -90,19 +90,19 @@
 pub enum SpecError {
     /// The id is not 16 hex digits.
     #[error("a job's id is 16 hex digits")]
-    Id,
+    InvalidId,
     /// A task's name is not ID.ROUND.STEP.INDEX.
     #[error("a task's name is ID.ROUND.STEP.INDEX")]
-    Task,
+    InvalidTaskName,
     /// The template is too long.
     #[error("the template has {0} bytes; {MAX_TEMPLATE} is the most")]
-    Template(usize),
+    TemplateTooLong(usize),
     /// No step, or too many.
     #[error("a job has 1 to {MAX_STEPS} steps, not {0}")]
-    Steps(usize),
+    StepCount(usize),
     /// A step without tasks, or with too many.
     #[error("step {step} has {count} tasks; it may have 1 to {MAX_TASKS}")]
-    Tasks {
+    TaskCount {
         /// Number of the step.
         step: usize,
         /// How many tasks it asks for.
@@ -110,7 +110,7 @@
     },
     /// A step depends on itself, on a later one, or on none that there is.
     #[error("step {step} depends on step {on}, which is not an earlier one")]
-    Depends {
+    InvalidDependency {
         /// Number of the step.
         step: usize,
         /// What it depends on.
@@ -124,35 +124,35 @@
     /// How many equal tasks.
     pub count: u32,
     /// What each task takes.
-    pub need: Resources,
+    pub resources: Resources,
     /// The caller's guess of a task's run time, in milliseconds.
     pub estimate_ms: u64,
     /// Numbers of earlier steps that must be done first.
-    pub depends: Vec<u32>,
+    pub depends_on: Vec<u32>,
     /// Whether a stopped task can go on from where it was.
-    pub checkpoints: bool,
+    pub resumable: bool,
     /// Whether the tasks work only together.
     pub gang: bool,
     /// Whether a gang is slow when it spans racks.
-    pub one_rack: bool,
+    pub prefer_one_rack: bool,
     /// Label that a worker must have; empty: any.
-    pub requires: String,
+    pub required_label: String,
     /// Rack where the data lies; empty: none.
     pub data_rack: String,
     /// Most tasks of the step on one worker; 0: no limit.
-    pub spread: u32,
+    pub max_per_worker: u32,
     /// Whether copies of a task may run side by side.
     pub speculative: bool,
     /// Whether the tasks run until the job is cancelled.
-    pub lasting: bool,
+    pub service: bool,
     /// How many tasks of a lasting step may be away at once by our doing.
-    pub may_miss: u32,
+    pub max_unavailable: u32,
     /// Whether the tasks use only processors that others leave idle.
-    pub filler: bool,
+    pub best_effort: bool,
     /// What the tasks run; equal images behave alike.
     pub image: String,
     /// Bound of the users' answer times of lasting tasks, in milliseconds; 0: none.
-    pub latency_ms: u64,
+    pub latency_target_ms: u64,
 }
 
 /// A job as it came, not checked.
@@ -182,9 +182,9 @@
 
 impl RawStep {
     /// Returns the room that a worker has to set aside for one task.
-    pub fn room(&self) -> Resources {
-        let cpu_milli = if self.filler { 0 } else { self.need.cpu_milli };
-        Resources { cpu_milli, ..self.need }
+    pub fn allocation(&self) -> Resources {
+        let cpu_milli = if self.best_effort { 0 } else { self.resources.cpu_milli };
+        Resources { cpu_milli, ..self.resources }
     }
 }
 
@@ -206,17 +206,17 @@
     }
 
     /// Returns the longest chain of estimates from the start of `step` on.
-    pub fn chain_from(&self, step: usize) -> u64 {
+    pub fn critical_path_from_ms(&self, step: usize) -> u64 {
         let after = |(i, s): (usize, &StepSpec)| {
-            s.depends.contains(&(step as u32)).then(|| self.chain_from(i))
+            s.depends_on.contains(&(step as u32)).then(|| self.critical_path_from_ms(i))
         };
         let rest = self.steps.iter().enumerate().skip(step + 1).filter_map(after).max();
         self.steps[step].estimate_ms + rest.unwrap_or(0)
     }
 
     /// Returns the longest chain of estimates of the whole job.
-    pub fn chain(&self) -> u64 {
-        (0..self.steps.len()).map(|i| self.chain_from(i)).max().unwrap_or(0)
+    pub fn critical_path_ms(&self) -> u64 {
+        (0..self.steps.len()).map(|i| self.critical_path_from_ms(i)).max().unwrap_or(0)
     }
 }
 
@@ -225,17 +225,17 @@
 
     fn try_from(raw: RawJob) -> Result<JobSpec, SpecError> {
         if raw.template.len() > MAX_TEMPLATE {
-            return Err(SpecError::Template(raw.template.len()));
+            return Err(SpecError::TemplateTooLong(raw.template.len()));
         }
         if raw.steps.is_empty() || raw.steps.len() > MAX_STEPS {
-            return Err(SpecError::Steps(raw.steps.len()));
+            return Err(SpecError::StepCount(raw.steps.len()));
         }
         for (step, s) in raw.steps.iter().enumerate() {
             if s.count == 0 || s.count > MAX_TASKS {
-                return Err(SpecError::Tasks { step, count: s.count });
+                return Err(SpecError::TaskCount { step, count: s.count });
             }
-            if let Some(&on) = s.depends.iter().find(|&&on| on as usize >= step) {
-                return Err(SpecError::Depends { step, on });
+            if let Some(&on) = s.depends_on.iter().find(|&&on| on as usize >= step) {
+                return Err(SpecError::InvalidDependency { step, on });
             }
         }
         let schedule = raw.schedule.filter(|s| s.rounds > 0);
--- a/crates/hollowford-jobs/src/stall.rs
+++ b/crates/hollowford-jobs/src/stall.rs
@@ -90,7 +90,7 @@
     /// Stops a task, so that it starts elsewhere; a gang starts again whole. A task that lasts
     /// stays: its users would miss it.
     pub(crate) fn move_off(&mut self, idx: WorkerIdx, key: TaskKey, now: Millis) {
-        if self.jobs.step_spec(key.step).is_none_or(|s| s.lasting) {
+        if self.jobs.step_spec(key.step).is_none_or(|s| s.service) {
             return;
         }
         if self.is_gang(key.step) {
--- a/crates/hollowford-jobs/src/starts.rs
+++ b/crates/hollowford-jobs/src/starts.rs
@@ -31,7 +31,7 @@
         let spec = &job.spec.steps[key.step.step as usize];
         let mut held = Held {
             expected_end: now + Millis(spec.estimate_ms),
-            ..Held::new((key, run), job.account, spec.room(), Phase::Starting, now)
+            ..Held::new((key, run), job.account, spec.allocation(), Phase::Starting, now)
         };
         if let Some(task) = self.jobs.task_mut(key) {
             task.at = Some(idx);
@@ -77,7 +77,7 @@
 
     fn send_start(&mut self, p: Placement, now: Millis, out: &mut Vec<Order>) {
         let Placement { idx, task, run } = p;
-        let lease = self.bounds.lease;
+        let lease = self.time_limits.lease;
         let Some(job) = self.jobs.get(task.step.job) else { return };
         let template = job.spec.template.clone();
         let Some(step) = self.jobs.step(task.step) else { return };
@@ -271,7 +271,7 @@
 
     fn start_again(&mut self, p: Placement, now: Millis, out: &mut Vec<Order>) {
         let Placement { idx, task, run } = p;
-        let patience = Millis(self.bounds.gang_timeout.0 * GANG_PATIENCE_PERCENT / 100);
+        let patience = Millis(self.time_limits.gang_timeout.0 * GANG_PATIENCE_PERCENT / 100);
         let since = self.workers.get_mut(idx).and_then(|w| w.find_mut(task, run)).map(|h| h.since);
         if self.is_gang(task.step) && since.is_some_and(|s| now.since(s) > patience) {
             self.regroup(task.step);
--- a/crates/hollowford-jobs/src/submit.rs
+++ b/crates/hollowford-jobs/src/submit.rs
@@ -14,13 +14,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmitAnswer {
     /// It is kept already.
-    Kept,
+    Durable,
     /// It is kept once the next batch is in the store.
     Pending,
     /// There is no such queue.
-    NoQueue,
+    UnknownQueue,
     /// The id is that of another account's job. Nothing was taken.
-    NotYours,
+    OtherAccount,
 }
 
 /// What came of cancelling a job.
@@ -31,7 +31,7 @@
     /// It is cancelled once the next batch is in the store.
     Pending,
     /// There is no such job.
-    Unknown,
+    UnknownJob,
 }
 
 impl Engine {
@@ -45,17 +45,17 @@
         spec: Arc<JobSpec>,
         now: Millis,
     ) -> SubmitAnswer {
-        if !self.may_touch(id, account) {
-            return SubmitAnswer::NotYours;
+        if !self.may_access(id, account) {
+            return SubmitAnswer::OtherAccount;
         }
         if self.jobs.ended(id).is_some() {
-            return SubmitAnswer::Kept;
+            return SubmitAnswer::Durable;
         }
         if let Some(job) = self.jobs.get(id) {
-            return if job.kept { SubmitAnswer::Kept } else { SubmitAnswer::Pending };
+            return if job.kept { SubmitAnswer::Durable } else { SubmitAnswer::Pending };
         }
         let Some(queue) = self.queues.get(queue).map(|q| q.name.clone()) else {
-            return SubmitAnswer::NoQueue;
+            return SubmitAnswer::UnknownQueue;
         };
         let steps = spec.steps.len();
         let account = self.accounts.intern(account);
@@ -81,7 +81,7 @@
             return CancelAnswer::Ended;
         }
         if self.jobs.get(id).is_none() {
-            return CancelAnswer::Unknown;
+            return CancelAnswer::UnknownJob;
         }
         self.end_job(id, JobState::Cancelled, now);
         CancelAnswer::Pending
@@ -89,12 +89,12 @@
 
     /// Tells whether an account may ask for a job or cancel it: its own, one that isn't known, and
     /// one that belongs to none.
-    pub fn may_touch(&self, id: JobId, account: &str) -> bool {
+    pub fn may_access(&self, id: JobId, account: &str) -> bool {
         self.account_of(id).is_none_or(|owner| owner == account || owner == NO_ACCOUNT)
     }
 
     /// Tells whether a job's acceptance is in the store; none when it is not known.
-    pub fn is_kept(&self, id: JobId) -> Option<bool> {
+    pub fn is_durable(&self, id: JobId) -> Option<bool> {
         if self.jobs.ended(id).is_some() {
             return Some(true);
         }
@@ -116,7 +116,7 @@
     }
 
     /// Counts the queue's kept jobs none of whose tasks has begun.
-    pub fn waiting(&self, queue: &str) -> usize {
+    pub fn waiting_jobs(&self, queue: &str) -> usize {
         let waits = |j: &&Job| &*j.queue == queue && j.kept && !j.begun && j.end.is_none();
         self.jobs.open().filter(waits).count()
     }
--- a/crates/hollowford-jobs/src/urgency.rs
+++ b/crates/hollowford-jobs/src/urgency.rs
@@ -116,8 +116,9 @@
 }
 
 fn urgency(job: &Job, due: Millis, step: usize, queue: &Queue, now: Millis) -> Urgency {
-    let objective = Millis((job.spec.chain() as f64 * queue.stretch) as u64) + queue.slack;
-    let work = Millis(job.spec.chain_from(step));
+    let objective =
+        Millis((job.spec.critical_path_ms() as f64 * queue.stretch) as u64) + queue.slack;
+    let work = Millis(job.spec.critical_path_from_ms(step));
     let latest_start = (due + objective) - work;
     let worthless = due + Millis(objective.0 * WORTHLESS_AFTER);
     let rank = if now + work > worthless {
--- a/crates/hollowford-jobs/src/waits.rs
+++ b/crates/hollowford-jobs/src/waits.rs
@@ -13,47 +13,47 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum WaitCause {
     /// Its job's acceptance is not in the store.
-    Unkept,
+    NotDurable,
     /// What became of earlier runs isn't known, or not in the store.
     HeldBack,
     /// Its client account's quota.
     Quota,
     /// A call for advice is under way.
-    Asked,
+    AdvicePending,
     /// Workers with room may run it, and their tickets have lapsed.
-    Lapsed,
+    TicketsLapsed,
     /// Workers with room have not been asked about.
-    Unasked,
+    AdviceMissing,
     /// No worker that may run it has room, or too few have for a gang.
     NoRoom,
     /// Room that it may use is kept for another step, or comes with the next pass.
-    Kept,
+    Reserved,
 }
 
 impl WaitCause {
     /// All causes.
     pub const ALL: [WaitCause; 8] = [
-        WaitCause::Unkept,
+        WaitCause::NotDurable,
         WaitCause::HeldBack,
         WaitCause::Quota,
-        WaitCause::Asked,
-        WaitCause::Lapsed,
-        WaitCause::Unasked,
+        WaitCause::AdvicePending,
+        WaitCause::TicketsLapsed,
+        WaitCause::AdviceMissing,
         WaitCause::NoRoom,
-        WaitCause::Kept,
+        WaitCause::Reserved,
     ];
 
     /// Returns its name in the log and in metrics.
     pub fn name(self) -> &'static str {
         match self {
-            WaitCause::Unkept => "unkept",
+            WaitCause::NotDurable => "unkept",
             WaitCause::HeldBack => "held_back",
             WaitCause::Quota => "quota",
-            WaitCause::Asked => "asked",
-            WaitCause::Lapsed => "lapsed",
-            WaitCause::Unasked => "unasked",
+            WaitCause::AdvicePending => "asked",
+            WaitCause::TicketsLapsed => "lapsed",
+            WaitCause::AdviceMissing => "unasked",
             WaitCause::NoRoom => "no_room",
-            WaitCause::Kept => "kept",
+            WaitCause::Reserved => "kept",
         }
     }
 }
@@ -105,8 +105,8 @@
         }
         let wanted = if spec.gang { spec.count } else { 1 };
         Some(if !job.kept {
-            WaitCause::Unkept
-        } else if !self.accounts.allows(job.account, &spec.room(), wanted) {
+            WaitCause::NotDurable
+        } else if !self.accounts.allows(job.account, &spec.allocation(), wanted) {
             WaitCause::Quota
         } else {
             self.room_cause(pass, gang, wanted)
@@ -115,7 +115,7 @@
 
     /// Returns the cause of a step that lacks only advice or room for `wanted` tasks.
     fn room_cause(&self, pass: &Pass, step: Placing<'_>, wanted: u32) -> WaitCause {
-        let need = step.spec.room();
+        let need = step.spec.allocation();
         let places = |standing: &[Standing]| -> u32 {
             let has = |r: &&Room| {
                 standing.contains(&self.standing(step, r.idx, pass.now)) && self.allowed(r, step)
@@ -128,13 +128,13 @@
         };
         let is_asking = self.jobs.step(step.key).is_some_and(|s| s.advice.is_asking());
         if places(&[Standing::Ticketed]) >= wanted {
-            WaitCause::Kept
+            WaitCause::Reserved
         } else if is_asking {
-            WaitCause::Asked
+            WaitCause::AdvicePending
         } else if places(&[Standing::Ticketed, Standing::Lapsed]) >= wanted {
-            WaitCause::Lapsed
+            WaitCause::TicketsLapsed
         } else if places(&[Standing::Ticketed, Standing::Lapsed, Standing::Unknown]) >= wanted {
-            WaitCause::Unasked
+            WaitCause::AdviceMissing
         } else {
             WaitCause::NoRoom
         }
--- a/crates/hollowford-jobs/tests/accounts.rs
+++ b/crates/hollowford-jobs/tests/accounts.rs
@@ -21,7 +21,7 @@
     Account {
         name: name.into(),
         policy: AccountPolicy { quota, ..AccountPolicy::default() },
-        owed_per_s: 0,
+        guaranteed_jobs_per_s: 0,
     }
 }
 
@@ -39,7 +39,7 @@
         for task in w.running.keys() {
             let spec = &cell.specs[&task.step.job].steps[task.step.step as usize];
             let account = cell.account_of[&task.step.job].clone();
-            *out.entry(account).or_default() += u64::from(spec.room().cpu_milli);
+            *out.entry(account).or_default() += u64::from(spec.allocation().cpu_milli);
         }
     }
     out
@@ -154,12 +154,12 @@
     cell.submit_for(BUSY, 1, QUICK, job(vec![step(1, 1_000, ms)]));
     cell.run(400);
     for _ in 0..2 {
-        assert!(cell.engine.may_touch(JobId(1), BUSY));
-        assert!(!cell.engine.may_touch(JobId(1), CALM));
-        assert!(!cell.engine.may_touch(JobId(1), NO_ACCOUNT));
+        assert!(cell.engine.may_access(JobId(1), BUSY));
+        assert!(!cell.engine.may_access(JobId(1), CALM));
+        assert!(!cell.engine.may_access(JobId(1), NO_ACCOUNT));
         let other =
             cell.engine.submit(JobId(1), CALM, QUICK, cell.specs[&JobId(1)].clone(), cell.now);
-        assert_eq!(other, SubmitAnswer::NotYours);
+        assert_eq!(other, SubmitAnswer::OtherAccount);
         cell.take_over();
         cell.run(100);
     }
@@ -170,7 +170,7 @@
     let mut cell = cell(1, 16);
     cell.submit(1, QUICK, job(vec![step(1, 1_000, 60_000)]));
     cell.run(100);
-    assert!(cell.engine.may_touch(JobId(1), CALM));
+    assert!(cell.engine.may_access(JobId(1), CALM));
 }
 
 #[test]
@@ -188,15 +188,15 @@
     let mut cell = cell(8, 40);
     cell.submit_for(BUSY, 1, QUICK, job(vec![step(3, 2_000, 60_000)]));
     cell.run(300);
-    let uses = cell.engine.account_uses();
+    let uses = cell.engine.account_usage();
     let busy = uses.iter().find(|u| &*u.name == BUSY).unwrap();
     assert_eq!((busy.used.cpu_milli, busy.quota.cpu_milli), (6_000, 40_000));
 }
 
 /// Makes a cell in which each account is owed so many jobs a second, and has no quota.
-fn owing_cell(workers: usize, owed_per_s: u32) -> Cell {
+fn owing_cell(workers: usize, guaranteed_jobs_per_s: u32) -> Cell {
     let mut cell = Cell::new(workers);
-    let account = |name| Account { owed_per_s, ..account(name, 0) };
+    let account = |name| Account { guaranteed_jobs_per_s, ..account(name, 0) };
     cell.engine.set_accounts(&[account(BUSY), account(CALM)]);
     cell
 }
--- a/crates/hollowford-jobs/tests/advice.rs
+++ b/crates/hollowford-jobs/tests/advice.rs
@@ -6,13 +6,13 @@
 use hollowford_core::Millis;
 use hollowford_jobs::*;
 
-fn advised(decide_ms: f64, per_worker_ms: f64) -> Vec<Queue> {
-    let cost = AdviceCost { decide_ms, per_worker_ms, validity: Millis(2_000) };
+fn advised(base_ms: f64, per_worker_ms: f64) -> Vec<Queue> {
+    let cost = AdviceCost { base_ms, per_worker_ms, ticket_validity: Millis(2_000) };
     vec![queue(QUICK, 0, Some(cost)), queue(LARGE, 1, Some(cost))]
 }
 
-fn seats(names: &[&str]) -> Vec<Seat> {
-    names.iter().map(|n| Seat { address: (*n).into() }).collect()
+fn seats(names: &[&str]) -> Vec<AdviceChannel> {
+    names.iter().map(|n| AdviceChannel { address: (*n).into() }).collect()
 }
 
 #[test]
@@ -32,7 +32,7 @@
     for decide_ms in [5.0, 50.0, 500.0] {
         let mut cell = Cell::new(3);
         cell.set_queues(advised(decide_ms, 0.1));
-        cell.engine.set_seats(&seats(&["", "a", "b", "gone"]));
+        cell.engine.set_advice_channels(&seats(&["", "a", "b", "gone"]));
         cell.dead_seats.insert("gone".to_owned());
         cell.dead_seats.insert("b".to_owned());
         cell.submit(1, LARGE, job(vec![step(2, 1_000, 100)]));
@@ -45,11 +45,11 @@
 fn a_call_of_an_instance_that_left_is_made_by_another() {
     let mut cell = Cell::new(3);
     cell.set_queues(advised(50.0, 0.1));
-    cell.engine.set_seats(&seats(&["", "gone"]));
+    cell.engine.set_advice_channels(&seats(&["", "gone"]));
     cell.dead_seats.insert("gone".to_owned());
     cell.submit(1, LARGE, job(vec![step(2, 1_000, 100)]));
     cell.run(50);
-    cell.engine.set_seats(&seats(&[""]));
+    cell.engine.set_advice_channels(&seats(&[""]));
     cell.run(300);
     assert_eq!(cell.state(1), Some(JobState::Completed));
 }
@@ -79,7 +79,7 @@
 #[test]
 fn a_large_task_keeps_the_room_for_which_its_ticket_is_renewed() {
     let mut cell = Cell::new(2);
-    let slow = AdviceCost { decide_ms: 400.0, per_worker_ms: 1.0, validity: Millis(300) };
+    let slow = AdviceCost { base_ms: 400.0, per_worker_ms: 1.0, ticket_validity: Millis(300) };
     cell.set_queues(vec![queue(QUICK, 0, None), queue(LARGE, 1, Some(slow))]);
     cell.barred.insert("w1".into());
     cell.submit(1, QUICK, job(vec![step(1, 16_000, 1_000)]));
--- a/crates/hollowford-jobs/tests/answers.rs
+++ b/crates/hollowford-jobs/tests/answers.rs
@@ -186,11 +186,11 @@
     cell.turn();
     cell.turn();
     assert_eq!(cell.engine.stats().started, 1, "its start was ordered");
-    assert_eq!(cell.engine.waiting(QUICK), 1);
+    assert_eq!(cell.engine.waiting_jobs(QUICK), 1);
     assert_eq!(cell.state(1), Some(JobState::Queued));
     cell.workers[0].restart("next");
     cell.list();
     cell.run(500);
-    assert_eq!(cell.engine.waiting(QUICK), 0);
+    assert_eq!(cell.engine.waiting_jobs(QUICK), 0);
     assert_eq!(cell.state(1), Some(JobState::Running));
 }
--- a/crates/hollowford-jobs/tests/backlog.rs
+++ b/crates/hollowford-jobs/tests/backlog.rs
@@ -49,7 +49,7 @@
 #[test]
 fn every_step_of_a_backlog_runs_once_there_is_room() {
     let mut cell = backlog(0);
-    let two = || StepSpec { depends: vec![0], ..step(1, 2_000, 20) };
+    let two = || StepSpec { depends_on: vec![0], ..step(1, 2_000, 20) };
     for id in 0..600 {
         cell.submit(100 + id, QUICK, job(vec![step(2, 2_000, 20), two()]));
     }
--- a/crates/hollowford-jobs/tests/batches.rs
+++ b/crates/hollowford-jobs/tests/batches.rs
@@ -20,7 +20,7 @@
     }
     cell.store_up = true;
     cell.run(50);
-    assert_eq!(cell.engine.is_kept(JobId(2)), Some(true));
+    assert_eq!(cell.engine.is_durable(JobId(2)), Some(true));
     // Everything is in the store: a new owner needs nothing of what the workers forgot.
     cell.take_over();
     cell.run(200);
@@ -69,7 +69,7 @@
 }
 
 fn kept(cell: &Cell, ids: impl Iterator<Item = u64>) -> Vec<bool> {
-    ids.map(|i| cell.engine.is_kept(JobId(scattered(i))) == Some(true)).collect()
+    ids.map(|i| cell.engine.is_durable(JobId(scattered(i))) == Some(true)).collect()
 }
 
 #[test]
@@ -188,7 +188,7 @@
             }
             cell.run(5);
             disturb(&mut cell, &mut random);
-            kept.extend((0..JOBS).filter(|&id| cell.engine.is_kept(JobId(id)) == Some(true)));
+            kept.extend((0..JOBS).filter(|&id| cell.engine.is_durable(JobId(id)) == Some(true)));
         }
         cell.store_up = true;
         cell.run(10_000);
@@ -208,7 +208,7 @@
     cell.submit(1, LARGE, job(vec![step(1, 1_000, 20)]));
     cell.run(200);
     assert_eq!(cell.state(1), Some(JobState::Completed));
-    cell.now = cell.now + BOUNDS.keep_ended + BOUNDS.keep_ended;
+    cell.now = cell.now + BOUNDS.ended_job_retention + BOUNDS.ended_job_retention;
     assert!(cell.cut());
     cell.refuse_pending();
     assert!(cell.rows.keys().any(|k| k.starts_with("j/")));
@@ -230,7 +230,7 @@
     }
     cell.run(2_000);
     assert_eq!(cell.rows.keys().filter(|k| k.starts_with("j/")).count(), 200);
-    cell.now = cell.now + BOUNDS.keep_ended + BOUNDS.keep_ended;
+    cell.now = cell.now + BOUNDS.ended_job_retention + BOUNDS.ended_job_retention;
     for i in 200..400 {
         cell.submit(scattered(i), LARGE, job(vec![step(1, 16_000, 60_000)]));
     }
--- a/crates/hollowford-jobs/tests/common/mod.rs
+++ b/crates/hollowford-jobs/tests/common/mod.rs
@@ -18,13 +18,13 @@
 pub const QUICK: &str = "quick";
 pub const LARGE: &str = "large";
 
-pub const BOUNDS: Bounds = Bounds {
+pub const BOUNDS: TimeLimits = TimeLimits {
     lease: Millis(3_000),
-    earlier_lease: Millis(5_100),
-    longest_lease: Millis(6_000),
+    previous_lease: Millis(5_100),
+    max_lease: Millis(6_000),
     stop_timeout: Millis(400),
     gang_timeout: Millis(3_000),
-    keep_ended: Millis(150_000),
+    ended_job_retention: Millis(150_000),
 };
 
 pub fn queue(name: &str, priority: u32, advice: Option<AdviceCost>) -> Queue {
@@ -42,7 +42,7 @@
 pub fn step(count: u32, cpu_milli: u32, ms: u64) -> RawStep {
     RawStep {
         count,
-        need: Resources::new(cpu_milli, 100, 0),
+        resources: Resources::new(cpu_milli, 100, 0),
         estimate_ms: ms,
         ..RawStep::default()
     }
@@ -56,7 +56,7 @@
 /// An answer of the service for advice that is on its way.
 pub struct AdviceDue {
     pub at: Millis,
-    pub seat: Seat,
+    pub seat: AdviceChannel,
     pub step: StepKey,
     pub rows: Advised,
 }
@@ -129,7 +129,7 @@
 
     fn equip(&mut self) {
         self.engine.set_queues(&self.queues, self.now);
-        self.engine.set_seats(&[Seat { address: "".into() }]);
+        self.engine.set_advice_channels(&[AdviceChannel { address: "".into() }]);
         self.list();
     }
 
@@ -261,7 +261,7 @@
         match order {
             Order::Worker { call, .. } => self.call(call, fence),
             Order::Advice { seat, step, workers } => {
-                let seat = self.engine.seat(seat).expect("a seat").clone();
+                let seat = self.engine.advice_channel(seat).expect("a seat").clone();
                 if self.dead_seats.contains(&*seat.address) {
                     return;
                 }
@@ -292,7 +292,7 @@
     fn advice_time(&self, job: JobId, workers: usize) -> Millis {
         let queue = self.queue_of.get(&job).filter(|_| self.advice_takes_time);
         let queue = queue.and_then(|name| self.queues.iter().find(|q| q.name == *name));
-        queue.and_then(|q| q.advice).map_or(Millis(0), |cost| Millis(cost.of(workers) as u64))
+        queue.and_then(|q| q.advice).map_or(Millis(0), |cost| Millis(cost.call_ms(workers) as u64))
     }
 
     /// Hands over the answers of the service for advice that are there.
@@ -300,7 +300,7 @@
         let now = self.now;
         for due in self.advice_due.extract_if(.., |d| d.at <= now).collect::<Vec<_>>() {
             let answer = Some((due.rows, Millis(2_000)));
-            self.engine.advised(&due.seat, due.step, answer, now);
+            self.engine.advice_answered(&due.seat, due.step, answer, now);
         }
     }
 
@@ -368,7 +368,7 @@
         self.engine = Engine::new(epoch, BOUNDS, self.now);
         self.engine.set_queues(&self.queues, self.now);
         if self.outage_before {
-            self.engine.note_outage_before();
+            self.engine.set_store_outage_before();
         }
         let rows: Vec<_> = self.rows.iter().map(|(k, v)| (k.clone(), v.clone())).collect();
         self.engine.recover(&rows, self.now).expect("rows that can be read");
--- a/crates/hollowford-jobs/tests/common/plays.rs
+++ b/crates/hollowford-jobs/tests/common/plays.rs
@@ -160,13 +160,13 @@
                 (LARGE, job(vec![gang]))
             }
             7 => {
-                let last = RawStep { depends: vec![0], ..step(2, 1_000, ms) };
+                let last = RawStep { depends_on: vec![0], ..step(2, 1_000, ms) };
                 (QUICK, job(vec![step(2, 1_000, ms), last]))
             }
             8 => {
                 let tasks = rng.u32(1..3);
                 self.lasting.insert(id, tasks as usize);
-                (LARGE, job(vec![RawStep { lasting: true, ..step(tasks, 1_000, 0) }]))
+                (LARGE, job(vec![RawStep { service: true, ..step(tasks, 1_000, 0) }]))
             }
             _ => (QUICK, repeated(at, step(1, 1_000, ms))),
         }
@@ -229,7 +229,7 @@
             if now < at || self.kept.contains(&id) {
                 continue;
             }
-            match self.cell.engine.is_kept(JobId(id)) {
+            match self.cell.engine.is_durable(JobId(id)) {
                 Some(true) => drop(self.kept.insert(id)),
                 Some(false) => {}
                 None => drop(self.cell.submit(id, queue, spec)),
--- a/crates/hollowford-jobs/tests/common/worker.rs
+++ b/crates/hollowford-jobs/tests/common/worker.rs
@@ -257,7 +257,7 @@
                 return StartAnswer::Old;
             }
             self.starts += 1;
-            let room = spec.room();
+            let room = spec.allocation();
             let until = self.now + Millis(spec.estimate_ms * self.slow);
             self.running.insert(task, Run { run, room, until, gang: 0, since: self.now });
         }
--- a/crates/hollowford-jobs/tests/conserving.rs
+++ b/crates/hollowford-jobs/tests/conserving.rs
@@ -41,8 +41,8 @@
 const GANGS: f64 = 0.7;
 const SURVEY: &str = "survey";
 
-fn cost(decide_ms: f64, per_worker_ms: f64) -> Option<AdviceCost> {
-    Some(AdviceCost { decide_ms, per_worker_ms, validity: Millis(2_000) })
+fn cost(base_ms: f64, per_worker_ms: f64) -> Option<AdviceCost> {
+    Some(AdviceCost { base_ms, per_worker_ms, ticket_validity: Millis(2_000) })
 }
 
 fn cell() -> Cell {
@@ -57,8 +57,9 @@
         .map(|(q, percent)| (q.into(), percent))
         .collect();
     cell.advice_takes_time = true;
-    let seats: Vec<_> = (0..SEATS).map(|i| Seat { address: format!("s{i}").into() }).collect();
-    cell.engine.set_seats(&seats);
+    let seats: Vec<_> =
+        (0..SEATS).map(|i| AdviceChannel { address: format!("s{i}").into() }).collect();
+    cell.engine.set_advice_channels(&seats);
     (cell.crashes.down, cell.crashes.after) = (Millis(3_300), Millis(10));
     cell
 }
@@ -68,7 +69,7 @@
     let mut sized = |count: u64, cpu: u64, memory: u64, ms: u64| {
         let (count, cpu) = (about(rng, count).max(1) as u32, about(rng, cpu) as u32);
         let raw = step(count, cpu, about(rng, ms));
-        RawStep { need: Resources::new(cpu, about(rng, memory) as u32, 0), ..raw }
+        RawStep { resources: Resources::new(cpu, about(rng, memory) as u32, 0), ..raw }
     };
     match kind {
         0 => (QUICK, sized(2, 1_400, 5_000, 640)),
@@ -112,7 +113,7 @@
     let spec = &cell.specs[&step.job].steps[step.step as usize];
     let wanted = if spec.gang { spec.count } else { 1 };
     let places = |w: &worker::SimWorker| {
-        let (need, free) = (spec.room(), w.capacity.minus(&w.used()));
+        let (need, free) = (spec.allocation(), w.capacity.minus(&w.used()));
         (free.cpu_milli / need.cpu_milli.max(1)).min(free.memory_mib / need.memory_mib.max(1))
     };
     up().filter(|w| cell.may_run(step, &w.id)).map(places).sum::<u32>() >= 2 * wanted
--- a/crates/hollowford-jobs/tests/crashes.rs
+++ b/crates/hollowford-jobs/tests/crashes.rs
@@ -154,8 +154,8 @@
 #[test]
 fn a_later_step_and_a_task_that_lasts_are_given_up_as_well() {
     for last in [
-        RawStep { depends: vec![0], ..step(1, 1_000, 100) },
-        RawStep { depends: vec![0], lasting: true, ..step(1, 1_000, 0) },
+        RawStep { depends_on: vec![0], ..step(1, 1_000, 100) },
+        RawStep { depends_on: vec![0], service: true, ..step(1, 1_000, 0) },
     ] {
         let mut cell = cell(8, 3_300);
         // The first step ends before a worker would crash under it.
@@ -343,7 +343,7 @@
 #[test]
 fn a_task_that_lasts_is_not_given_up_for_crashes_far_apart() {
     let mut cell = cell(4, 3_300);
-    let lasting = RawStep { lasting: true, ..step(1, 1_000, 0) };
+    let lasting = RawStep { service: true, ..step(1, 1_000, 0) };
     cell.workers.iter_mut().for_each(|w| w.lasts = true);
     cell.submit(2, LARGE, job(vec![lasting]));
     for _ in 0..6 {
--- a/crates/hollowford-jobs/tests/gangs.rs
+++ b/crates/hollowford-jobs/tests/gangs.rs
@@ -17,14 +17,15 @@
 const SEATS: usize = 49;
 /// The advice that relocations take.
 const SLOW: AdviceCost =
-    AdviceCost { decide_ms: 390.0, per_worker_ms: 5.6, validity: Millis(2_000) };
+    AdviceCost { base_ms: 390.0, per_worker_ms: 5.6, ticket_validity: Millis(2_000) };
 
 /// A cell in which the step of a gang may run on three workers of ten.
 fn cell() -> Cell {
     let mut cell = Cell::new(WORKERS);
     cell.set_queues(vec![queue(QUICK, 0, None), queue(LARGE, 1, Some(SLOW))]);
-    let seats: Vec<_> = (0..SEATS).map(|i| Seat { address: format!("s{i}").into() }).collect();
-    cell.engine.set_seats(&seats);
+    let seats: Vec<_> =
+        (0..SEATS).map(|i| AdviceChannel { address: format!("s{i}").into() }).collect();
+    cell.engine.set_advice_channels(&seats);
     cell.advice_takes_time = true;
     let barred = (0..WORKERS).filter(|i| i % 10 >= 3);
     cell.barred = barred.map(|i| format!("w{i}").as_str().into()).collect();
--- a/crates/hollowford-jobs/tests/leaving.rs
+++ b/crates/hollowford-jobs/tests/leaving.rs
@@ -8,9 +8,9 @@
 use hollowford_jobs::*;
 
 /// A cell in which one of two workers runs a task and then says that it leaves.
-fn leaving(checkpoints: bool, ms: u64) -> (Cell, usize) {
+fn leaving(resumable: bool, ms: u64) -> (Cell, usize) {
     let mut cell = Cell::new(2);
-    cell.submit(1, LARGE, job(vec![RawStep { checkpoints, ..step(1, 1_000, ms) }]));
+    cell.submit(1, LARGE, job(vec![RawStep { resumable, ..step(1, 1_000, ms) }]));
     cell.run(1_500);
     let at = cell.workers.iter().position(|w| w.starts == 1).expect("a worker");
     cell.workers[at].leaving = true;
--- a/crates/hollowford-jobs/tests/outages.rs
+++ b/crates/hollowford-jobs/tests/outages.rs
@@ -13,7 +13,7 @@
     let mut cell = Cell::new(3);
     cell.submit(1, LARGE, job(vec![step(1, 1_000, ms)]));
     cell.run(50);
-    assert_eq!(cell.engine.is_kept(JobId(1)), Some(true));
+    assert_eq!(cell.engine.is_durable(JobId(1)), Some(true));
     cell.store_up = false;
     cell
 }
--- a/crates/hollowford-jobs/tests/restarts.rs
+++ b/crates/hollowford-jobs/tests/restarts.rs
@@ -176,7 +176,7 @@
 #[test]
 fn tickets_of_the_earlier_life_are_not_used_for_the_next_one() {
     let mut cell = Cell::new(1);
-    let cost = AdviceCost { decide_ms: 5.0, per_worker_ms: 0.1, validity: Millis(60_000) };
+    let cost = AdviceCost { base_ms: 5.0, per_worker_ms: 0.1, ticket_validity: Millis(60_000) };
     cell.set_queues(vec![queue(QUICK, 0, Some(cost)), queue(LARGE, 1, None)]);
     cell.submit(1, QUICK, job(vec![step(2, 16_000, 2_000)]));
     cell.run(100);
@@ -279,7 +279,7 @@
     let row = WorkerAddress { life: unnamed(&listing.life), address: listing.address.clone() };
     cell.rows.insert("workers".into(), encode_workers(&[row]));
     cell.take_over_unlisted();
-    cell.engine.set_seats(&[Seat { address: "".into() }]);
+    cell.engine.set_advice_channels(&[AdviceChannel { address: "".into() }]);
     let old = WorkerListing { life: unnamed(&listing.life), ..listing };
     cell.engine.list_workers(&[old], cell.now);
     cell.run(500);
@@ -460,7 +460,7 @@
 #[test]
 fn a_ticket_that_was_asked_for_the_earlier_life_is_not_used_for_the_next_one() {
     let mut cell = Cell::new(1);
-    let cost = AdviceCost { decide_ms: 1_000.0, per_worker_ms: 0.1, validity: Millis(60_000) };
+    let cost = AdviceCost { base_ms: 1_000.0, per_worker_ms: 0.1, ticket_validity: Millis(60_000) };
     cell.set_queues(vec![queue(QUICK, 0, Some(cost)), queue(LARGE, 1, None)]);
     cell.advice_takes_time = true;
     cell.submit(1, QUICK, job(vec![step(1, 1_000, 500)]));
@@ -504,7 +504,7 @@
     cell.engine.looked_late(&row.life, answer.clone(), sent, cell.now);
     cell.engine.looked(&row.life, answer, cell.now, cell.now);
     cell.list();
-    cell.engine.set_seats(&[Seat { address: "".into() }]);
+    cell.engine.set_advice_channels(&[AdviceChannel { address: "".into() }]);
     cell.run(1_000);
     assert!(is_used(&mut cell, 2));
 }
--- a/crates/hollowford-jobs/tests/sharing.rs
+++ b/crates/hollowford-jobs/tests/sharing.rs
@@ -6,12 +6,12 @@
 use hollowford_core::Millis;
 use hollowford_jobs::*;
 
-fn serving(latency_ms: u64) -> RawStep {
-    RawStep { lasting: true, latency_ms, ..step(1, 4_000, 0) }
+fn serving(latency_target_ms: u64) -> RawStep {
+    RawStep { service: true, latency_target_ms, ..step(1, 4_000, 0) }
 }
 
 fn filling() -> RawStep {
-    RawStep { filler: true, ..step(2, 8_000, 60_000) }
+    RawStep { best_effort: true, ..step(2, 8_000, 60_000) }
 }
 
 /// A worker with one serving task, and two that fill and add 100 ms each at full pace.
--- a/crates/hollowford-jobs/tests/steps.rs
+++ b/crates/hollowford-jobs/tests/steps.rs
@@ -21,7 +21,7 @@
 #[test]
 fn a_step_starts_after_all_that_it_depends_on() {
     let mut cell = Cell::new(2);
-    let last = RawStep { depends: vec![0, 1], ..step(2, 1_000, 100) };
+    let last = RawStep { depends_on: vec![0, 1], ..step(2, 1_000, 100) };
     cell.submit(1, LARGE, job(vec![step(3, 1_000, 300), step(1, 1_000, 700), last]));
     cell.run(600);
     assert_eq!(begun(&cell), 4);
@@ -66,7 +66,7 @@
 #[test]
 fn a_step_spreads_over_workers_as_far_as_it_asks() {
     let mut cell = Cell::new(4);
-    cell.submit(1, LARGE, job(vec![RawStep { spread: 2, ..step(7, 1_000, 1_000) }]));
+    cell.submit(1, LARGE, job(vec![RawStep { max_per_worker: 2, ..step(7, 1_000, 1_000) }]));
     cell.run(300);
     assert_eq!(cell.running(), 7);
     assert!(cell.workers.iter().all(|w| w.running.len() <= 2));
@@ -75,11 +75,11 @@
 #[test]
 fn a_step_runs_only_on_workers_with_the_label_that_it_requires() {
     let mut cell = Cell::new(2);
-    let wanted = RawStep { requires: "b".into(), ..step(1, 1_000, 100) };
+    let wanted = RawStep { required_label: "b".into(), ..step(1, 1_000, 100) };
     cell.submit(1, LARGE, job(vec![wanted]));
     cell.run(500);
     assert_eq!(begun(&cell), 0);
-    let found = RawStep { requires: "a".into(), ..step(1, 1_000, 100) };
+    let found = RawStep { required_label: "a".into(), ..step(1, 1_000, 100) };
     cell.submit(2, LARGE, job(vec![found]));
     cell.run(500);
     assert_eq!(cell.state(2), Some(JobState::Completed));
--- a/crates/hollowford-jobs/tests/takeover.rs
+++ b/crates/hollowford-jobs/tests/takeover.rs
@@ -34,7 +34,7 @@
     let mut cell = busy(2, 60_000);
     cell.workers[0].reachable = false;
     cell.take_over();
-    let lapse = cell.now + BOUNDS.earlier_lease;
+    let lapse = cell.now + BOUNDS.previous_lease;
     while cell.now < lapse {
         cell.run(100);
         cell.judge_twice();
--- a/crates/hollowford-jobs/tests/unwritten.rs
+++ b/crates/hollowford-jobs/tests/unwritten.rs
@@ -59,7 +59,7 @@
     let mut cell = cell(after);
     cell.crashes.down = Millis(1_000);
     submit(&mut cell);
-    until(&mut cell, |c| c.engine.is_kept(JobId(CRASHER)) == Some(true));
+    until(&mut cell, |c| c.engine.is_durable(JobId(CRASHER)) == Some(true));
     cell.store_up = false;
     cell.crashes.in_touch = false;
     cell.run(outage);
--- a/crates/hollowford-node/src/access_tests.rs
+++ b/crates/hollowford-node/src/access_tests.rs
@@ -30,7 +30,7 @@
         accounts: Some(vec![Account {
             name: "a".into(),
             policy: AccountPolicy::default(),
-            owed_per_s: 0,
+            guaranteed_jobs_per_s: 0,
         }]),
         credentials,
     }
--- a/crates/hollowford-node/src/callers.rs
+++ b/crates/hollowford-node/src/callers.rs
@@ -60,7 +60,7 @@
     ) {
         let job = JobId(call.job);
         let verb = call.verb();
-        if verb != Verb::Waiting && !engine.may_touch(job, &call.account) {
+        if verb != Verb::Waiting && !engine.may_access(job, &call.account) {
             // Nobody is told of another account's job, nor whether there is one, but by handing in
             // the same id.
             let said = if verb == Verb::Submit { Said::NotYours } else { Said::NoJob };
@@ -74,14 +74,16 @@
                 None => Some(Said::NoJob),
             },
             Verb::Waiting => {
-                return reply.send(call.id, Said::Value, engine.waiting(&call.queue) as u64);
+                return reply.send(call.id, Said::Value, engine.waiting_jobs(&call.queue) as u64);
             }
             Verb::Cancel => match engine.cancel(job, now) {
                 CancelAnswer::Ended => Some(Said::Done),
-                CancelAnswer::Unknown => Some(Said::NoJob),
+                CancelAnswer::UnknownJob => Some(Said::NoJob),
                 CancelAnswer::Pending => None,
             },
-            Verb::Submit if !admitted && engine.is_kept(job).is_none() => Some(Said::Unavailable),
+            Verb::Submit if !admitted && engine.is_durable(job).is_none() => {
+                Some(Said::Unavailable)
+            }
             Verb::Submit => submit(engine, job, &call, now),
         };
         match said {
@@ -99,7 +101,7 @@
         self.by_job.retain(|&job, waiters| {
             let state = engine.state(job);
             let ended = state.is_some_and(JobState::is_final);
-            let kept = engine.is_kept(job) == Some(true);
+            let kept = engine.is_durable(job) == Some(true);
             let ready = |w: &mut Waiter| if w.verb == Verb::Submit { kept } else { ended };
             for w in waiters.extract_if(.., ready) {
                 w.answer(engine, job, Said::Done);
@@ -162,9 +164,9 @@
         }
     };
     match engine.submit(job, &call.account, &call.queue, spec, now) {
-        SubmitAnswer::Kept => Some(Said::Done),
+        SubmitAnswer::Durable => Some(Said::Done),
         SubmitAnswer::Pending => None,
-        SubmitAnswer::NoQueue => Some(Said::NoQueue),
-        SubmitAnswer::NotYours => Some(Said::NotYours),
+        SubmitAnswer::UnknownQueue => Some(Said::NoQueue),
+        SubmitAnswer::OtherAccount => Some(Said::NotYours),
     }
 }
--- a/crates/hollowford-node/src/calls.rs
+++ b/crates/hollowford-node/src/calls.rs
@@ -5,7 +5,7 @@
 use crate::wire::Advice;
 use hollowford_adapter::{Called, WorkerClient};
 use hollowford_core::Millis;
-use hollowford_jobs::{Advised, LookAnswer, Seat, StartAnswer, StepKey, WorkerCall};
+use hollowford_jobs::{AdviceChannel, Advised, LookAnswer, StartAnswer, StepKey, WorkerCall};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::timeout;
@@ -134,7 +134,7 @@
 /// Makes a call for advice from this process and tells its owner what came of it.
 pub async fn advise_here(
     shared: Arc<Shared>,
-    seat: Seat,
+    seat: AdviceChannel,
     step: StepKey,
     workers: Vec<String>,
     handle: OwnerHandle,
--- a/crates/hollowford-node/src/inbox.rs
+++ b/crates/hollowford-node/src/inbox.rs
@@ -9,7 +9,7 @@
 use crate::writer::Written;
 use hollowford_adapter::Called;
 use hollowford_core::Millis;
-use hollowford_jobs::{Advised, Seat, StepKey, WorkerCall, WorkerListing};
+use hollowford_jobs::{AdviceChannel, Advised, StepKey, WorkerCall, WorkerListing};
 use tokio::sync::{mpsc, oneshot};
 
 /// Messages that wait for the owner; calls beyond are refused.
@@ -36,7 +36,7 @@
     /// An answer of the service for advice.
     Advised {
         /// Who asked.
-        seat: Seat,
+        seat: AdviceChannel,
         /// The step.
         step: StepKey,
         /// Who may run it, and how long the tickets hold.
--- a/crates/hollowford-node/src/load.rs
+++ b/crates/hollowford-node/src/load.rs
@@ -53,7 +53,7 @@
         engine.set_accounts(accounts);
     }
     if cx.shared.had_outage_within(OUTAGE_COUNTS_FOR) {
-        engine.note_outage_before();
+        engine.set_store_outage_before();
     }
     let rows: Vec<_> = feed.rows.into_iter().map(|r| (r.key, r.value)).collect();
     match engine.recover(&rows, feed.now) {
--- a/crates/hollowford-node/src/members.rs
+++ b/crates/hollowford-node/src/members.rs
@@ -9,7 +9,7 @@
 use crate::worker_changes::WorkerChanges;
 use heartbeats::HEARTBEAT;
 use hollowford_core::Millis;
-use hollowford_jobs::{Seat, StepKey};
+use hollowford_jobs::{AdviceChannel, StepKey};
 use std::cmp::Reverse;
 use std::sync::Arc;
 
@@ -164,10 +164,10 @@
 
     /// Returns the seats for calls for advice, this process first. Each member makes the calls
     /// of one partition, since the service takes one call of an instance at a time.
-    pub fn seats(&self) -> Vec<Seat> {
-        let here = Seat { address: "".into() };
+    pub fn seats(&self) -> Vec<AdviceChannel> {
+        let here = AdviceChannel { address: "".into() };
         let ours = |m: &&Member| home_of_seat(&m.address, self.partitions) == self.owner.partition;
-        let others = self.live().filter(ours).map(|m| Seat { address: m.address.clone() });
+        let others = self.live().filter(ours).map(|m| AdviceChannel { address: m.address.clone() });
         std::iter::once(here).chain(others).collect()
     }
 
--- a/crates/hollowford-node/src/owner.rs
+++ b/crates/hollowford-node/src/owner.rs
@@ -134,7 +134,7 @@
     /// Owns the partition until it is lost or given up.
     pub async fn run(mut self, mut rx: mpsc::Receiver<OwnerMsg>) -> OwnerEnd {
         tokio::spawn(registry::follow(self.cx.clone(), self.handle.clone()));
-        self.engine.set_seats(&self.members.seats());
+        self.engine.set_advice_channels(&self.members.seats());
         while self.end.is_none() {
             if let Ok(Some(msg)) = timeout(TICK, rx.recv()).await {
                 self.take(msg);
@@ -174,7 +174,7 @@
                 }
             }
             OwnerMsg::Advised { seat, step, answer } => {
-                self.engine.advised(&seat, step, answer, now);
+                self.engine.advice_answered(&seat, step, answer, now);
             }
             OwnerMsg::Written { batch, written } => self.take_written(batch, written, now),
             OwnerMsg::Listings(list) => {
@@ -210,7 +210,7 @@
         if all_told || (self.members_changed && gathered) {
             self.members_changed = false;
             self.members_told = now;
-            self.engine.set_seats(&self.members.seats());
+            self.engine.set_advice_channels(&self.members.seats());
             self.delegation.set_members(self.members.delegates(), now);
         }
     }
@@ -293,7 +293,7 @@
     fn take_config(&mut self, now: Millis) {
         if self.settings.has_changed().unwrap_or(false) {
             let bounds = self.settings.borrow_and_update().bounds;
-            self.engine.set_bounds(bounds);
+            self.engine.set_time_limits(bounds);
         }
         let version = self.cx.shared.config_version();
         if version != self.config
--- a/crates/hollowford-node/src/owner/view.rs
+++ b/crates/hollowford-node/src/owner/view.rs
@@ -56,7 +56,7 @@
         let part = self.cx.partition.part.clone();
         let gauge = &self.cx.shared.metrics.account_used_milli;
         let mut lines = 0;
-        for a in self.engine.account_uses() {
+        for a in self.engine.account_usage() {
             gauge.with_label_values(&[part.as_str(), &a.name]).set(a.used.cpu_milli as i64);
             if a.is_over(AT_QUOTA_PERCENT) && lines < MOST_QUOTA_LINES {
                 lines += 1;
--- a/crates/hollowford-node/src/owner/worker_calls.rs
+++ b/crates/hollowford-node/src/owner/worker_calls.rs
@@ -57,7 +57,7 @@
                 tokio::spawn(call_from_here(shared, workers, call, limit, now, handle));
             }
             Order::Advice { seat, step, workers } => {
-                let Some(seat) = self.engine.seat(seat).cloned() else { return };
+                let Some(seat) = self.engine.advice_channel(seat).cloned() else { return };
                 let ids: Vec<String> = workers.iter().map(|w| w.as_str().to_owned()).collect();
                 if seat.address.is_empty() {
                     let (shared, handle) = (self.cx.shared.clone(), self.handle.clone());
--- a/crates/hollowford-node/src/peers.rs
+++ b/crates/hollowford-node/src/peers.rs
@@ -7,7 +7,7 @@
 use crate::partition::{Partition, Route};
 use crate::shared::Shared;
 use crate::wire::{Advice, Body, Heartbeat, Hello, OwnerInfo, Plan};
-use hollowford_jobs::{Seat, TaskKey};
+use hollowford_jobs::{AdviceChannel, TaskKey};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
@@ -133,7 +133,7 @@
             log::warn!("advice.malformed step={}", advice.step);
             return;
         };
-        let seat = Seat { address: self.address.clone() };
+        let seat = AdviceChannel { address: self.address.clone() };
         let answer = read_advice(advice);
         self.owner.send(OwnerMsg::Advised { seat, step, answer }).await;
     }
