--- a/crates/hollowford-jobs/src/accounts.rs
+++ b/crates/hollowford-jobs/src/accounts.rs
@@ -33,27 +33,33 @@
 
 /// What the engine knows of one account.
 #[derive(Clone, Debug)]
-struct State {
+struct AccountState {
     name: Arc<str>,
     policy: AccountPolicy,
     /// What its tasks hold, or may hold.
     used: Totals,
     /// Part of its quota that is kept for a gang of its own.
-    kept: Option<Totals>,
+    reserved: Option<Totals>,
     allowance: Allowance,
 }
 
-impl State {
-    fn new(name: Arc<str>) -> State {
+impl AccountState {
+    fn new(name: Arc<str>) -> AccountState {
         let policy = AccountPolicy::default();
-        State { name, policy, used: Totals::default(), kept: None, allowance: Allowance::default() }
+        AccountState {
+            name,
+            policy,
+            used: Totals::default(),
+            reserved: None,
+            allowance: Allowance::default(),
+        }
     }
 }
 
 /// All accounts that jobs belong to, or that the configuration names.
 #[derive(Debug, Default)]
 pub(crate) struct Accounts {
-    list: Vec<State>,
+    list: Vec<AccountState>,
     by_name: FxHashMap<Arc<str>, AccountIdx>,
 }
 
@@ -65,7 +71,7 @@
         }
         let name: Arc<str> = name.into();
         let idx = self.list.len() as AccountIdx;
-        self.list.push(State::new(name.clone()));
+        self.list.push(AccountState::new(name.clone()));
         self.by_name.insert(name, idx);
         idx
     }
@@ -83,7 +89,7 @@
 
     /// Counts a job that an account hands in. Tells whether it is owed an answer in time, or comes
     /// beyond what the account is owed.
-    pub fn note_job(&mut self, idx: AccountIdx, now: Millis) -> bool {
+    pub fn record_job(&mut self, idx: AccountIdx, now: Millis) -> bool {
         self.list[idx as usize].allowance.note(now)
     }
 
@@ -97,20 +103,20 @@
     }
 
     /// Begins to count anew.
-    pub fn clear_use(&mut self) {
+    pub fn reset_usage(&mut self) {
         for a in &mut self.list {
             a.used = Totals::default();
-            a.kept = None;
+            a.reserved = None;
         }
     }
 
     /// Counts what one of the account's tasks holds.
-    pub fn take(&mut self, idx: AccountIdx, room: &Resources) {
+    pub fn add_usage(&mut self, idx: AccountIdx, room: &Resources) {
         self.list[idx as usize].used.add(room);
     }
 
     /// Counts what the account's tasks may hold together.
-    fn take_all(&mut self, idx: AccountIdx, rooms: &Totals) {
+    fn add_total_usage(&mut self, idx: AccountIdx, rooms: &Totals) {
         self.list[idx as usize].used.plus(rooms);
     }
 
@@ -122,31 +128,31 @@
             return true;
         }
         let mut used = a.used;
-        if let Some(kept) = &a.kept {
+        if let Some(kept) = &a.reserved {
             used.plus(kept);
         }
         a.policy.allows(&used, need, count)
     }
 
     /// Returns how many more such tasks, at most `most`, stay within the account's quota.
-    pub fn room_for(&self, idx: AccountIdx, need: &Resources, most: usize) -> usize {
+    pub fn allowed_count(&self, idx: AccountIdx, need: &Resources, most: usize) -> usize {
         (0..most).take_while(|&n| self.allows(idx, need, n as u32 + 1)).count()
     }
 
     /// Keeps a part of the account's quota for a gang that can't start yet: its smaller tasks
     /// would use each part of it that comes free. One gang of an account at a time, the most
     /// urgent, and none that is larger than the quota.
-    pub fn keep(&mut self, idx: AccountIdx, need: &Resources, count: u32) {
+    pub fn reserve(&mut self, idx: AccountIdx, need: &Resources, count: u32) {
         let a = &mut self.list[idx as usize];
         let fits = a.policy.allows(&Totals::default(), need, count);
-        if a.policy.is_unlimited() || a.kept.is_some() || !fits {
+        if a.policy.is_unlimited() || a.reserved.is_some() || !fits {
             return;
         }
-        a.kept = Some(Totals::of(need, count));
+        a.reserved = Some(Totals::of(need, count));
     }
 
     /// Returns what each account with a quota holds of it.
-    pub fn uses(&self) -> impl Iterator<Item = AccountUsage> {
+    pub fn usage(&self) -> impl Iterator<Item = AccountUsage> {
         let limited = self.list.iter().filter(|a| !a.policy.is_unlimited());
         limited.map(|a| AccountUsage { name: a.name.clone(), used: a.used, quota: a.policy.quota })
     }
@@ -178,7 +184,7 @@
     /// partition, which grants it all of its quota.
     pub fn set_accounts(&mut self, accounts: &[Account]) {
         self.accounts.set(accounts);
-        self.dirty = true;
+        self.needs_pass = true;
     }
 
     /// Returns the client account that a job belongs to; none when there is no such job.
@@ -190,50 +196,50 @@
 
     /// Returns what each account with a quota holds of it.
     pub fn account_usage(&mut self) -> Vec<AccountUsage> {
-        self.count_use();
-        self.accounts.uses().collect()
+        self.recount_usage();
+        self.accounts.usage().collect()
     }
 
     /// Counts what the accounts have running, or may have.
-    pub(crate) fn count_use(&mut self) {
+    pub(crate) fn recount_usage(&mut self) {
         if !self.accounts.has_quotas() {
             return;
         }
-        self.accounts.clear_use();
+        self.accounts.reset_usage();
         for (_, w) in self.workers.iter() {
             for h in &w.held {
                 // What a job that has ended takes is not known: the whole worker at most.
                 let room = if h.room == Resources::ALL { &w.capacity } else { &h.room };
-                self.accounts.take(h.account, room);
+                self.accounts.add_usage(h.account, room);
             }
         }
         if self.tasks_unsettled {
-            self.count_unsettled();
+            self.count_unsettled_usage();
         }
     }
 
     /// Counts what may run on workers that this owner has not claimed: of each account what its
     /// unsettled tasks take, and no more than those workers have.
-    fn count_unsettled(&mut self) {
+    fn count_unsettled_usage(&mut self) {
         let most = self.workers.iter().fold(Resources::default(), |m, (_, w)| m.most(&w.capacity));
         let mut room = Totals::default();
-        for &idx in &self.unsettled {
+        for &idx in &self.unsettled_workers {
             let capacity = self.workers.get(idx).map_or(most, |w| w.capacity);
             // One that is not listed any more may be as large as any.
             room.add(if capacity == Resources::default() { &most } else { &capacity });
         }
         let mut by_account: FxHashMap<AccountIdx, Totals> = FxHashMap::default();
         for job in self.jobs.open() {
-            by_account.entry(job.account).or_default().plus(&unsettled(job));
+            by_account.entry(job.account).or_default().plus(&unsettled_usage(job));
         }
         for (idx, tasks) in by_account {
-            self.accounts.take_all(idx, &tasks.least(&room));
+            self.accounts.add_total_usage(idx, &tasks.least(&room));
         }
     }
 }
 
 /// Returns what the tasks of a job take that may run on unclaimed workers.
-fn unsettled(job: &Job) -> Totals {
+fn unsettled_usage(job: &Job) -> Totals {
     let mut sum = Totals::default();
     for round in &job.rounds {
         for (step, spec) in round.steps.iter().zip(&job.spec.steps) {
--- a/crates/hollowford-jobs/src/batch.rs
+++ b/crates/hollowford-jobs/src/batch.rs
@@ -120,10 +120,10 @@
         if rows.is_empty() {
             return None;
         }
-        self.batch_no += 1;
+        self.last_batch_number += 1;
         self.in_flight.jobs.extend(note.jobs());
-        self.in_flight.notes.insert(self.batch_no, note);
-        Some(Batch { number: self.batch_no, rows })
+        self.in_flight.notes.insert(self.last_batch_number, note);
+        Some(Batch { number: self.last_batch_number, rows })
     }
 
     /// Removes the rows of jobs that ended long ago.
@@ -166,7 +166,7 @@
         if let Some(list) = note.workers {
             self.workers_recorded(list);
         }
-        self.dirty = true;
+        self.needs_pass = true;
     }
 
     /// Takes a batch out of those under way; what waited for it may be written next.
@@ -229,7 +229,7 @@
         let address =
             |w: &Worker| WorkerAddress { life: w.life.clone(), address: w.address.clone() };
         let lives = self.workers.iter().map(|(_, w)| address(w));
-        let crashed = self.crashed_lives.iter().map(|l| l.address.clone());
+        let crashed = self.crashed_incarnations.iter().map(|l| l.address.clone());
         let list: Vec<_> = lives.chain(crashed).collect();
         rows.push(RowWrite { key: WORKERS_KEY.to_owned(), value: Some(encode_workers(&list)) });
         note.workers = Some(list);
@@ -242,7 +242,7 @@
                 w.recorded = true;
             }
         }
-        self.recorded = list;
+        self.recorded_workers = list;
     }
 
     fn write_jobs(&mut self, now: Millis, rows: &mut Vec<RowWrite>, note: &mut BatchNote) {
--- a/crates/hollowford-jobs/src/choose.rs
+++ b/crates/hollowford-jobs/src/candidate.rs
@@ -7,13 +7,13 @@
 use std::sync::Arc;
 
 /// What a worker that takes twice as long costs in the choice.
-const SLOW_COST: f32 = 1.0;
+const SLOWNESS_WEIGHT: f32 = 1.0;
 /// What a worker off the data's rack costs in the choice, against a full worker's 2.0.
-const FAR_COST: f32 = 4.0;
+const OFF_RACK_COST: f32 = 4.0;
 
 /// A worker that may get tasks in this pass.
 #[derive(Clone, Debug)]
-pub(crate) struct Room {
+pub(crate) struct CandidateWorker {
     pub idx: WorkerIdx,
     pub pool: Arc<str>,
     pub rack: Option<Arc<str>>,
@@ -26,12 +26,12 @@
     /// See [`Worker::slowness`].
     pub slowness: f32,
     /// Tasks have failed here and none has ended well since.
-    pub suspect: bool,
+    pub recently_failed: bool,
 }
 
-impl Room {
-    pub fn of(idx: WorkerIdx, w: &Worker, now: Millis) -> Room {
-        Room {
+impl CandidateWorker {
+    pub fn of(idx: WorkerIdx, w: &Worker, now: Millis) -> CandidateWorker {
+        CandidateWorker {
             idx,
             pool: w.pool.clone(),
             rack: rack_label(&w.labels).cloned(),
@@ -40,7 +40,7 @@
             reserved: Resources::default(),
             reserved_until: Millis(0),
             slowness: w.slowness,
-            suspect: w.health.is_suspect(),
+            recently_failed: w.health.is_suspect(),
         }
     }
 
@@ -53,18 +53,18 @@
     }
 
     /// Returns how many such tasks fit beside what is kept.
-    pub fn count(&self, need: &Resources) -> u32 {
-        copies(need, &self.free.minus(&self.reserved))
+    pub fn unreserved_count(&self, need: &Resources) -> u32 {
+        fit_count(need, &self.free.minus(&self.reserved))
     }
 
     /// Keeps room for a task that is expected to begin at `begin`.
-    pub fn keep(&mut self, need: &Resources, begin: Millis) {
+    pub fn reserve(&mut self, need: &Resources, begin: Millis) {
         let first = self.reserved == Resources::default();
         self.reserved = self.reserved.plus(need);
         self.reserved_until = if first { begin } else { self.reserved_until.min(begin) };
     }
 
-    pub fn take(&mut self, need: &Resources) {
+    pub fn allocate(&mut self, need: &Resources) {
         self.free = self.free.minus(need);
     }
 
@@ -75,7 +75,7 @@
 
     /// Returns how much would be left, from 0 (full) to 2 (empty), with a surcharge when
     /// one of processors and memory would be left without the other.
-    pub fn left_after(&self, need: &Resources) -> f32 {
+    pub fn remaining_score(&self, need: &Resources) -> f32 {
         let left = self.free.minus(need);
         let part = |a: u32, b: u32| if b == 0 { 0.0 } else { a as f32 / b as f32 };
         let cpu = part(left.cpu_milli, self.capacity.cpu_milli);
@@ -85,29 +85,29 @@
 
     /// Returns the cost of placing one task here; the least is taken.
     pub fn cost(&self, spec: &StepSpec) -> f32 {
-        let far = if self.is_far(spec) { FAR_COST } else { 0.0 };
-        self.left_after(&spec.allocation()) + far + self.slow_cost()
+        let far = if self.is_off_data_rack(spec) { OFF_RACK_COST } else { 0.0 };
+        self.remaining_score(&spec.allocation()) + far + self.slowness_cost()
     }
 
     /// Returns the cost of placing a task here under which workers have crashed: the least where the
     /// least is lost by one more crash.
-    pub fn crash_cost(&self) -> f32 {
+    pub fn crash_impact_cost(&self) -> f32 {
         let free = self.free.cpu_milli as f32 / self.capacity.cpu_milli.max(1) as f32;
-        1.0 - free + self.slow_cost()
+        1.0 - free + self.slowness_cost()
     }
 
     /// Returns what the worker's slowness costs in the choice.
-    pub fn slow_cost(&self) -> f32 {
-        (self.slowness - 1.0).max(0.0) * SLOW_COST
+    pub fn slowness_cost(&self) -> f32 {
+        (self.slowness - 1.0).max(0.0) * SLOWNESS_WEIGHT
     }
 
-    fn is_far(&self, spec: &StepSpec) -> bool {
+    fn is_off_data_rack(&self, spec: &StepSpec) -> bool {
         !spec.data_rack.is_empty() && self.rack.as_deref() != Some(&spec.data_rack)
     }
 }
 
 /// Returns how many times `need` fits into `room`.
-pub(crate) fn copies(need: &Resources, room: &Resources) -> u32 {
+pub(crate) fn fit_count(need: &Resources, room: &Resources) -> u32 {
     let times = |n: u32, r: u32| r.checked_div(n).unwrap_or(u32::MAX);
     times(need.cpu_milli, room.cpu_milli)
         .min(times(need.memory_mib, room.memory_mib))
--- a/crates/hollowford-jobs/src/crashes.rs
+++ b/crates/hollowford-jobs/src/crashes.rs
@@ -81,10 +81,10 @@
         let mut runs: Vec<_> = held.map(|h| LostRun::of(h, w.last_answer, now)).collect();
         runs.extend(&w.lost);
         let address = WorkerAddress { life: w.life.clone(), address: w.address.clone() };
-        self.crashed_lives.retain(|l| l.until > now);
-        self.crashed_lives.push(CrashedLife { address, until: now + NAMED_FOR });
+        self.crashed_incarnations.retain(|l| l.until > now);
+        self.crashed_incarnations.push(CrashedLife { address, until: now + NAMED_FOR });
         self.stats.crashes += 1;
-        if self.unsettled.contains(&idx) {
+        if self.unsettled_workers.contains(&idx) {
             self.watch_unsettled();
         }
         // A suspect that has just been started is the likelier cause: what had worked beside it by then
--- a/crates/hollowford-jobs/src/ends.rs
+++ b/crates/hollowford-jobs/src/ends.rs
@@ -126,14 +126,14 @@
         self.note_health(idx, end, now);
         self.count_end(idx, end, step_spec, now);
         self.jobs.progressed(key.step.job);
-        self.dirty = true;
+        self.needs_pass = true;
     }
 
     /// Frees the room of a task that has ended on a worker.
     fn release_ended(&mut self, idx: WorkerIdx, end: &End) {
         let Some(w) = self.workers.get_mut(idx) else { return };
         let held = w.find(end.task, end.run).map(|at| w.release(at));
-        self.dirty |= held.is_some();
+        self.needs_pass |= held.is_some();
         self.notes.push(Note::Ended {
             task: end.task,
             run: end.run,
@@ -156,9 +156,9 @@
 
     fn note_health(&mut self, idx: WorkerIdx, end: &End, now: Millis) {
         if matches!(end.kind, EndKind::Done | EndKind::Failed) {
-            self.failures.note(end.kind == EndKind::Failed);
+            self.task_failures.note(end.kind == EndKind::Failed);
         }
-        let telling = self.failures.telling();
+        let telling = self.task_failures.telling();
         let Some(w) = self.workers.get_mut(idx) else { return };
         match end.kind {
             EndKind::Done => w.health.success(),
--- a/crates/hollowford-jobs/src/engine.rs
+++ b/crates/hollowford-jobs/src/engine.rs
@@ -1,7 +1,8 @@
 //! The state of one partition, and what the passing of time does to it.
 
 use crate::accounts::Accounts;
-use crate::advice::GoodShare;
+use crate::advice::AllowedShare;
+use crate::advice_calls::AdviceChannels;
 use crate::answers::Losses;
 use crate::batch::InFlight;
 use crate::crashes::CrashedLife;
@@ -13,7 +14,6 @@
 use crate::order::{Order, WorkerListing};
 use crate::queue::Queue;
 use crate::rows::WorkerAddress;
-use crate::seats::Seats;
 use crate::workers::{WorkerIdx, Workers};
 use hollowford_core::{InstanceId, Millis};
 use rustc_hash::FxHashMap;
@@ -21,12 +21,12 @@
 use std::sync::Arc;
 
 /// Longest time between two passes over the waiting steps, since room is also foreseen.
-const PASS_EVERY: Millis = Millis(100);
+const FULL_PASS_INTERVAL: Millis = Millis(100);
 /// Passes are at least a millisecond apart for each so many workers: each goes over all of them.
-const WORKERS_FOR_GAP_MS: usize = 250;
+const WORKERS_PER_PASS_GAP_MS: usize = 250;
 /// Shortest time between two rounds of what is due by time at some worker: each goes over all
 /// of them.
-const TEND_EVERY: Millis = Millis(5);
+const UPKEEP_INTERVAL: Millis = Millis(5);
 
 /// Times that hold for a deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -90,20 +90,20 @@
     pub(crate) jobs: Jobs,
     pub(crate) workers: Workers,
     /// Lives of workers that are over; the list may go on naming them for a while.
-    pub(crate) ended_lives: HashSet<WorkerLife>,
+    pub(crate) ended_incarnations: HashSet<WorkerLife>,
     /// The platform's list of workers, by id.
     pub(crate) listings: FxHashMap<InstanceId, WorkerListing>,
     pub(crate) queues: FxHashMap<Arc<str>, Arc<Queue>>,
     pub(crate) accounts: Accounts,
-    pub(crate) seats: Seats,
+    pub(crate) seats: AdviceChannels,
     /// Which share of the workers may run a step, by queue.
-    pub(crate) good_shares: FxHashMap<Arc<str>, GoodShare>,
+    pub(crate) allowed_shares: FxHashMap<Arc<str>, AllowedShare>,
     /// How often workers' answers are lost.
-    pub(crate) losses: Losses,
+    pub(crate) answer_losses: Losses,
     /// How often tasks fail.
-    pub(crate) failures: Failures,
+    pub(crate) task_failures: Failures,
     /// Workers that may still run what an earlier owner ordered.
-    pub(crate) unsettled: BTreeSet<WorkerIdx>,
+    pub(crate) unsettled_workers: BTreeSet<WorkerIdx>,
     /// When none of them can any more.
     pub(crate) settled_at: Millis,
     /// Some tasks wait for the workers above.
@@ -113,21 +113,21 @@
     /// Batches that are under way.
     pub(crate) in_flight: InFlight,
     /// Number of the last batch.
-    pub(crate) batch_no: u64,
+    pub(crate) last_batch_number: u64,
     /// The row of workers as it was written last.
-    pub(crate) recorded: Vec<WorkerAddress>,
+    pub(crate) recorded_workers: Vec<WorkerAddress>,
     /// Lives that have crashed lately, which that row goes on naming.
-    pub(crate) crashed_lives: Vec<CrashedLife>,
+    pub(crate) crashed_incarnations: Vec<CrashedLife>,
     /// Something may be placeable that was not at the last pass.
-    pub(crate) dirty: bool,
+    pub(crate) needs_pass: bool,
     /// A call for advice that wasn't quick was answered since the last pass.
-    pub(crate) seat_freed: bool,
+    pub(crate) slow_call_answered: bool,
     /// When what is due by time at workers was looked after last.
-    pub(crate) tended_at: Millis,
+    pub(crate) last_upkeep_at: Millis,
     /// When the last pass was.
-    pub(crate) passed_at: Millis,
+    pub(crate) last_pass_at: Millis,
     /// When a pass went over all waiting steps last.
-    pub(crate) full_pass_at: Millis,
+    pub(crate) last_full_pass_at: Millis,
     /// Unix time less the engine's, in milliseconds.
     pub(crate) unix_offset: i64,
     pub(crate) stats: Stats,
@@ -149,27 +149,27 @@
             time_limits: time_limits,
             jobs: Jobs::default(),
             workers: Workers::default(),
-            ended_lives: HashSet::new(),
+            ended_incarnations: HashSet::new(),
             listings: FxHashMap::default(),
             queues: FxHashMap::default(),
             accounts: Accounts::default(),
-            seats: Seats::default(),
-            good_shares: FxHashMap::default(),
-            losses: Losses::default(),
-            failures: Failures::default(),
-            unsettled: BTreeSet::new(),
+            seats: AdviceChannels::default(),
+            allowed_shares: FxHashMap::default(),
+            answer_losses: Losses::default(),
+            task_failures: Failures::default(),
+            unsettled_workers: BTreeSet::new(),
             settled_at: now + time_limits.previous_lease,
             tasks_unsettled: false,
             store_outage_before: false,
             in_flight: InFlight::default(),
-            batch_no: 0,
-            recorded: Vec::new(),
-            crashed_lives: Vec::new(),
-            dirty: true,
-            seat_freed: false,
-            tended_at: Millis(0),
-            passed_at: Millis(0),
-            full_pass_at: Millis(0),
+            last_batch_number: 0,
+            recorded_workers: Vec::new(),
+            crashed_incarnations: Vec::new(),
+            needs_pass: true,
+            slow_call_answered: false,
+            last_upkeep_at: Millis(0),
+            last_pass_at: Millis(0),
+            last_full_pass_at: Millis(0),
             unix_offset: 0,
             stats: Stats::default(),
             notes: Vec::new(),
@@ -200,7 +200,7 @@
             self.queues.insert(q.name.clone(), Arc::new(queue));
         }
         self.end_exhausted(now);
-        self.dirty = true;
+        self.needs_pass = true;
     }
 
     /// Puts other times in force, from the next order on.
@@ -216,28 +216,28 @@
     /// Does what is due at `now`. Called after every event and some tens of times a second.
     pub fn poll(&mut self, now: Millis, out: &mut Vec<Order>) {
         self.settle(now);
-        if now.since(self.tended_at) >= TEND_EVERY {
-            self.tended_at = now;
-            self.rounds_due(now);
+        if now.since(self.last_upkeep_at) >= UPKEEP_INTERVAL {
+            self.last_upkeep_at = now;
+            self.add_due_rounds(now);
             self.lapse(now);
             self.look(now, out);
-            self.resend(now, out);
-            self.order_paces(out);
+            self.retry_orders(now, out);
+            self.send_paces(out);
         }
-        let full = now.since(self.full_pass_at) >= PASS_EVERY;
-        let gap = Millis((self.workers.len() / WORKERS_FOR_GAP_MS) as u64);
-        if full || (self.dirty && now.since(self.passed_at) >= gap) {
-            self.dirty = false;
-            self.passed_at = now;
+        let full = now.since(self.last_full_pass_at) >= FULL_PASS_INTERVAL;
+        let gap = Millis((self.workers.len() / WORKERS_PER_PASS_GAP_MS) as u64);
+        if full || (self.needs_pass && now.since(self.last_pass_at) >= gap) {
+            self.needs_pass = false;
+            self.last_pass_at = now;
             if full {
-                self.full_pass_at = now;
+                self.last_full_pass_at = now;
             }
-            self.place(now, full, out);
+            self.run_pass(now, full, out);
         }
     }
 
     /// Adds rounds of jobs with a schedule that have fallen due.
-    fn rounds_due(&mut self, now: Millis) {
+    fn add_due_rounds(&mut self, now: Millis) {
         let unix = now.0 as i64 + self.unix_offset;
         for id in self.jobs.scheduled() {
             let Some(job) = self.jobs.get_mut(id) else { continue };
@@ -256,7 +256,7 @@
             round.into_iter().for_each(Round::mark_unsettled);
             self.jobs.rounds_wait(id);
             self.jobs.progressed(id);
-            self.dirty = true;
+            self.needs_pass = true;
         }
     }
 
@@ -265,18 +265,18 @@
         if !self.tasks_unsettled {
             return;
         }
-        let unclaimed = self.unsettled.len();
+        let unclaimed = self.unsettled_workers.len();
         if now >= self.settled_at && unclaimed > 0 {
             self.watch_unsettled();
-            self.unsettled.clear();
+            self.unsettled_workers.clear();
         }
-        if !self.unsettled.is_empty() {
+        if !self.unsettled_workers.is_empty() {
             return;
         }
         self.mark_settled();
         self.tasks_unsettled = false;
         self.notes.push(Note::Settled { unclaimed });
-        self.dirty = true;
+        self.needs_pass = true;
     }
     /// Takes note that no task can run on a worker that this owner has not claimed.
     pub(crate) fn mark_settled(&mut self) {
--- a/crates/hollowford-jobs/src/gone.rs
+++ b/crates/hollowford-jobs/src/gone.rs
@@ -52,7 +52,7 @@
             self.stop_late_starts(idx, next, now);
         }
         self.free_all(idx, GiveUp::WorkerDead, now);
-        self.ended_lives.insert(worker.clone());
+        self.ended_incarnations.insert(worker.clone());
         self.notes.push(Note::Dead { worker, how, tasks });
         self.forget_worker(idx);
     }
@@ -84,9 +84,9 @@
     }
 
     fn forget_worker(&mut self, idx: WorkerIdx) {
-        self.unsettled.remove(&idx);
+        self.unsettled_workers.remove(&idx);
         self.workers.remove(idx);
-        self.dirty = true;
+        self.needs_pass = true;
     }
 
     fn free_all(&mut self, idx: WorkerIdx, cause: GiveUp, now: Millis) {
@@ -110,6 +110,6 @@
             self.notes.push(Note::GivenUp { task, run, worker: w.life.clone(), cause });
         }
         self.unplace(p, now);
-        self.dirty = true;
+        self.needs_pass = true;
     }
 }
--- a/crates/hollowford-jobs/src/lease.rs
+++ b/crates/hollowford-jobs/src/lease.rs
@@ -43,7 +43,7 @@
     /// Orders the looks that are due.
     pub(crate) fn look(&mut self, now: Millis, out: &mut Vec<Order>) {
         let lease = self.time_limits.lease;
-        let longest = self.losses.look_wait();
+        let longest = self.answer_losses.look_wait();
         for idx in self.workers.indexes() {
             let Some(w) = self.workers.get_mut(idx) else { continue };
             if w.looking || w.look_at > now {
@@ -160,16 +160,16 @@
         self.find_vanished(idx, &look, sent, now);
         self.check_stalled(idx, now);
         self.evacuate(idx, now);
-        self.pace_fillers(idx, &look.running, now);
+        self.pace_best_effort_tasks(idx, &look.running, now);
         self.plan_look(idx, first, now);
     }
 
     /// Takes in that a worker has answered a call.
     pub(crate) fn note_heard(&mut self, idx: WorkerIdx, now: Millis) {
         let Some(w) = self.workers.get_mut(idx) else { return };
-        self.losses.note(w.unanswered > 0);
+        self.answer_losses.note(w.unanswered > 0);
         // A worker that answers again may get tasks.
-        self.dirty |= w.unanswered > 0;
+        self.needs_pass |= w.unanswered > 0;
         if w.unanswered >= SILENT_AFTER {
             let since = now.since(w.last_answer);
             self.notes.push(Note::Silent { worker: w.life.clone(), silent: false, since });
@@ -247,8 +247,8 @@
         if let Some(w) = self.workers.get_mut(idx) {
             w.claimed = true;
         }
-        self.dirty = true;
-        self.unsettled.remove(&idx);
+        self.needs_pass = true;
+        self.unsettled_workers.remove(&idx);
     }
 
     /// Frees what the worker had confirmed before the look and lists no more.
--- a/crates/hollowford-jobs/src/listing.rs
+++ b/crates/hollowford-jobs/src/listing.rs
@@ -22,12 +22,12 @@
             self.take_listing(idx, now);
         }
         for l in listings {
-            if !self.is_known(&l.life) && !self.ended_lives.contains(&l.life) {
+            if !self.is_known(&l.life) && !self.ended_incarnations.contains(&l.life) {
                 let idx = self.workers.insert(Worker::new(l.life.clone(), l.address.clone(), now));
                 self.take_listing(idx, now);
             }
         }
-        self.dirty = true;
+        self.needs_pass = true;
     }
 
     /// Tells whether a life on the list is one that is known already.
--- a/crates/hollowford-jobs/src/lives.rs
+++ b/crates/hollowford-jobs/src/lives.rs
@@ -75,7 +75,7 @@
     ) -> Option<WorkerIdx> {
         let w = self.workers.get(idx)?;
         let (life, address) = (WorkerLife::new(w.life.id().clone(), Some(told)), w.address.clone());
-        if self.ended_lives.contains(&life) {
+        if self.ended_incarnations.contains(&life) {
             return None;
         }
         let next = self
--- a/crates/hollowford-jobs/src/pacing.rs
+++ b/crates/hollowford-jobs/src/pacing.rs
@@ -15,19 +15,19 @@
 
 /// What fills may work at this share, in percent, once a target was missed; the next miss
 /// stops it.
-const SLOWED: u32 = 30;
+const SLOWED_PACE_PERCENT: u32 = 30;
 /// What fills is sped up by this many percent at a time.
-const SPEED_UP: u32 = 20;
+const SPEED_UP_STEP_PERCENT: u32 = 20;
 /// It is sped up while tails are below this part of their targets, in percent.
-const CALM_PERCENT: u64 = 70;
+const CALM_LATENCY_PERCENT: u64 = 70;
 /// Time between two changes on a worker: tails are told over the last half second.
-const SLOW_DOWN_EVERY: Millis = Millis(600);
+const SLOW_DOWN_INTERVAL: Millis = Millis(600);
 /// Time between two steps up, so that a disturbance shows before the next one.
-const SPEED_UP_EVERY: Millis = Millis(1_500);
+const SPEED_UP_INTERVAL: Millis = Millis(1_500);
 
 /// How a worker's serving tasks stand to their targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Tails {
+enum LatencyStatus {
     /// None serves here, or all are well below.
     Calm,
     /// Between calm and missed.
@@ -39,16 +39,21 @@
 impl Engine {
     /// Decides how fast the worker's filling tasks may work, by what it told of its serving
     /// ones.
-    pub(crate) fn pace_fillers(&mut self, idx: WorkerIdx, running: &[Running], now: Millis) {
-        let tails = self.tails(running);
+    pub(crate) fn pace_best_effort_tasks(
+        &mut self,
+        idx: WorkerIdx,
+        running: &[Running],
+        now: Millis,
+    ) {
+        let tails = self.latency_status(running);
         let fills = |t: &TaskKey| self.jobs.step_spec(t.step).is_some_and(|s| s.best_effort);
         let fillers: Vec<TaskKey> = running.iter().map(|r| r.task).filter(fills).collect();
         let Some(w) = self.workers.get_mut(idx) else { return };
         let waited = now.since(w.paced_at);
         let due = match tails {
-            Tails::Missed => waited >= SLOW_DOWN_EVERY,
-            Tails::Calm => waited >= SPEED_UP_EVERY,
-            Tails::Near => false,
+            LatencyStatus::Missed => waited >= SLOW_DOWN_INTERVAL,
+            LatencyStatus::Calm => waited >= SPEED_UP_INTERVAL,
+            LatencyStatus::Near => false,
         };
         if !due || fillers.is_empty() {
             return;
@@ -56,9 +61,9 @@
         let mut changed = false;
         for h in w.held.iter_mut().filter(|h| fillers.contains(&h.task)) {
             let wanted = match tails {
-                Tails::Missed if h.pace_wanted > SLOWED => SLOWED,
-                Tails::Missed => 0,
-                _ => (h.pace_wanted + SPEED_UP).min(FULL_PACE),
+                LatencyStatus::Missed if h.pace_wanted > SLOWED_PACE_PERCENT => SLOWED_PACE_PERCENT,
+                LatencyStatus::Missed => 0,
+                _ => (h.pace_wanted + SPEED_UP_STEP_PERCENT).min(FULL_PACE),
             };
             changed |= wanted != h.pace_wanted;
             h.pace_wanted = wanted;
@@ -68,8 +73,8 @@
         }
     }
 
-    fn tails(&self, running: &[Running]) -> Tails {
-        let mut worst = Tails::Calm;
+    fn latency_status(&self, running: &[Running]) -> LatencyStatus {
+        let mut worst = LatencyStatus::Calm;
         for r in running {
             let Some(spec) = self.jobs.step_spec(r.task.step) else { continue };
             if !spec.service || spec.latency_target_ms == 0 {
@@ -77,17 +82,17 @@
             }
             let tail = u64::from(r.load);
             if tail > spec.latency_target_ms {
-                return Tails::Missed;
+                return LatencyStatus::Missed;
             }
-            if tail * 100 > spec.latency_target_ms * CALM_PERCENT {
-                worst = Tails::Near;
+            if tail * 100 > spec.latency_target_ms * CALM_LATENCY_PERCENT {
+                worst = LatencyStatus::Near;
             }
         }
         worst
     }
 
     /// Orders the paces that are not in force yet.
-    pub(crate) fn order_paces(&mut self, out: &mut Vec<Order>) {
+    pub(crate) fn send_paces(&mut self, out: &mut Vec<Order>) {
         for idx in self.workers.indexes() {
             let Some(w) = self.workers.get_mut(idx) else { continue };
             let (worker, address, limit) = (w.life.clone(), w.address.clone(), w.answer_limit());
--- a/crates/hollowford-jobs/src/place.rs
+++ b/crates/hollowford-jobs/src/placement.rs
@@ -1,40 +1,40 @@
 //! Placing the tasks of the steps that wait.
 
 use crate::accounts::AccountIdx;
-use crate::advice::{Standing, StepAdvice};
-use crate::choose::Room;
+use crate::advice::{AdviceStatus, StepAdvice};
+use crate::advice_calls::AdviceCall;
+use crate::candidate::CandidateWorker;
 use crate::engine::Engine;
 use crate::job::Task;
 use crate::order::Order;
 use crate::pass::Pass;
 use crate::queue::Queue;
-use crate::reserve::Plan;
-use crate::seats::Want;
+use crate::reservation::StartPlan;
 use crate::spec::{JobSpec, StepKey, StepSpec};
-use crate::urgency::Waiting;
+use crate::urgency::WaitingStep;
 use crate::workers::{Placement, WorkerIdx};
 use hollowford_core::Millis;
 use std::sync::Arc;
 
 /// Steps that a pass tries without placing any task of theirs, the most urgent first. Passes
 /// come with every event, so each may cost little; every tenth of a second one tries them all.
-const TRIES: usize = 200;
+const MAX_UNPLACED_STEPS: usize = 200;
 
 /// The step that is being placed.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Placing<'a> {
+pub(crate) struct StepPlacement<'a> {
     pub key: StepKey,
     /// The client account of its job.
     pub account: AccountIdx,
     /// The job's acceptance is in the store, so that tasks may start.
-    pub kept: bool,
+    pub durable: bool,
     pub spec: &'a StepSpec,
     pub queue: &'a Queue,
 }
 
 /// A task that may be started.
 #[derive(Clone, Copy, Debug)]
-struct Candidate {
+struct ReadyTask {
     index: u32,
     /// The highest run that is known.
     run: u32,
@@ -47,18 +47,18 @@
 impl Engine {
     /// Starts what can be started, and asks for the advice that is missing. A full pass tries
     /// all steps that wait.
-    pub(crate) fn place(&mut self, now: Millis, full: bool, out: &mut Vec<Order>) {
-        self.give_up_calls(now);
+    pub(crate) fn run_pass(&mut self, now: Millis, full: bool, out: &mut Vec<Order>) {
+        self.expire_advice_calls(now);
         let steps = self.waiting_steps(now);
         if steps.is_empty() {
             return;
         }
-        self.count_use();
+        self.recount_usage();
         let usable = self.workers.iter().filter(|(_, w)| w.usable(now) && w.recorded);
-        let rooms = usable.map(|(i, w)| Room::of(i, w, now)).collect();
-        let asks_again = full || std::mem::take(&mut self.seat_freed);
+        let rooms = usable.map(|(i, w)| CandidateWorker::of(i, w, now)).collect();
+        let asks_again = full || std::mem::take(&mut self.slow_call_answered);
         let mut pass = Pass::new(now, asks_again, rooms);
-        let mut tries = if full { usize::MAX } else { TRIES };
+        let mut tries = if full { usize::MAX } else { MAX_UNPLACED_STEPS };
         for waiting in steps {
             let before = out.len();
             self.place_step(&mut pass, &waiting, out);
@@ -68,38 +68,38 @@
                 break;
             }
         }
-        for (waiting, plan) in std::mem::take(&mut pass.asking) {
-            self.ask_beside(&pass, &waiting, plan.as_ref(), out);
+        for (waiting, plan) in std::mem::take(&mut pass.deferred_gangs) {
+            self.ask_concurrently(&pass, &waiting, plan.as_ref(), out);
         }
     }
 
     /// Makes another call for a gang beside the one under way.
-    fn ask_beside(
+    fn ask_concurrently(
         &mut self,
         pass: &Pass,
-        waiting: &Waiting,
-        plan: Option<&Plan>,
+        waiting: &WaitingStep,
+        plan: Option<&StartPlan>,
         out: &mut Vec<Order>,
     ) {
         let key = waiting.key;
-        let Some((job, queue, account)) = self.parts_of(key) else { return };
+        let Some((job, queue, account)) = self.placement_inputs(key) else { return };
         let Some(spec) = job.steps.get(key.step as usize) else { return };
-        let gang = Placing { key, account, kept: waiting.kept, spec, queue: &queue };
+        let gang = StepPlacement { key, account, durable: waiting.durable, spec, queue: &queue };
         self.ask_for_gang(pass, gang, plan, out);
     }
 
     /// Returns what a step is placed by: its job's specification, its queue and its client account.
-    fn parts_of(&self, key: StepKey) -> Option<(Arc<JobSpec>, Arc<Queue>, AccountIdx)> {
+    fn placement_inputs(&self, key: StepKey) -> Option<(Arc<JobSpec>, Arc<Queue>, AccountIdx)> {
         let job = self.jobs.get(key.job)?;
         let queue = self.queues.get(&job.queue)?;
         Some((job.spec.clone(), queue.clone(), job.account))
     }
 
-    fn place_step(&mut self, pass: &mut Pass, waiting: &Waiting, out: &mut Vec<Order>) {
+    fn place_step(&mut self, pass: &mut Pass, waiting: &WaitingStep, out: &mut Vec<Order>) {
         let key = waiting.key;
-        let Some((job, queue, account)) = self.parts_of(key) else { return };
+        let Some((job, queue, account)) = self.placement_inputs(key) else { return };
         let Some(spec) = job.steps.get(key.step as usize) else { return };
-        let step = Placing { key, account, kept: waiting.kept, spec, queue: &queue };
+        let step = StepPlacement { key, account, durable: waiting.durable, spec, queue: &queue };
         if spec.gang {
             self.place_gang(pass, waiting, step, out);
         } else {
@@ -107,24 +107,24 @@
         }
     }
 
-    fn place_tasks(&mut self, pass: &mut Pass, step: Placing<'_>, out: &mut Vec<Order>) {
+    fn place_tasks(&mut self, pass: &mut Pass, step: StepPlacement<'_>, out: &mut Vec<Order>) {
         let tasks = self.waiting_tasks(step.key, pass.now);
         let waiting = tasks.len();
         let (started, shunned) =
-            if step.kept { self.start_tasks(pass, step, tasks, out) } else { (0, None) };
+            if step.durable { self.start_tasks(pass, step, tasks, out) } else { (0, None) };
         // What the account's quota holds back needs neither advice nor room.
         let room = step.spec.allocation();
-        let left = self.accounts.room_for(step.account, &room, waiting - started);
+        let left = self.accounts.allowed_count(step.account, &room, waiting - started);
         if left == 0 {
             return;
         }
-        if let Some(cost) = self.askable(pass, step)
-            && let Some(workers) = self.to_ask(pass, step, left, shunned)
+        if let Some(cost) = self.single_call_cost(pass, step)
+            && let Some(workers) = self.workers_to_ask_for(pass, step, left, shunned)
         {
-            self.ask(Want { step: step.key, workers, cost }, pass.now, out);
+            self.ask(AdviceCall { step: step.key, workers, cost }, pass.now, out);
         }
         // After asking, which goes by the room that is not kept for others.
-        if step.kept {
+        if step.durable {
             self.reserve_for_large(pass, step, left);
         }
     }
@@ -134,38 +134,38 @@
     fn start_tasks(
         &mut self,
         pass: &mut Pass,
-        step: Placing<'_>,
-        tasks: Vec<Candidate>,
+        step: StepPlacement<'_>,
+        tasks: Vec<ReadyTask>,
         out: &mut Vec<Order>,
     ) -> (usize, Option<WorkerIdx>) {
         let floor = self.jobs.get(step.key.job).map_or(0, |j| j.run_floor(self.epoch));
         let mut started = 0;
-        for Candidate { index, run, avoid, suspect } in tasks {
+        for ReadyTask { index, run, avoid, suspect } in tasks {
             if !self.accounts.allows(step.account, &step.spec.allocation(), 1) {
                 return (started, None);
             }
-            let avoid = avoid.filter(|&w| self.has_other(pass, step, w));
-            let Some(at) = self.choose(pass, step, avoid, suspect) else {
+            let avoid = avoid.filter(|&w| self.has_alternative_to(pass, step, w));
+            let Some(at) = self.cheapest_candidate(pass, step, avoid, suspect) else {
                 return (started, avoid);
             };
-            pass.rooms[at].take(&step.spec.allocation());
+            pass.candidates[at].allocate(&step.spec.allocation());
             if suspect {
-                pass.rooms[at].close();
+                pass.candidates[at].close();
             }
-            self.accounts.take(step.account, &step.spec.allocation());
-            let idx = pass.rooms[at].idx;
+            self.accounts.add_usage(step.account, &step.spec.allocation());
+            let idx = pass.candidates[at].idx;
             let p = Placement { idx, task: step.key.task(index), run: run.max(floor) + 1 };
-            self.start(p, pass.now, out);
+            self.start_task(p, pass.now, out);
             started += 1;
         }
         (started, None)
     }
 
     /// Returns the tasks of a step that may be started.
-    fn waiting_tasks(&self, key: StepKey, now: Millis) -> Vec<Candidate> {
+    fn waiting_tasks(&self, key: StepKey, now: Millis) -> Vec<ReadyTask> {
         let Some(step) = self.jobs.step(key) else { return Vec::new() };
         let tasks = step.tasks.iter().enumerate().filter(|(_, t)| t.waits(now));
-        let candidate = |(index, t): (usize, &Task)| Candidate {
+        let candidate = |(index, t): (usize, &Task)| ReadyTask {
             index: index as u32,
             run: t.run,
             avoid: t.avoided(now),
@@ -178,14 +178,15 @@
     }
 
     /// Tells whether the step may run on some worker other than `w`, now or once it has room.
-    fn has_other(&self, pass: &Pass, step: Placing<'_>, w: WorkerIdx) -> bool {
-        let may = |r: &Room| self.standing(step, r.idx, pass.now) != Standing::Barred;
-        pass.rooms.iter().any(|r| r.idx != w && may(r) && self.allowed(r, step))
+    fn has_alternative_to(&self, pass: &Pass, step: StepPlacement<'_>, w: WorkerIdx) -> bool {
+        let may =
+            |r: &CandidateWorker| self.advice_status(step, r.idx, pass.now) != AdviceStatus::Denied;
+        pass.candidates.iter().any(|r| r.idx != w && may(r) && self.is_eligible(r, step))
     }
 
     /// Tells whether the step may run on a worker at all, advice aside.
-    pub(crate) fn allowed(&self, room: &Room, step: Placing<'_>) -> bool {
-        let Placing { key, spec, queue, .. } = step;
+    pub(crate) fn is_eligible(&self, room: &CandidateWorker, step: StepPlacement<'_>) -> bool {
+        let StepPlacement { key, spec, queue, .. } = step;
         if !Arc::ptr_eq(&room.pool, &queue.pool) && room.pool != queue.pool {
             return false;
         }
@@ -199,18 +200,23 @@
     }
 
     /// Returns what advice says of a worker for the step; where none is needed, each may.
-    pub(crate) fn standing(&self, step: Placing<'_>, idx: WorkerIdx, now: Millis) -> Standing {
+    pub(crate) fn advice_status(
+        &self,
+        step: StepPlacement<'_>,
+        idx: WorkerIdx,
+        now: Millis,
+    ) -> AdviceStatus {
         if step.queue.advice.is_none() {
-            return Standing::Ticketed;
+            return AdviceStatus::ValidTicket;
         }
-        self.jobs.step(step.key).map_or(Standing::Unknown, |s| s.advice.standing(idx, now))
+        self.jobs.step(step.key).map_or(AdviceStatus::Unknown, |s| s.advice.advice_status(idx, now))
     }
 
     /// Returns the best room for one task.
-    fn choose(
+    fn cheapest_candidate(
         &self,
         pass: &Pass,
-        step: Placing<'_>,
+        step: StepPlacement<'_>,
         avoid: Option<WorkerIdx>,
         suspect: bool,
     ) -> Option<usize> {
@@ -220,32 +226,32 @@
         }
         let ends = pass.now + Millis(step.spec.estimate_ms);
         let fits = |&at: &usize| {
-            let r = &pass.rooms[at];
-            Some(r.idx) != avoid && r.fits(&need, ends) && self.allowed(r, step)
+            let r = &pass.candidates[at];
+            Some(r.idx) != avoid && r.fits(&need, ends) && self.is_eligible(r, step)
         };
         let cost = |at: usize| {
-            let room = &pass.rooms[at];
-            (at, if suspect { room.crash_cost() } else { room.cost(step.spec) })
+            let room = &pass.candidates[at];
+            (at, if suspect { room.crash_impact_cost() } else { room.cost(step.spec) })
         };
         let less = |a: &(usize, f32), b: &(usize, f32)| a.1.total_cmp(&b.1).then(a.0.cmp(&b.0));
-        let rooms = self.rooms_of(pass, step, Standing::Ticketed);
+        let rooms = self.candidates_with(pass, step, AdviceStatus::ValidTicket);
         rooms.filter(fits).map(cost).min_by(less).map(|(at, _)| at)
     }
 
     /// Returns the positions of the rooms where the step has that standing. Where advice is
     /// needed, only the few that it allows are gone through.
-    pub(crate) fn rooms_of(
+    pub(crate) fn candidates_with(
         &self,
         pass: &Pass,
-        step: Placing<'_>,
-        standing: Standing,
+        step: StepPlacement<'_>,
+        standing: AdviceStatus,
     ) -> impl Iterator<Item = usize> {
         let advised = step.queue.advice.is_some();
         let advice = self.jobs.step(step.key).map(|s| &s.advice).filter(|_| advised);
         let allowed = advice.into_iter().flat_map(StepAdvice::allowed);
         let now = pass.now;
-        let good = allowed.filter(move |&(_, t)| t.standing(now) == standing);
-        let everywhere = if advised { 0 } else { pass.rooms.len() };
-        (0..everywhere).chain(good.filter_map(|(w, _)| pass.room_of(w)))
+        let good = allowed.filter(move |&(_, t)| t.advice_status(now) == standing);
+        let everywhere = if advised { 0 } else { pass.candidates.len() };
+        (0..everywhere).chain(good.filter_map(|(w, _)| pass.position_of(w)))
     }
 }
--- a/crates/hollowford-jobs/src/queue.rs
+++ b/crates/hollowford-jobs/src/queue.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 /// Calls up to this time are quick.
-pub(crate) const QUICK_CALL_MS: f64 = 30.0;
+pub(crate) const MAX_QUICK_CALL_MS: f64 = 30.0;
 
 /// What a call for placement advice costs, and how long its tickets hold.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -29,7 +29,7 @@
 
     /// Tells whether a call that names few workers is answered quickly.
     pub fn is_quick(&self) -> bool {
-        self.call_ms(1) <= QUICK_CALL_MS
+        self.call_ms(1) <= MAX_QUICK_CALL_MS
     }
 
     /// Returns the time of a call that names `workers`.
--- a/crates/hollowford-jobs/src/recover.rs
+++ b/crates/hollowford-jobs/src/recover.rs
@@ -52,7 +52,7 @@
                 self.recover_progress(id.parse()?, &ProgressRow::decode(&value[..])?, now);
             }
         }
-        self.tasks_unsettled = !self.unsettled.is_empty();
+        self.tasks_unsettled = !self.unsettled_workers.is_empty();
         if !self.tasks_unsettled {
             self.mark_settled();
         }
@@ -148,8 +148,8 @@
             let mut w = Worker::new(a.life.clone(), a.address.clone(), now);
             w.recorded = true;
             let idx = self.workers.insert(w);
-            self.unsettled.insert(idx);
+            self.unsettled_workers.insert(idx);
         }
-        self.recorded = list;
+        self.recorded_workers = list;
     }
 }
--- a/crates/hollowford-jobs/src/spec.rs
+++ b/crates/hollowford-jobs/src/spec.rs
@@ -6,11 +6,11 @@
 use std::sync::Arc;
 
 /// Most tasks of one step. A larger step is refused, since its progress has to fit a row.
-pub const MAX_TASKS: u32 = 2_000;
+pub const MAX_TASKS_PER_STEP: u32 = 2_000;
 /// Most steps of one job.
-pub const MAX_STEPS: usize = 64;
+pub const MAX_STEPS_PER_JOB: usize = 64;
 /// Longest template, in bytes.
-pub const MAX_TEMPLATE: usize = 4_000;
+pub const MAX_TEMPLATE_BYTES: usize = 4_000;
 
 /// Names a job: 16 hex digits that the caller chose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -95,13 +95,13 @@
     #[error("a task's name is ID.ROUND.STEP.INDEX")]
     InvalidTaskName,
     /// The template is too long.
-    #[error("the template has {0} bytes; {MAX_TEMPLATE} is the most")]
+    #[error("the template has {0} bytes; {MAX_TEMPLATE_BYTES} is the most")]
     TemplateTooLong(usize),
     /// No step, or too many.
-    #[error("a job has 1 to {MAX_STEPS} steps, not {0}")]
+    #[error("a job has 1 to {MAX_STEPS_PER_JOB} steps, not {0}")]
     StepCount(usize),
     /// A step without tasks, or with too many.
-    #[error("step {step} has {count} tasks; it may have 1 to {MAX_TASKS}")]
+    #[error("step {step} has {count} tasks; it may have 1 to {MAX_TASKS_PER_STEP}")]
     TaskCount {
         /// Number of the step.
         step: usize,
@@ -224,14 +224,14 @@
     type Error = SpecError;
 
     fn try_from(raw: RawJob) -> Result<JobSpec, SpecError> {
-        if raw.template.len() > MAX_TEMPLATE {
+        if raw.template.len() > MAX_TEMPLATE_BYTES {
             return Err(SpecError::TemplateTooLong(raw.template.len()));
         }
-        if raw.steps.is_empty() || raw.steps.len() > MAX_STEPS {
+        if raw.steps.is_empty() || raw.steps.len() > MAX_STEPS_PER_JOB {
             return Err(SpecError::StepCount(raw.steps.len()));
         }
         for (step, s) in raw.steps.iter().enumerate() {
-            if s.count == 0 || s.count > MAX_TASKS {
+            if s.count == 0 || s.count > MAX_TASKS_PER_STEP {
                 return Err(SpecError::TaskCount { step, count: s.count });
             }
             if let Some(&on) = s.depends_on.iter().find(|&&on| on as usize >= step) {
--- a/crates/hollowford-jobs/src/stall.rs
+++ b/crates/hollowford-jobs/src/stall.rs
@@ -94,7 +94,7 @@
             return;
         }
         if self.is_gang(key.step) {
-            self.regroup(key.step);
+            self.restart_gang(key.step);
             return;
         }
         if let Some(task) = self.jobs.task_mut(key) {
--- a/crates/hollowford-jobs/src/starts.rs
+++ b/crates/hollowford-jobs/src/starts.rs
@@ -17,14 +17,14 @@
 const REFUSED_PAUSE: Millis = Millis(20);
 /// A member of a gang whose start is still not answered after this part of the gang's time
 /// limit makes the gang start again, in hundredths.
-const GANG_PATIENCE_PERCENT: u64 = 60;
+const GANG_RESTART_PERCENT: u64 = 60;
 
 /// A start waits so long for its row at most.
-const UNSENT_FOR: Millis = Millis(500);
+const UNSENT_START_TIMEOUT: Millis = Millis(500);
 
 impl Engine {
     /// Places a task on a worker and orders its start.
-    pub(crate) fn start(&mut self, p: Placement, now: Millis, out: &mut Vec<Order>) {
+    pub(crate) fn start_task(&mut self, p: Placement, now: Millis, out: &mut Vec<Order>) {
         let Placement { idx, task: key, run } = p;
         let Some(job) = self.jobs.get(key.step.job) else { return };
         let age = now.since(job.accepted_at);
@@ -43,7 +43,7 @@
             let (worker, free) = (w.life.clone(), w.free);
             self.notes.push(Note::Starts { task: key, run, worker, free, age });
         }
-        let written_first = self.is_written_first(key);
+        let written_first = self.must_be_stored_first(key);
         self.note_open_run(p);
         self.stats.started += 1;
         if written_first {
@@ -58,7 +58,7 @@
     /// Tells whether a start waits for the row that tells of it: an owner that was lost in between
     /// would leave one that the next one doesn't know of, and so one crash too many. A gang is sent as
     /// a whole.
-    fn is_written_first(&self, key: TaskKey) -> bool {
+    fn must_be_stored_first(&self, key: TaskKey) -> bool {
         if self.is_gang(key.step) {
             self.jobs.step(key.step).is_some_and(Step::is_tracked)
         } else {
@@ -67,7 +67,7 @@
     }
 
     /// Tells whether the store has the row that tells of a start.
-    fn is_written(&self, key: TaskKey) -> bool {
+    fn is_stored(&self, key: TaskKey) -> bool {
         if self.is_gang(key.step) {
             self.jobs.step(key.step).is_none_or(Step::is_written)
         } else {
@@ -84,7 +84,7 @@
         let gang = self.is_gang(task.step);
         let own = std::slice::from_ref(&step.tasks[task.index as usize]);
         // All members of a gang bring the same checkpoint.
-        let saved = saved_of(if gang { &step.tasks } else { own });
+        let saved = first_checkpoint(if gang { &step.tasks } else { own });
         let ticket = step.advice.ticket(idx);
         let Some(w) = self.workers.get_mut(idx) else { return };
         let Some(lease_until) = w.extend_lease(now, lease) else { return };
@@ -117,7 +117,7 @@
     ) -> bool {
         let Some(idx) = self.workers.find(life) else { return false };
         match answer {
-            StartAnswer::Runs(clock) => self.note_start_heard(idx, clock, now),
+            StartAnswer::Runs(clock) => self.start_acknowledged(idx, clock, now),
             StartAnswer::Unanswered => self.note_unheard(idx, now),
             _ => {}
         }
@@ -158,7 +158,7 @@
     }
 
     /// Takes in that a worker has answered a start, which doesn't say which life of it has.
-    fn note_start_heard(&mut self, idx: WorkerIdx, clock: u64, now: Millis) {
+    fn start_acknowledged(&mut self, idx: WorkerIdx, clock: u64, now: Millis) {
         self.note_heard(idx, now);
         if self.workers.get(idx).is_some_and(|w| w.doubted_since.is_none()) {
             self.note_life(idx, clock, now);
@@ -178,7 +178,7 @@
     ) -> bool {
         let Some(idx) = self.workers.find(life) else { return false };
         if let StartAnswer::Runs(clock) = *answer {
-            self.note_start_heard(idx, clock, now);
+            self.start_acknowledged(idx, clock, now);
             if let Some(w) = self.workers.get_mut(idx) {
                 w.answer_times.note(now.since(sent));
                 if let Some(h) = w.find_mut(task, run) {
@@ -204,14 +204,14 @@
         }
         if let Some(step) = self.jobs.step_mut(task.step) {
             if *answer == StartAnswer::Ticket {
-                step.advice.drop_ticket(idx);
+                step.advice.expire_ticket(idx);
             }
             if let Some(t) = step.tasks.get_mut(task.index as usize) {
                 t.not_before = now + REFUSED_PAUSE;
             }
         }
         if self.is_gang(task.step) {
-            self.regroup(task.step);
+            self.restart_gang(task.step);
         }
     }
 
@@ -220,7 +220,7 @@
     }
 
     /// Stops what runs of a gang, so that it can start again whole.
-    pub(crate) fn regroup(&mut self, key: StepKey) {
+    pub(crate) fn restart_gang(&mut self, key: StepKey) {
         let Some(step) = self.jobs.step_mut(key) else { return };
         let members: Vec<_> =
             step.tasks.iter().enumerate().filter_map(|(i, t)| Some((i, t.at?))).collect();
@@ -231,7 +231,7 @@
     }
 
     /// Sends again what got no answer, and stops what is to be stopped.
-    pub(crate) fn resend(&mut self, now: Millis, out: &mut Vec<Order>) {
+    pub(crate) fn retry_orders(&mut self, now: Millis, out: &mut Vec<Order>) {
         for idx in self.workers.indexes() {
             let Some(w) = self.workers.get(idx) else { continue };
             // An answered stop is not sent again: the end is listed, or the run never started.
@@ -243,8 +243,8 @@
                 match phase {
                     Phase::Stopping if unsent => self.free(p, GiveUp::Unsent, now),
                     Phase::Stopping => self.send_stop(p, now, out),
-                    _ if unsent => self.start_written(p, now, out),
-                    _ => self.start_again(p, now, out),
+                    _ if unsent => self.send_stored_start(p, now, out),
+                    _ => self.retry_start(p, now, out),
                 }
             }
         }
@@ -252,8 +252,8 @@
 
     /// Orders a start once the store has the row that tells of it. Where that takes long the store is
     /// away: the task gives its place back, and waits for the store.
-    fn start_written(&mut self, p: Placement, now: Millis, out: &mut Vec<Order>) {
-        let written = self.is_written(p.task);
+    fn send_stored_start(&mut self, p: Placement, now: Millis, out: &mut Vec<Order>) {
+        let written = self.is_stored(p.task);
         let Some(w) = self.workers.get_mut(p.idx) else { return };
         // The worker may have less room than it had when the task was placed.
         let has_room = w.holds_no_more_than_it_has();
@@ -264,17 +264,17 @@
             h.unsent = false;
             h.since = now;
             self.send_start(p, now, out);
-        } else if now.since(h.since) >= UNSENT_FOR {
+        } else if now.since(h.since) >= UNSENT_START_TIMEOUT {
             self.free(p, GiveUp::Unsent, now);
         }
     }
 
-    fn start_again(&mut self, p: Placement, now: Millis, out: &mut Vec<Order>) {
+    fn retry_start(&mut self, p: Placement, now: Millis, out: &mut Vec<Order>) {
         let Placement { idx, task, run } = p;
-        let patience = Millis(self.time_limits.gang_timeout.0 * GANG_PATIENCE_PERCENT / 100);
+        let patience = Millis(self.time_limits.gang_timeout.0 * GANG_RESTART_PERCENT / 100);
         let since = self.workers.get_mut(idx).and_then(|w| w.find_mut(task, run)).map(|h| h.since);
         if self.is_gang(task.step) && since.is_some_and(|s| now.since(s) > patience) {
-            self.regroup(task.step);
+            self.restart_gang(task.step);
             return;
         }
         self.stats.resent += 1;
@@ -310,6 +310,6 @@
 }
 
 /// Returns the first checkpoint of these tasks; empty: there is none.
-fn saved_of(tasks: &[Task]) -> Arc<str> {
+fn first_checkpoint(tasks: &[Task]) -> Arc<str> {
     tasks.iter().find_map(|t| t.saved.clone()).unwrap_or_else(|| "".into())
 }
--- a/crates/hollowford-jobs/src/submit.rs
+++ b/crates/hollowford-jobs/src/submit.rs
@@ -60,7 +60,7 @@
         let steps = spec.steps.len();
         let account = self.accounts.intern(account);
         let name = self.accounts.name(account).clone();
-        let owed = self.accounts.note_job(account, now);
+        let owed = self.accounts.record_job(account, now);
         let mut job = new_job(id, (account, queue.clone()), spec, self.epoch, now);
         job.owed = owed;
         if job.spec.schedule.is_none() {
@@ -71,7 +71,7 @@
         self.stats.accepted += 1;
         self.stats.unowed += u64::from(!owed);
         self.notes.push(Note::Accepted { job: id, account: name, queue, steps });
-        self.dirty = true;
+        self.needs_pass = true;
         SubmitAnswer::Pending
     }
 
@@ -125,7 +125,7 @@
     /// of them has run or will.
     pub fn withdraw_unsent(&mut self) -> Vec<JobId> {
         let unsent: Vec<_> = self.jobs.open().filter(|j| j.unwritten).map(|j| j.id).collect();
-        unsent.iter().for_each(|&id| self.take_back(id));
+        unsent.iter().for_each(|&id| self.remove_withdrawn(id));
         unsent
     }
 
@@ -134,12 +134,12 @@
     pub fn withdraw(&mut self, id: JobId) -> bool {
         let unsent = self.jobs.get(id).is_some_and(|j| j.unwritten);
         if unsent {
-            self.take_back(id);
+            self.remove_withdrawn(id);
         }
         unsent
     }
 
-    fn take_back(&mut self, id: JobId) {
+    fn remove_withdrawn(&mut self, id: JobId) {
         self.jobs.remove(id);
         self.notes.push(Note::Withdrawn { job: id });
     }
@@ -162,7 +162,7 @@
         if state != JobState::Completed {
             self.stop_job(id);
         }
-        self.dirty = true;
+        self.needs_pass = true;
     }
 
     /// Replaces a job whose end is in the store.
--- a/crates/hollowford-jobs/src/view.rs
+++ b/crates/hollowford-jobs/src/view.rs
@@ -49,12 +49,12 @@
             stuck: self.stuck_tasks().len(),
             workers: self.workers.len(),
             usable_workers: usable().count(),
-            unsettled_workers: self.unsettled.len(),
+            unsettled_workers: self.unsettled_workers.len(),
             cores_milli: usable().map(|w| u64::from(w.capacity.cpu_milli)).sum(),
             free_milli: usable().map(|w| u64::from(w.free.cpu_milli)).sum(),
-            lost_permille: self.losses.permille(),
+            lost_permille: self.answer_losses.permille(),
             held: self.workers.iter().map(|(_, w)| w.held.len()).sum(),
-            batches: self.batch_no,
+            batches: self.last_batch_number,
             stats: self.stats,
         }
     }
--- a/crates/hollowford-jobs/src/waits.rs
+++ b/crates/hollowford-jobs/src/wait_causes.rs
@@ -1,10 +1,10 @@
 //! Why steps wait, for the log and the metrics.
 
-use crate::advice::Standing;
-use crate::choose::{Room, copies};
+use crate::advice::AdviceStatus;
+use crate::candidate::{CandidateWorker, fit_count};
 use crate::engine::Engine;
 use crate::pass::Pass;
-use crate::place::Placing;
+use crate::placement::StepPlacement;
 use crate::spec::StepKey;
 use hollowford_core::Millis;
 use std::fmt::{self, Display};
@@ -76,20 +76,21 @@
 }
 
 /// Most steps that are looked at: each is compared with all workers.
-const MOST_STEPS: usize = 200;
+const MAX_REPORTED_STEPS: usize = 200;
 
 impl Engine {
     /// Returns the steps that wait, with the reason of each, the oldest first; of very many only some.
     pub fn step_waits(&self, now: Millis) -> Vec<StepWait> {
         let usable = self.workers.iter().filter(|(_, w)| w.usable(now) && w.recorded);
-        let rooms = usable.map(|(i, w)| Room::of(i, w, now)).collect();
+        let rooms = usable.map(|(i, w)| CandidateWorker::of(i, w, now)).collect();
         let pass = Pass::new(now, true, rooms);
         let wait = |&key: &StepKey| {
             let job = self.jobs.get(key.job)?;
             let cause = self.wait_cause(&pass, key)?;
             Some(StepWait { step: key, cause, age: now.since(job.accepted_at) })
         };
-        let mut out: Vec<_> = self.jobs.waiting().filter_map(wait).take(MOST_STEPS).collect();
+        let mut out: Vec<_> =
+            self.jobs.waiting().filter_map(wait).take(MAX_REPORTED_STEPS).collect();
         out.sort_by_key(|w| (std::cmp::Reverse(w.age), w.step));
         out
     }
@@ -98,7 +99,7 @@
         let job = self.jobs.get(key.job).filter(|j| j.end.is_none())?;
         let queue = self.queues.get(&job.queue)?;
         let (spec, step) = (job.spec.steps.get(key.step as usize)?, self.jobs.step(key)?);
-        let gang = Placing { key, account: job.account, kept: job.kept, spec, queue };
+        let gang = StepPlacement { key, account: job.account, durable: job.kept, spec, queue };
         if !self.is_waiting(key, pass.now) {
             let held_back = step.tasks.iter().any(|t| t.is_held_back());
             return held_back.then_some(WaitCause::HeldBack);
@@ -109,31 +110,37 @@
         } else if !self.accounts.allows(job.account, &spec.allocation(), wanted) {
             WaitCause::Quota
         } else {
-            self.room_cause(pass, gang, wanted)
+            self.capacity_cause(pass, gang, wanted)
         })
     }
 
     /// Returns the cause of a step that lacks only advice or room for `wanted` tasks.
-    fn room_cause(&self, pass: &Pass, step: Placing<'_>, wanted: u32) -> WaitCause {
+    fn capacity_cause(&self, pass: &Pass, step: StepPlacement<'_>, wanted: u32) -> WaitCause {
         let need = step.spec.allocation();
-        let places = |standing: &[Standing]| -> u32 {
-            let has = |r: &&Room| {
-                standing.contains(&self.standing(step, r.idx, pass.now)) && self.allowed(r, step)
+        let places = |standing: &[AdviceStatus]| -> u32 {
+            let has = |r: &&CandidateWorker| {
+                standing.contains(&self.advice_status(step, r.idx, pass.now))
+                    && self.is_eligible(r, step)
             };
-            pass.rooms
+            pass.candidates
                 .iter()
                 .filter(has)
-                .map(|r| copies(&need, &r.free))
+                .map(|r| fit_count(&need, &r.free))
                 .fold(0, u32::saturating_add)
         };
-        let is_asking = self.jobs.step(step.key).is_some_and(|s| s.advice.is_asking());
-        if places(&[Standing::Ticketed]) >= wanted {
+        let is_asking = self.jobs.step(step.key).is_some_and(|s| s.advice.is_call_pending());
+        if places(&[AdviceStatus::ValidTicket]) >= wanted {
             WaitCause::Reserved
         } else if is_asking {
             WaitCause::AdvicePending
-        } else if places(&[Standing::Ticketed, Standing::Lapsed]) >= wanted {
+        } else if places(&[AdviceStatus::ValidTicket, AdviceStatus::LapsedTicket]) >= wanted {
             WaitCause::TicketsLapsed
-        } else if places(&[Standing::Ticketed, Standing::Lapsed, Standing::Unknown]) >= wanted {
+        } else if places(&[
+            AdviceStatus::ValidTicket,
+            AdviceStatus::LapsedTicket,
+            AdviceStatus::Unknown,
+        ]) >= wanted
+        {
             WaitCause::AdviceMissing
         } else {
             WaitCause::NoRoom
