--- a/crates/hollowford-jobs/src/engine.rs
+++ b/crates/hollowford-jobs/src/engine.rs
@@ -1,4 +1,4 @@
-//! The state of one partition, and what the passing of time does to it.
+//! The engine: the state of one partition and its periodic work.
 
 use crate::accounts::Accounts;
 use crate::advice::AllowedShare;
@@ -20,133 +20,135 @@
 use std::collections::{BTreeSet, HashSet};
 use std::sync::Arc;
 
-/// Longest time between two passes over the waiting steps, since room is also foreseen.
+/// Longest time between two passes over all waiting steps. Passes also run without an event because
+/// reservations depend on the current time.
 const FULL_PASS_INTERVAL: Millis = Millis(100);
-/// Passes are at least a millisecond apart for each so many workers: each goes over all of them.
+/// Workers per millisecond of the shortest time between two passes. A pass visits every worker, so
+/// the gap grows with their number.
 const WORKERS_PER_PASS_GAP_MS: usize = 250;
-/// Shortest time between two rounds of what is due by time at some worker: each goes over all
-/// of them.
+/// Shortest time between two rounds of timed work (leases, looks, retries), each of which visits
+/// every worker.
 const UPKEEP_INTERVAL: Millis = Millis(5);
 
-/// Times that hold for a deployment.
+/// Leases, timeouts and retention times of a deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimeLimits {
-    /// How long each order lets a worker run what it runs.
+    /// How long a worker may keep running its tasks after each order.
     pub lease: Millis,
-    /// How long an earlier owner may have let a worker run, counted from the takeover.
+    /// Longest lease that an earlier owner may have granted, counted from the takeover.
     pub previous_lease: Millis,
-    /// Workers cut a longer lease to this one.
+    /// Longest lease that workers accept; they shorten longer ones to this.
     pub max_lease: Millis,
-    /// What a worker stops takes room for so long at most.
+    /// Longest time that a stopping task occupies its worker.
     pub stop_timeout: Millis,
-    /// A gang that is not complete for so long ends.
+    /// A gang whose members have not all started within this time ends.
     pub gang_timeout: Millis,
-    /// How long the state of a job that has ended is kept.
+    /// How long the state of an ended job is kept.
     pub ended_job_retention: Millis,
 }
 
-/// Counters since the engine was made.
+/// Counters since the engine was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
     /// Jobs accepted.
     pub accepted: u64,
-    /// Of these, jobs beyond what their accounts are owed.
+    /// Accepted jobs that exceed the guaranteed rate of their account.
     pub unowed: u64,
-    /// Starts ordered, without those that were sent again.
+    /// Starts ordered, not counting retries.
     pub started: u64,
-    /// Starts sent again after no answer.
+    /// Starts sent again because there was no answer.
     pub resent: u64,
     /// Starts that a worker refused.
     pub refused: u64,
-    /// Tasks that ended well.
+    /// Tasks that succeeded.
     pub done: u64,
     /// Tasks that failed.
     pub failed: u64,
-    /// Tasks that ended in another way.
+    /// Tasks that ended without succeeding or failing, such as stopped ones.
     pub interrupted: u64,
-    /// Tasks given up on since their worker's lease was over.
+    /// Tasks given up because their worker's lease had expired.
     pub lapsed: u64,
-    /// Tasks that a worker no longer listed, neither running nor ended.
+    /// Tasks that a worker stopped listing, as running or as ended.
     pub vanished: u64,
-    /// Tasks found on workers that should not run there.
+    /// Tasks found running on a worker that should not run them.
     pub foreign: u64,
-    /// Workers put aside.
+    /// Workers put in quarantine.
     pub put_aside: u64,
-    /// Lives of workers that ended without a word.
+    /// Worker incarnations that ended without notice.
     pub crashes: u64,
-    /// Jobs given up since their tasks crash their workers.
+    /// Jobs given up because their tasks crash workers.
     pub crashing_jobs: u64,
-    /// Calls for advice.
+    /// Advice calls made.
     pub asked: u64,
-    /// Steps that passes tried to place.
+    /// Steps that passes tried to place, counted once per pass.
     pub tried: u64,
 }
 
-/// The decisions of one partition. See the crate's description.
+/// The scheduling engine of one partition. See the crate documentation.
 #[derive(Debug)]
 pub struct Engine {
     pub(crate) epoch: u64,
     pub(crate) time_limits: TimeLimits,
     pub(crate) jobs: Jobs,
     pub(crate) workers: Workers,
-    /// Lives of workers that are over; the list may go on naming them for a while.
+    /// Incarnations of workers that have ended. The platform's list may still name them for a while.
     pub(crate) ended_incarnations: HashSet<WorkerLife>,
-    /// The platform's list of workers, by id.
+    /// The platform's list of workers, by instance id.
     pub(crate) listings: FxHashMap<InstanceId, WorkerListing>,
     pub(crate) queues: FxHashMap<Arc<str>, Arc<Queue>>,
     pub(crate) accounts: Accounts,
     pub(crate) seats: AdviceChannels,
-    /// Which share of the workers may run a step, by queue.
+    /// Share of the workers that may run a step, by queue.
     pub(crate) allowed_shares: FxHashMap<Arc<str>, AllowedShare>,
-    /// How often workers' answers are lost.
+    /// Rate at which answers of workers are lost.
     pub(crate) answer_losses: Losses,
-    /// How often tasks fail.
+    /// Rate at which tasks fail.
     pub(crate) task_failures: Failures,
-    /// Workers that may still run what an earlier owner ordered.
+    /// Workers that this owner has not claimed and that may still run tasks of an earlier owner.
     pub(crate) unsettled_workers: BTreeSet<WorkerIdx>,
-    /// When none of them can any more.
+    /// When the leases of the unsettled workers have all expired.
     pub(crate) settled_at: Millis,
-    /// Some tasks wait for the workers above.
+    /// Some tasks may still run on an unsettled worker, so they are not started yet.
     pub(crate) tasks_unsettled: bool,
-    /// The store was away shortly before the recovery.
+    /// The store was unavailable shortly before the takeover.
     pub(crate) store_outage_before: bool,
-    /// Batches that are under way.
+    /// Batches that are being written.
     pub(crate) in_flight: InFlight,
-    /// Number of the last batch.
+    /// Number of the last batch, counted from 1.
     pub(crate) last_batch_number: u64,
-    /// The row of workers as it was written last.
+    /// The workers in the row that was stored last.
     pub(crate) recorded_workers: Vec<WorkerAddress>,
-    /// Lives that have crashed lately, which that row goes on naming.
+    /// Incarnations that crashed recently, which that row also names.
     pub(crate) crashed_incarnations: Vec<CrashedLife>,
-    /// Something may be placeable that was not at the last pass.
+    /// Something changed since the last pass that may allow a step to be placed.
     pub(crate) needs_pass: bool,
-    /// A call for advice that wasn't quick was answered since the last pass.
+    /// An advice call that was not quick has been answered since the last pass.
     pub(crate) slow_call_answered: bool,
-    /// When what is due by time at workers was looked after last.
+    /// Time of the last round of timed work at the workers.
     pub(crate) last_upkeep_at: Millis,
-    /// When the last pass was.
+    /// Time of the last pass.
     pub(crate) last_pass_at: Millis,
-    /// When a pass went over all waiting steps last.
+    /// Time of the last pass over all waiting steps.
     pub(crate) last_full_pass_at: Millis,
-    /// Unix time less the engine's, in milliseconds.
+    /// Unix time minus the engine's time, in milliseconds.
     pub(crate) unix_offset: i64,
     pub(crate) stats: Stats,
-    /// What was decided since the notes were taken last.
+    /// Decisions since the last call of [`Engine::take_notes`].
     pub(crate) notes: Vec<Note>,
 }
 
 impl Engine {
-    /// Takes note, before the recovery, that the store was away shortly before: what the earlier owner had
-    /// learned by then may not be written.
+    /// Records that the store was unavailable shortly before the takeover. What the earlier owner
+    /// learned by then may not be stored. Must be called before the recovery.
     pub fn set_store_outage_before(&mut self) {
         self.store_outage_before = true;
     }
 
-    /// Makes the engine of an owner that has just taken the partition at `epoch`.
+    /// Creates the engine of an owner that has just taken over the partition at `epoch`.
     pub fn new(epoch: u64, time_limits: TimeLimits, now: Millis) -> Engine {
         Engine {
             epoch,
-            time_limits: time_limits,
+            time_limits,
             jobs: Jobs::default(),
             workers: Workers::default(),
             ended_incarnations: HashSet::new(),
@@ -176,44 +178,46 @@
         }
     }
 
-    /// Takes what was decided since the last call, for the log.
+    /// Takes the decisions since the last call, for the log.
     pub fn take_notes(&mut self) -> Vec<Note> {
         std::mem::take(&mut self.notes)
     }
 
-    /// Returns the owner's epoch, which is also its fence at the workers.
+    /// Returns the owner's epoch, which is also its fencing token at the workers.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Returns the counters.
+    /// Returns the counters since the engine was created.
     pub fn stats(&self) -> Stats {
         self.stats
     }
 
-    /// Puts the queues of a configuration in force.
+    /// Applies the queues of a configuration.
     pub fn set_queues(&mut self, queues: &[Queue], now: Millis) {
         self.queues.clear();
-        for q in queues {
-            let pool = self.workers.pool_name(&q.pool);
-            let queue = Queue { pool, ..q.clone() };
-            self.queues.insert(q.name.clone(), Arc::new(queue));
+        for queue in queues {
+            let pool = self.workers.pool_name(&queue.pool);
+            let queue = Queue { pool, ..queue.clone() };
+            self.queues.insert(queue.name.clone(), Arc::new(queue));
         }
         self.end_exhausted(now);
         self.needs_pass = true;
     }
 
-    /// Puts other times in force, from the next order on.
+    /// Replaces the time limits, from the next order on.
     pub fn set_time_limits(&mut self, time_limits: TimeLimits) {
         self.time_limits = time_limits;
     }
 
-    /// Sets how far Unix time is ahead of the engine's, for jobs with a schedule.
+    /// Sets the offset in milliseconds by which Unix time is ahead of the engine's time. Jobs with a
+    /// schedule are due by Unix time.
     pub fn set_unix_offset(&mut self, offset: i64) {
         self.unix_offset = offset;
     }
 
-    /// Does what is due at `now`. Called after every event and some tens of times a second.
+    /// Does the work that is due at `now` and appends orders to `out`. To be called after every event
+    /// and some tens of times a second.
     pub fn poll(&mut self, now: Millis, out: &mut Vec<Order>) {
         self.settle(now);
         if now.since(self.last_upkeep_at) >= UPKEEP_INTERVAL {
@@ -224,34 +228,34 @@
             self.retry_orders(now, out);
             self.send_paces(out);
         }
-        let full = now.since(self.last_full_pass_at) >= FULL_PASS_INTERVAL;
+        let is_full = now.since(self.last_full_pass_at) >= FULL_PASS_INTERVAL;
         let gap = Millis((self.workers.len() / WORKERS_PER_PASS_GAP_MS) as u64);
-        if full || (self.needs_pass && now.since(self.last_pass_at) >= gap) {
+        if is_full || (self.needs_pass && now.since(self.last_pass_at) >= gap) {
             self.needs_pass = false;
             self.last_pass_at = now;
-            if full {
+            if is_full {
                 self.last_full_pass_at = now;
             }
-            self.run_pass(now, full, out);
+            self.run_pass(now, is_full, out);
         }
     }
 
-    /// Adds rounds of jobs with a schedule that have fallen due.
+    /// Adds the due rounds of jobs with a schedule.
     fn add_due_rounds(&mut self, now: Millis) {
         let unix = now.0 as i64 + self.unix_offset;
         for id in self.jobs.scheduled() {
             let Some(job) = self.jobs.get_mut(id) else { continue };
-            let Some(s) = job.spec.schedule else { continue };
-            if job.due_rounds >= s.rounds || job.end.is_some() {
+            let Some(schedule) = job.spec.schedule else { continue };
+            if job.due_rounds >= schedule.rounds || job.end.is_some() {
                 continue;
             }
-            let due = s.first_unix_ms + u64::from(job.due_rounds) * s.interval_ms;
+            let due = schedule.first_unix_ms + u64::from(job.due_rounds) * schedule.interval_ms;
             if due as i64 > unix {
                 continue;
             }
             let late = Millis((unix - due as i64) as u64);
             job.add_round(now - late);
-            // No row tells whether an earlier owner has begun the round.
+            // No row records whether an earlier owner has begun the round.
             let round = job.rounds.last_mut().filter(|_| self.tasks_unsettled);
             round.into_iter().for_each(Round::mark_unsettled);
             self.jobs.rounds_wait(id);
@@ -260,7 +264,8 @@
         }
     }
 
-    /// Frees tasks that waited for unclaimed workers, once none of those can run anything.
+    /// Releases the tasks that waited for unclaimed workers, once none of these workers can still run
+    /// a task.
     fn settle(&mut self, now: Millis) {
         if !self.tasks_unsettled {
             return;
@@ -278,7 +283,8 @@
         self.notes.push(Note::Settled { unclaimed });
         self.needs_pass = true;
     }
-    /// Takes note that no task can run on a worker that this owner has not claimed.
+
+    /// Marks all tasks as not running on a worker that this owner has not claimed.
     pub(crate) fn mark_settled(&mut self) {
         for id in self.jobs.ids() {
             let Some(job) = self.jobs.get_mut(id) else { continue };
--- a/crates/hollowford-jobs/src/lib.rs
+++ b/crates/hollowford-jobs/src/lib.rs
@@ -1,12 +1,12 @@
-//! The decisions about jobs: what runs where, and when.
+//! The scheduling engine of one partition: which tasks run, where and when.
 //!
-//! A job has steps that may depend on earlier ones; a step has equal tasks, which may have
-//! to run together as a gang. The engine does no I/O, reads no clock and starts no thread:
-//! the owner of the partition tells it what happened and at what time, carries out the
-//! orders that come back, and writes the batches of rows that it asks for.
+//! A job has steps that may depend on earlier steps. A step has identical tasks, which may have
+//! to run together as a gang. The engine does no I/O, reads no clock and starts no threads. The
+//! owner of the partition passes it events with the time of each, executes the orders that it
+//! returns, and writes the batches of rows that it produces.
 //!
-//! Time is the store's steady clock in milliseconds, so that an owner can compare what an
-//! earlier one wrote down.
+//! All times are readings of the store's steady clock, in milliseconds, so that an owner can
+//! compare its own times with those that an earlier owner stored.
 
 mod accounts;
 mod advice;
--- a/crates/hollowford-jobs/src/pass.rs
+++ b/crates/hollowford-jobs/src/pass.rs
@@ -1,4 +1,4 @@
-//! What one pass over the steps that wait works on: the workers, with what it leaves free.
+//! The working state of one placement pass: the candidate workers and what the pass leaves free.
 
 use crate::candidate::CandidateWorker;
 use crate::reservation::StartPlan;
@@ -9,30 +9,31 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// What one pass works on.
+/// The working state of one pass over the waiting steps.
 pub(crate) struct Pass {
     pub now: Millis,
-    /// Steps that have asked for advice before may ask again.
+    /// Whether steps that have asked for advice before may ask again in this pass.
     pub may_ask_again: bool,
-    /// Workers that may get tasks, with what the pass leaves free.
+    /// Workers that may get tasks, with the resources that the pass leaves free.
     pub candidates: Vec<CandidateWorker>,
-    /// Position in `rooms` of each worker that is there.
+    /// Position of each worker in `candidates`.
     positions: FxHashMap<WorkerIdx, usize>,
-    /// No room had more of anything when the pass began: what doesn't fit here fits nowhere.
+    /// Largest free amount of each resource on any candidate when the pass began. A task that exceeds
+    /// it fits nowhere.
     max_free: Resources,
-    /// Racks of the rooms, made when a gang first asks for one.
+    /// Racks of the candidates, computed on first use.
     racks: Option<Rc<[Arc<str>]>>,
-    /// Gangs for which room is kept so far.
+    /// Number of steps with reserved capacity.
     pub reservations: usize,
-    /// Gangs with a call for advice under way, which may make another one once all steps had their turn.
+    /// Gangs with a pending advice call. They may make another one after all other steps had theirs.
     pub deferred_gangs: Vec<(WaitingStep, Option<StartPlan>)>,
 }
 
 impl Pass {
-    /// Begins a pass over the given rooms.
+    /// Begins a pass over the given candidates.
     pub fn new(now: Millis, may_ask_again: bool, candidates: Vec<CandidateWorker>) -> Pass {
-        let positions = candidates.iter().enumerate().map(|(at, r)| (r.idx, at)).collect();
-        let max_free = candidates.iter().fold(Resources::default(), |m, r| m.most(&r.free));
+        let positions = candidates.iter().enumerate().map(|(at, c)| (c.idx, at)).collect();
+        let max_free = candidates.iter().fold(Resources::default(), |max, c| max.most(&c.free));
         Pass {
             now,
             may_ask_again,
@@ -45,25 +46,25 @@
         }
     }
 
-    /// Returns the position of a worker's room, if it may get tasks.
+    /// Returns the position of a worker among the candidates, if it is one.
     pub fn position_of(&self, idx: WorkerIdx) -> Option<usize> {
         self.positions.get(&idx).copied()
     }
 
-    /// Tells whether one such task may fit somewhere.
+    /// Returns whether a task with these resources may fit on some candidate.
     pub fn may_fit(&self, need: &Resources) -> bool {
         need.fits(&self.max_free)
     }
 
-    /// Returns the racks of the workers, for gangs that want one.
+    /// Returns the distinct racks of the candidates, sorted by name.
     pub fn racks(&mut self) -> Rc<[Arc<str>]> {
-        let rooms = &self.candidates;
-        self.racks.get_or_insert_with(|| racks_of(rooms)).clone()
+        let candidates = &self.candidates;
+        self.racks.get_or_insert_with(|| racks_of(candidates)).clone()
     }
 }
 
-fn racks_of(rooms: &[CandidateWorker]) -> Rc<[Arc<str>]> {
-    let mut racks: Vec<_> = rooms.iter().filter_map(|r| r.rack.clone()).collect();
+fn racks_of(candidates: &[CandidateWorker]) -> Rc<[Arc<str>]> {
+    let mut racks: Vec<_> = candidates.iter().filter_map(|c| c.rack.clone()).collect();
     racks.sort_unstable();
     racks.dedup();
     racks.into()
