--- a/crates/hollowford-jobs/src/candidate.rs
+++ b/crates/hollowford-jobs/src/candidate.rs
@@ -1,4 +1,4 @@
-//! Which worker a task goes to.
+//! Candidate workers of a placement pass and the cost of placing a task on them.
 
 use crate::spec::StepSpec;
 use crate::worker::Worker;
@@ -6,12 +6,13 @@
 use hollowford_core::{Millis, Resources};
 use std::sync::Arc;
 
-/// What a worker that takes twice as long costs in the choice.
+/// Cost of a worker that takes twice as long as estimated; proportional to the additional time.
 const SLOWNESS_WEIGHT: f32 = 1.0;
-/// What a worker off the data's rack costs in the choice, against a full worker's 2.0.
+/// Cost of a worker outside the rack of the data. It exceeds the largest score for remaining
+/// resources, 2.0.
 const OFF_RACK_COST: f32 = 4.0;
 
-/// A worker that may get tasks in this pass.
+/// A worker that may get tasks in a pass.
 #[derive(Clone, Debug)]
 pub(crate) struct CandidateWorker {
     pub idx: WorkerIdx,
@@ -19,32 +20,32 @@
     pub rack: Option<Arc<str>>,
     pub capacity: Resources,
     pub free: Resources,
-    /// Room that is kept for gangs.
+    /// Part of the free resources that is reserved for gangs and large tasks.
     pub reserved: Resources,
-    /// When the first of the gangs is expected to take its part.
+    /// When the first of the reservations is expected to be used.
     pub reserved_until: Millis,
-    /// See [`Worker::slowness`].
+    /// Run time of tasks here as a multiple of their estimates. See [`Worker::slowness`].
     pub slowness: f32,
-    /// Tasks have failed here and none has ended well since.
+    /// Whether tasks have failed here and none has succeeded since.
     pub recently_failed: bool,
 }
 
 impl CandidateWorker {
-    pub fn of(idx: WorkerIdx, w: &Worker, now: Millis) -> CandidateWorker {
+    pub fn from_worker(idx: WorkerIdx, worker: &Worker, now: Millis) -> CandidateWorker {
         CandidateWorker {
             idx,
-            pool: w.pool.clone(),
-            rack: rack_label(&w.labels).cloned(),
-            capacity: w.capacity,
-            free: w.room(now),
+            pool: worker.pool.clone(),
+            rack: rack_label(&worker.labels).cloned(),
+            capacity: worker.capacity,
+            free: worker.room(now),
             reserved: Resources::default(),
             reserved_until: Millis(0),
-            slowness: w.slowness,
-            recently_failed: w.health.is_suspect(),
+            slowness: worker.slowness,
+            recently_failed: worker.health.is_suspect(),
         }
     }
 
-    /// Tells whether a task fits, beside what is kept for gangs or before they need it.
+    /// Returns whether a task fits next to the reservations, or ends at `ends`, before they are needed.
     pub fn fits(&self, need: &Resources, ends: Millis) -> bool {
         if !need.fits(&self.free) {
             return false;
@@ -52,51 +53,53 @@
         ends <= self.reserved_until || need.fits(&self.free.minus(&self.reserved))
     }
 
-    /// Returns how many such tasks fit beside what is kept.
+    /// Returns how many tasks with these resources fit next to the reservations.
     pub fn unreserved_count(&self, need: &Resources) -> u32 {
         fit_count(need, &self.free.minus(&self.reserved))
     }
 
-    /// Keeps room for a task that is expected to begin at `begin`.
+    /// Reserves resources for a task that is expected to begin at `begin`.
     pub fn reserve(&mut self, need: &Resources, begin: Millis) {
-        let first = self.reserved == Resources::default();
+        let is_first = self.reserved == Resources::default();
         self.reserved = self.reserved.plus(need);
-        self.reserved_until = if first { begin } else { self.reserved_until.min(begin) };
+        self.reserved_until = if is_first { begin } else { self.reserved_until.min(begin) };
     }
 
+    /// Subtracts the resources of a task that starts here.
     pub fn allocate(&mut self, need: &Resources) {
         self.free = self.free.minus(need);
     }
 
-    /// Lets nothing more be started here in this pass.
+    /// Prevents further starts here in this pass.
     pub fn close(&mut self) {
         self.free = Resources::default();
     }
 
-    /// Returns how much would be left, from 0 (full) to 2 (empty), with a surcharge when
-    /// one of processors and memory would be left without the other.
+    /// Returns the score of the resources that would remain free: the free shares of processors and
+    /// memory, from 0 (full) to 2 (empty), plus their difference, since one is of no use without the
+    /// other.
     pub fn remaining_score(&self, need: &Resources) -> f32 {
         let left = self.free.minus(need);
-        let part = |a: u32, b: u32| if b == 0 { 0.0 } else { a as f32 / b as f32 };
-        let cpu = part(left.cpu_milli, self.capacity.cpu_milli);
-        let mem = part(left.memory_mib, self.capacity.memory_mib);
-        cpu + mem + (cpu - mem).abs()
+        let share = |a: u32, b: u32| if b == 0 { 0.0 } else { a as f32 / b as f32 };
+        let cpu = share(left.cpu_milli, self.capacity.cpu_milli);
+        let memory = share(left.memory_mib, self.capacity.memory_mib);
+        cpu + memory + (cpu - memory).abs()
     }
 
-    /// Returns the cost of placing one task here; the least is taken.
+    /// Returns the cost of placing one task here. Lower is better.
     pub fn cost(&self, spec: &StepSpec) -> f32 {
-        let far = if self.is_off_data_rack(spec) { OFF_RACK_COST } else { 0.0 };
-        self.remaining_score(&spec.allocation()) + far + self.slowness_cost()
+        let off_rack = if self.is_off_data_rack(spec) { OFF_RACK_COST } else { 0.0 };
+        self.remaining_score(&spec.allocation()) + off_rack + self.slowness_cost()
     }
 
-    /// Returns the cost of placing a task here under which workers have crashed: the least where the
-    /// least is lost by one more crash.
+    /// Returns the cost of placing a task here that has crashed workers. It is lowest where another
+    /// crash would affect the least other work.
     pub fn crash_impact_cost(&self) -> f32 {
         let free = self.free.cpu_milli as f32 / self.capacity.cpu_milli.max(1) as f32;
         1.0 - free + self.slowness_cost()
     }
 
-    /// Returns what the worker's slowness costs in the choice.
+    /// Returns the part of the cost that is due to the worker's slowness.
     pub fn slowness_cost(&self) -> f32 {
         (self.slowness - 1.0).max(0.0) * SLOWNESS_WEIGHT
     }
@@ -106,15 +109,16 @@
     }
 }
 
-/// Returns how many times `need` fits into `room`.
-pub(crate) fn fit_count(need: &Resources, room: &Resources) -> u32 {
-    let times = |n: u32, r: u32| r.checked_div(n).unwrap_or(u32::MAX);
-    times(need.cpu_milli, room.cpu_milli)
-        .min(times(need.memory_mib, room.memory_mib))
-        .min(times(need.accelerators, room.accelerators))
+/// Returns how many tasks that need `need` fit into `available`.
+pub(crate) fn fit_count(need: &Resources, available: &Resources) -> u32 {
+    let times = |need: u32, available: u32| available.checked_div(need).unwrap_or(u32::MAX);
+    times(need.cpu_milli, available.cpu_milli)
+        .min(times(need.memory_mib, available.memory_mib))
+        .min(times(need.accelerators, available.accelerators))
 }
 
-/// Returns the label that names a worker's rack: the one that isn't its kind.
+/// Returns the label that names a worker's rack: the first that starts with `r` and has more than
+/// one character, which excludes the label of the worker's kind.
 pub fn rack_label(labels: &[Arc<str>]) -> Option<&Arc<str>> {
     labels.iter().find(|l| l.len() > 1 && l.starts_with('r'))
 }
--- a/crates/hollowford-jobs/src/placement.rs
+++ b/crates/hollowford-jobs/src/placement.rs
@@ -1,4 +1,4 @@
-//! Placing the tasks of the steps that wait.
+//! Placement passes: starting the tasks of waiting steps on workers.
 
 use crate::accounts::AccountIdx;
 use crate::advice::{AdviceStatus, StepAdvice};
@@ -16,17 +16,17 @@
 use hollowford_core::Millis;
 use std::sync::Arc;
 
-/// Steps that a pass tries without placing any task of theirs, the most urgent first. Passes
-/// come with every event, so each may cost little; every tenth of a second one tries them all.
+/// Most steps that a pass tries without placing any of their tasks, the most urgent first. Passes
+/// run after every event, so each must be cheap; full passes have no limit.
 const MAX_UNPLACED_STEPS: usize = 200;
 
-/// The step that is being placed.
+/// The step that is being placed, with the data that decides where it may go.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StepPlacement<'a> {
     pub key: StepKey,
-    /// The client account of its job.
+    /// The client account of the step's job.
     pub account: AccountIdx,
-    /// The job's acceptance is in the store, so that tasks may start.
+    /// Whether the job's acceptance is in the store; no task starts before.
     pub durable: bool,
     pub spec: &'a StepSpec,
     pub queue: &'a Queue,
@@ -36,18 +36,18 @@
 #[derive(Clone, Copy, Debug)]
 struct ReadyTask {
     index: u32,
-    /// The highest run that is known.
+    /// Highest run number known for the task.
     run: u32,
-    /// A worker that it keeps off.
+    /// Worker that the task avoids because it failed there.
     avoid: Option<WorkerIdx>,
-    /// Workers have crashed under it.
+    /// Whether a worker has crashed while running the task.
     suspect: bool,
 }
 
 impl Engine {
-    /// Starts what can be started, and asks for the advice that is missing. A full pass tries
-    /// all steps that wait.
-    pub(crate) fn run_pass(&mut self, now: Millis, full: bool, out: &mut Vec<Order>) {
+    /// Runs one pass: starts the tasks that can be started and asks for missing advice. A full pass
+    /// tries all waiting steps.
+    pub(crate) fn run_pass(&mut self, now: Millis, is_full: bool, out: &mut Vec<Order>) {
         self.expire_advice_calls(now);
         let steps = self.waiting_steps(now);
         if steps.is_empty() {
@@ -55,16 +55,16 @@
         }
         self.recount_usage();
         let usable = self.workers.iter().filter(|(_, w)| w.usable(now) && w.recorded);
-        let rooms = usable.map(|(i, w)| CandidateWorker::of(i, w, now)).collect();
-        let asks_again = full || std::mem::take(&mut self.slow_call_answered);
-        let mut pass = Pass::new(now, asks_again, rooms);
-        let mut tries = if full { usize::MAX } else { MAX_UNPLACED_STEPS };
+        let candidates = usable.map(|(i, w)| CandidateWorker::from_worker(i, w, now)).collect();
+        let may_ask_again = is_full || std::mem::take(&mut self.slow_call_answered);
+        let mut pass = Pass::new(now, may_ask_again, candidates);
+        let mut tries_left = if is_full { usize::MAX } else { MAX_UNPLACED_STEPS };
         for waiting in steps {
-            let before = out.len();
+            let orders_before = out.len();
             self.place_step(&mut pass, &waiting, out);
             self.stats.tried += 1;
-            tries -= usize::from(out.len() == before);
-            if tries == 0 {
+            tries_left -= usize::from(out.len() == orders_before);
+            if tries_left == 0 {
                 break;
             }
         }
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Makes another call for a gang beside the one under way.
+    /// Makes another advice call for a gang while one is pending.
     fn ask_concurrently(
         &mut self,
         pass: &Pass,
@@ -88,7 +88,7 @@
         self.ask_for_gang(pass, gang, plan, out);
     }
 
-    /// Returns what a step is placed by: its job's specification, its queue and its client account.
+    /// Returns the specification, queue and client account of a step's job.
     fn placement_inputs(&self, key: StepKey) -> Option<(Arc<JobSpec>, Arc<Queue>, AccountIdx)> {
         let job = self.jobs.get(key.job)?;
         let queue = self.queues.get(&job.queue)?;
@@ -109,28 +109,28 @@
 
     fn place_tasks(&mut self, pass: &mut Pass, step: StepPlacement<'_>, out: &mut Vec<Order>) {
         let tasks = self.waiting_tasks(step.key, pass.now);
-        let waiting = tasks.len();
-        let (started, shunned) =
+        let waiting_count = tasks.len();
+        let (started, avoided) =
             if step.durable { self.start_tasks(pass, step, tasks, out) } else { (0, None) };
-        // What the account's quota holds back needs neither advice nor room.
-        let room = step.spec.allocation();
-        let left = self.accounts.allowed_count(step.account, &room, waiting - started);
+        // Tasks that the account's quota holds back need neither advice nor capacity.
+        let need = step.spec.allocation();
+        let left = self.accounts.allowed_count(step.account, &need, waiting_count - started);
         if left == 0 {
             return;
         }
         if let Some(cost) = self.single_call_cost(pass, step)
-            && let Some(workers) = self.workers_to_ask_for(pass, step, left, shunned)
+            && let Some(workers) = self.workers_to_ask_for(pass, step, left, avoided)
         {
             self.ask(AdviceCall { step: step.key, workers, cost }, pass.now, out);
         }
-        // After asking, which goes by the room that is not kept for others.
+        // Only after asking, which considers unreserved capacity.
         if step.durable {
             self.reserve_for_large(pass, step, left);
         }
     }
 
-    /// Starts tasks of a step for as long as there is room. Returns how many, and the worker
-    /// that the first one without room has failed on, if it needs another one.
+    /// Starts tasks of a step until no candidate has capacity. Returns how many were started, and the
+    /// worker that the first unplaced task avoids, if any.
     fn start_tasks(
         &mut self,
         pass: &mut Pass,
@@ -138,7 +138,7 @@
         tasks: Vec<ReadyTask>,
         out: &mut Vec<Order>,
     ) -> (usize, Option<WorkerIdx>) {
-        let floor = self.jobs.get(step.key.job).map_or(0, |j| j.run_floor(self.epoch));
+        let run_floor = self.jobs.get(step.key.job).map_or(0, |j| j.run_floor(self.epoch));
         let mut started = 0;
         for ReadyTask { index, run, avoid, suspect } in tasks {
             if !self.accounts.allows(step.account, &step.spec.allocation(), 1) {
@@ -154,7 +154,7 @@
             }
             self.accounts.add_usage(step.account, &step.spec.allocation());
             let idx = pass.candidates[at].idx;
-            let p = Placement { idx, task: step.key.task(index), run: run.max(floor) + 1 };
+            let p = Placement { idx, task: step.key.task(index), run: run.max(run_floor) + 1 };
             self.start_task(p, pass.now, out);
             started += 1;
         }
@@ -165,41 +165,44 @@
     fn waiting_tasks(&self, key: StepKey, now: Millis) -> Vec<ReadyTask> {
         let Some(step) = self.jobs.step(key) else { return Vec::new() };
         let tasks = step.tasks.iter().enumerate().filter(|(_, t)| t.waits(now));
-        let candidate = |(index, t): (usize, &Task)| ReadyTask {
+        let ready = |(index, t): (usize, &Task)| ReadyTask {
             index: index as u32,
             run: t.run,
             avoid: t.avoided(now),
             suspect: t.is_suspect(),
         };
-        let mut tasks: Vec<_> = tasks.map(candidate).collect();
-        // Those that may go anywhere first: one that keeps off a worker holds up none of them.
+        let mut tasks: Vec<_> = tasks.map(ready).collect();
+        // Tasks without an avoided worker come first, so that one that avoids a worker delays none
+        // of them.
         tasks.sort_by_key(|t| t.avoid.is_some());
         tasks
     }
 
-    /// Tells whether the step may run on some worker other than `w`, now or once it has room.
+    /// Returns whether the step may run on some worker other than `w`, now or once that worker has
+    /// free capacity.
     fn has_alternative_to(&self, pass: &Pass, step: StepPlacement<'_>, w: WorkerIdx) -> bool {
-        let may =
+        let is_allowed =
             |r: &CandidateWorker| self.advice_status(step, r.idx, pass.now) != AdviceStatus::Denied;
-        pass.candidates.iter().any(|r| r.idx != w && may(r) && self.is_eligible(r, step))
+        pass.candidates.iter().any(|r| r.idx != w && is_allowed(r) && self.is_eligible(r, step))
     }
 
-    /// Tells whether the step may run on a worker at all, advice aside.
-    pub(crate) fn is_eligible(&self, room: &CandidateWorker, step: StepPlacement<'_>) -> bool {
+    /// Returns whether pool, label and the limit of tasks per worker let the step run on a worker.
+    pub(crate) fn is_eligible(&self, candidate: &CandidateWorker, step: StepPlacement<'_>) -> bool {
         let StepPlacement { key, spec, queue, .. } = step;
-        if !Arc::ptr_eq(&room.pool, &queue.pool) && room.pool != queue.pool {
+        if !Arc::ptr_eq(&candidate.pool, &queue.pool) && candidate.pool != queue.pool {
             return false;
         }
         if spec.max_per_worker > 0
-            && self.jobs.step(key).is_some_and(|s| s.on(room.idx) >= spec.max_per_worker)
+            && self.jobs.step(key).is_some_and(|s| s.on(candidate.idx) >= spec.max_per_worker)
         {
             return false;
         }
         spec.required_label.is_empty()
-            || self.workers.get(room.idx).is_some_and(|w| w.has_label(&spec.required_label))
+            || self.workers.get(candidate.idx).is_some_and(|w| w.has_label(&spec.required_label))
     }
 
-    /// Returns what advice says of a worker for the step; where none is needed, each may.
+    /// Returns the advice status of a worker for the step. Every worker has a valid ticket if the
+    /// queue needs no advice.
     pub(crate) fn advice_status(
         &self,
         step: StepPlacement<'_>,
@@ -212,7 +215,7 @@
         self.jobs.step(step.key).map_or(AdviceStatus::Unknown, |s| s.advice.advice_status(idx, now))
     }
 
-    /// Returns the best room for one task.
+    /// Returns the position of the candidate with the lowest cost for one task.
     fn cheapest_candidate(
         &self,
         pass: &Pass,
@@ -224,34 +227,34 @@
         if !pass.may_fit(&need) {
             return None;
         }
-        let ends = pass.now + Millis(step.spec.estimate_ms);
+        let expected_end = pass.now + Millis(step.spec.estimate_ms);
         let fits = |&at: &usize| {
             let r = &pass.candidates[at];
-            Some(r.idx) != avoid && r.fits(&need, ends) && self.is_eligible(r, step)
+            Some(r.idx) != avoid && r.fits(&need, expected_end) && self.is_eligible(r, step)
         };
         let cost = |at: usize| {
-            let room = &pass.candidates[at];
-            (at, if suspect { room.crash_impact_cost() } else { room.cost(step.spec) })
+            let candidate = &pass.candidates[at];
+            (at, if suspect { candidate.crash_impact_cost() } else { candidate.cost(step.spec) })
         };
         let less = |a: &(usize, f32), b: &(usize, f32)| a.1.total_cmp(&b.1).then(a.0.cmp(&b.0));
-        let rooms = self.candidates_with(pass, step, AdviceStatus::ValidTicket);
-        rooms.filter(fits).map(cost).min_by(less).map(|(at, _)| at)
+        let candidates = self.candidates_with(pass, step, AdviceStatus::ValidTicket);
+        candidates.filter(fits).map(cost).min_by(less).map(|(at, _)| at)
     }
 
-    /// Returns the positions of the rooms where the step has that standing. Where advice is
-    /// needed, only the few that it allows are gone through.
+    /// Returns the positions of the candidates with an advice status. If the queue needs advice,
+    /// only the workers that advice allows are visited.
     pub(crate) fn candidates_with(
         &self,
         pass: &Pass,
         step: StepPlacement<'_>,
-        standing: AdviceStatus,
+        status: AdviceStatus,
     ) -> impl Iterator<Item = usize> {
-        let advised = step.queue.advice.is_some();
-        let advice = self.jobs.step(step.key).map(|s| &s.advice).filter(|_| advised);
+        let needs_advice = step.queue.advice.is_some();
+        let advice = self.jobs.step(step.key).map(|s| &s.advice).filter(|_| needs_advice);
         let allowed = advice.into_iter().flat_map(StepAdvice::allowed);
         let now = pass.now;
-        let good = allowed.filter(move |&(_, t)| t.advice_status(now) == standing);
-        let everywhere = if advised { 0 } else { pass.candidates.len() };
-        (0..everywhere).chain(good.filter_map(|(w, _)| pass.position_of(w)))
+        let matching = allowed.filter(move |&(_, t)| t.advice_status(now) == status);
+        let unadvised_count = if needs_advice { 0 } else { pass.candidates.len() };
+        (0..unadvised_count).chain(matching.filter_map(|(w, _)| pass.position_of(w)))
     }
 }
--- a/crates/hollowford-jobs/src/wait_causes.rs
+++ b/crates/hollowford-jobs/src/wait_causes.rs
@@ -82,7 +82,7 @@
     /// Returns the steps that wait, with the reason of each, the oldest first; of very many only some.
     pub fn step_waits(&self, now: Millis) -> Vec<StepWait> {
         let usable = self.workers.iter().filter(|(_, w)| w.usable(now) && w.recorded);
-        let rooms = usable.map(|(i, w)| CandidateWorker::of(i, w, now)).collect();
+        let rooms = usable.map(|(i, w)| CandidateWorker::from_worker(i, w, now)).collect();
         let pass = Pass::new(now, true, rooms);
         let wait = |&key: &StepKey| {
             let job = self.jobs.get(key.job)?;
