--- a/crates/hollowford-jobs/src/advice.rs
+++ b/crates/hollowford-jobs/src/advice.rs
@@ -1,14 +1,15 @@
-//! Placement advice: what is known for each step.
+//! Placement advice: which workers may run a step, and the tickets for them.
 
 use crate::workers::WorkerIdx;
 use hollowford_core::Millis;
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::sync::Arc;
 
-/// A ticket is not used when less time is left, since the start has to arrive before it ends.
+/// Shortest remaining validity with which a ticket is used, since the start has to arrive at the
+/// worker before the ticket lapses.
 const MIN_TICKET_REMAINING: Millis = Millis(60);
 
-/// A ticket for one worker.
+/// A ticket that lets a step run on one worker for a limited time.
 #[derive(Clone, Debug)]
 pub(crate) struct Ticket {
     text: Arc<str>,
@@ -16,7 +17,7 @@
 }
 
 impl Ticket {
-    /// Tells whether the ticket holds at `now`.
+    /// Returns whether the ticket is valid or has lapsed at `now`.
     pub fn advice_status(&self, now: Millis) -> AdviceStatus {
         if self.valid_until > now + MIN_TICKET_REMAINING {
             AdviceStatus::ValidTicket
@@ -26,16 +27,17 @@
     }
 }
 
-/// The share of the workers named in calls for a queue's steps that may run them.
+/// Share of the workers named in calls for a queue's steps that may run them. Older answers count
+/// less than newer ones.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AllowedShare {
     asked: f32,
     allowed: f32,
 }
 
-/// What is assumed before any answer: half of them, as one call of so many workers would tell.
+/// The share before any answer: one half, with the weight of a call that names 20 workers.
 const INITIAL_SHARE: AllowedShare = AllowedShare { asked: 20.0, allowed: 10.0 };
-/// Beyond so many workers, older answers count less.
+/// Number of asked workers beyond which the weight of older answers is halved.
 const MAX_REMEMBERED_WORKERS: f32 = 2_000.0;
 
 impl Default for AllowedShare {
@@ -45,7 +47,7 @@
 }
 
 impl AllowedShare {
-    /// Takes in an answer about workers that were not known before.
+    /// Records an answer about `asked` workers that were unknown before, of which `good` are allowed.
     pub fn record(&mut self, asked: usize, good: usize) {
         self.asked += asked as f32;
         self.allowed += good as f32;
@@ -60,31 +62,31 @@
         self.allowed / self.asked
     }
 
-    /// Returns how many workers have to be asked about to find `wanted` that may run a step.
+    /// Returns how many workers have to be asked about to find `wanted` allowed ones.
     pub fn workers_to_ask(self, wanted: f32) -> usize {
         (wanted * self.asked / self.allowed.max(1.0)).ceil() as usize
     }
 }
 
-/// What is known of the workers for one step.
+/// Advice about the workers for one step.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StepAdvice {
-    /// Workers that were named in a call that was answered; with a ticket: it may run there.
+    /// Workers named in answered calls. Those with a ticket may run the step.
     known: FxHashMap<WorkerIdx, Option<Ticket>>,
-    /// Workers named in calls that are under way.
+    /// Workers named in pending calls.
     pending: FxHashSet<WorkerIdx>,
 }
 
-/// What advice says of one worker.
+/// What advice says about one worker for a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AdviceStatus {
-    /// Not asked yet.
+    /// No answered call has named the worker.
     Unknown,
-    /// The step may not run there.
+    /// The step may not run on the worker.
     Denied,
-    /// It may, and the ticket holds.
+    /// The step may run on the worker, and its ticket is valid.
     ValidTicket,
-    /// It may, and the ticket has lapsed.
+    /// The step may run on the worker, but its ticket has lapsed.
     LapsedTicket,
 }
 
@@ -97,17 +99,18 @@
         }
     }
 
-    /// Returns the workers on which the step may run, with their tickets.
+    /// Returns the workers that may run the step, with their tickets.
     pub fn allowed(&self) -> impl Iterator<Item = (WorkerIdx, &Ticket)> {
         self.known.iter().filter_map(|(&w, t)| Some((w, t.as_ref()?)))
     }
 
+    /// Returns the text of the worker's ticket; empty if there is none.
     pub fn ticket(&self, w: WorkerIdx) -> Arc<str> {
         let ticket = self.known.get(&w).and_then(|t| t.as_ref());
         ticket.map_or_else(|| "".into(), |t| t.text.clone())
     }
 
-    /// Takes a ticket as lapsed, since the worker refused it.
+    /// Marks a ticket as lapsed after the worker has refused it.
     pub fn expire_ticket(&mut self, w: WorkerIdx) {
         if let Some(Some(t)) = self.known.get_mut(&w) {
             t.valid_until = Millis(0);
@@ -118,51 +121,51 @@
         self.known.is_empty()
     }
 
-    /// Tells whether a call is under way.
+    /// Returns whether a call is pending.
     pub fn is_call_pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Tells whether a call under way names the worker.
+    /// Returns whether a pending call names the worker.
     pub fn is_pending(&self, w: WorkerIdx) -> bool {
         self.pending.contains(&w)
     }
 
-    /// Returns how many workers are named in calls under way that were not known before.
+    /// Returns how many workers in pending calls are named for the first time.
     pub fn pending_unknown_count(&self) -> usize {
         self.pending.iter().filter(|w| !self.known.contains_key(w)).count()
     }
 
-    /// Tells whether the worker's ticket holds at `at`, with some time to spare.
+    /// Returns whether the worker's ticket is valid at `at`, with [`MIN_TICKET_REMAINING`] to spare.
     pub fn has_ticket_at(&self, w: WorkerIdx, at: Millis) -> bool {
         self.advice_status(w, at) == AdviceStatus::ValidTicket
     }
 
-    /// A call that names these workers is under way.
+    /// Records a call that names these workers.
     pub fn call_sent(&mut self, workers: &[WorkerIdx]) {
         self.pending.extend(workers);
     }
 
-    /// A call that named these workers has failed.
+    /// Records that a call that named these workers has failed.
     pub fn call_failed(&mut self, workers: &[WorkerIdx]) {
         for w in workers {
             self.pending.remove(w);
         }
     }
 
-    /// Takes in the answer of a call that named `asked`: which of them may run the step, with
-    /// tickets that hold until `until`.
+    /// Records the answer of a call that named `asked`. The workers in `allowed` may run the step,
+    /// with tickets that are valid until `valid_until`.
     pub fn call_answered(
         &mut self,
         asked: &[WorkerIdx],
-        good: Vec<(WorkerIdx, Arc<str>)>,
+        allowed: Vec<(WorkerIdx, Arc<str>)>,
         valid_until: Millis,
     ) {
         self.call_failed(asked);
         for &w in asked {
             self.known.entry(w).or_insert(None);
         }
-        for (w, text) in good {
+        for (w, text) in allowed {
             self.known.insert(w, Some(Ticket { text, valid_until }));
         }
     }
--- a/crates/hollowford-jobs/src/advice_calls.rs
+++ b/crates/hollowford-jobs/src/advice_calls.rs
@@ -1,8 +1,8 @@
-//! Calls for placement advice: which instance makes which.
+//! Calls to the placement advice service and the instances that make them.
 //!
-//! The service for advice has one seat for each calling instance and takes its time for each
-//! worker named. A quick check behind the slow call of a large gang would be late before it
-//! is placed, so one seat takes quick calls only, and some are kept from the slowest.
+//! The advice service processes one call at a time for each calling instance, and a call takes
+//! longer the more workers it names. A quick call queued behind the slow call of a large gang would
+//! be late, so the first channel takes only quick calls, and only some of the others take slow ones.
 
 use crate::advice::AdviceStatus;
 use crate::engine::Engine;
@@ -14,32 +14,32 @@
 use hollowford_core::{InstanceId, Millis};
 use std::sync::Arc;
 
-/// Calls over this time are slow.
+/// Expected duration in milliseconds above which a call is slow.
 const MIN_SLOW_CALL_MS: f64 = 200.0;
-/// One seat in so many takes quick calls only.
+/// Channels per channel that is closed to slow calls.
 const CHANNELS_PER_QUICK_CHANNEL: usize = 3;
-/// Calls side by side for one step take one free seat in so many.
+/// Free channels per channel that one step's parallel calls may take.
 const FREE_CHANNELS_PER_STEP_CALL: usize = 4;
-/// Most workers that one call may name (PROTOCOL).
+/// Most workers that the protocol lets one call name.
 const MAX_WORKERS_PER_CALL: usize = 100;
-/// A quick call without an answer is given up after its expected time and this.
+/// Time after its expected duration at which an unanswered quick call is abandoned.
 const QUICK_CALL_GRACE: Millis = Millis(250);
-/// Another call without an answer is given up after its expected time and this.
+/// Time after its expected duration at which any other unanswered call is abandoned.
 const CALL_GRACE: Millis = Millis(700);
-/// A seat whose call failed gets no other one for so long, unless all have failed; twice as
-/// long after each further one.
+/// Backoff of a channel after a failed call; doubled after each further failure. Channels in backoff
+/// get calls only if all are in backoff.
 const CHANNEL_BACKOFF: Millis = Millis(1_000);
-/// Most times that the rest is doubled.
+/// Most doublings of [`CHANNEL_BACKOFF`].
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
-/// An instance that can make calls for advice.
+/// An instance that can make advice calls, one at a time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdviceChannel {
-    /// The instance's address between processes; empty: this process.
+    /// Address of the instance for messages between processes; empty for this process.
     pub address: Arc<str>,
 }
 
-/// A call under way.
+/// A call that has not been answered.
 #[derive(Clone, Debug)]
 struct PendingCall {
     step: StepKey,
@@ -49,14 +49,14 @@
     deadline: Millis,
 }
 
-/// A seat with the call that it makes.
+/// A channel with its pending call and its failures.
 #[derive(Debug)]
 struct ChannelState {
     channel: AdviceChannel,
     call: Option<PendingCall>,
-    /// Calls that failed since the last one that was answered.
+    /// Failed calls since the last answered one.
     failures: u32,
-    /// It gets no call before, if others do.
+    /// End of the backoff.
     backoff_until: Millis,
 }
 
@@ -65,7 +65,7 @@
         ChannelState { channel, call: None, failures: 0, backoff_until: Millis(0) }
     }
 
-    /// Tells whether it may get a call though others could take it.
+    /// Returns whether the channel is not in backoff.
     fn is_available(&self, now: Millis) -> bool {
         self.backoff_until <= now
     }
@@ -81,13 +81,13 @@
     }
 }
 
-/// The instances that make the calls.
+/// The channels to the advice service.
 #[derive(Debug, Default)]
 pub(crate) struct AdviceChannels {
     list: Vec<ChannelState>,
 }
 
-/// A call that a step needs.
+/// An advice call to be made for a step.
 #[derive(Clone, Debug)]
 pub(crate) struct AdviceCall {
     pub step: StepKey,
@@ -96,34 +96,34 @@
 }
 
 impl AdviceChannels {
-    /// Tells whether a seat may be free for a call at this cost, however few workers it names.
+    /// Returns whether a channel is free for a call with this cost that names one worker.
     pub fn has_free(&self, cost: &AdviceCost, now: Millis) -> bool {
         self.free_for(cost.call_ms(1), now).is_some()
     }
 
-    /// Returns the seat for a call of the given time, if one is free for it.
+    /// Returns the position of a free channel for a call of the given duration.
     fn free_for(&self, ms: f64, now: Millis) -> Option<usize> {
-        let rested = self.list.iter().filter(|p| p.is_available(now)).count();
-        // While all seats rest, each may take a call.
-        let all_rest = rested == 0;
-        let n = if all_rest { self.list.len() } else { rested };
-        let quick = if n < 2 { 0 } else { n.div_ceil(CHANNELS_PER_QUICK_CHANNEL) };
-        let places = self.list.iter().enumerate();
-        let mut seats = places.filter(|(_, p)| all_rest || p.is_available(now));
-        let free = |(_, p): &(usize, &ChannelState)| p.call.is_none();
+        let available = self.list.iter().filter(|p| p.is_available(now)).count();
+        // If all channels are in backoff, each may take a call.
+        let all_in_backoff = available == 0;
+        let n = if all_in_backoff { self.list.len() } else { available };
+        let quick_only = if n < 2 { 0 } else { n.div_ceil(CHANNELS_PER_QUICK_CHANNEL) };
+        let states = self.list.iter().enumerate();
+        let mut channels = states.filter(|(_, p)| all_in_backoff || p.is_available(now));
+        let is_free = |(_, p): &(usize, &ChannelState)| p.call.is_none();
         if ms <= MAX_QUICK_CALL_MS {
-            return seats.find(free).map(|(at, _)| at);
+            return channels.find(is_free).map(|(at, _)| at);
         }
-        if ms > MIN_SLOW_CALL_MS && !self.may_take_slow_call(n - quick) {
+        if ms > MIN_SLOW_CALL_MS && !self.may_take_slow_call(n - quick_only) {
             return None;
         }
-        // The last ones first, since quick calls take the first ones. Calls between quick and slow block a seat for
-        // little time: one seat kept from them is enough.
-        let skipped = if ms > MIN_SLOW_CALL_MS { quick } else { quick.min(1) };
-        seats.skip(skipped).filter(free).last().map(|(at, _)| at)
+        // The last channels first, since quick calls take the first ones. Calls between quick and slow
+        // occupy a channel only briefly, so leaving one channel to quick calls is enough for them.
+        let skipped = if ms > MIN_SLOW_CALL_MS { quick_only } else { quick_only.min(1) };
+        channels.skip(skipped).filter(is_free).last().map(|(at, _)| at)
     }
 
-    /// Returns how many seats are free for calls of the given time, at least about.
+    /// Returns approximately how many channels are free for calls of the given duration.
     fn free_count(&self, ms: f64, now: Millis) -> usize {
         let free = self.list.iter().filter(|p| p.call.is_none() && p.is_available(now)).count();
         if ms <= MAX_QUICK_CALL_MS {
@@ -132,31 +132,34 @@
         free.saturating_sub(self.list.len().div_ceil(CHANNELS_PER_QUICK_CHANNEL))
     }
 
-    /// Tells whether one more of so many seats for longer calls may take a slow one: one is
-    /// left to the calls between quick and slow.
-    fn may_take_slow_call(&self, seats: usize) -> bool {
+    /// Returns whether one more of the `channels` for longer calls may take a slow call. One is left to
+    /// the calls between quick and slow.
+    fn may_take_slow_call(&self, channels: usize) -> bool {
         let busy = self.list.iter().filter(|p| p.is_slow()).count();
-        busy + 1 < seats || seats <= 1
+        busy + 1 < channels || channels <= 1
     }
 }
 
 impl Engine {
-    /// Sets the instances that can make calls for advice. The first ones take quick calls.
-    pub fn set_advice_channels(&mut self, seats: &[AdviceChannel]) {
-        let mut old = std::mem::take(&mut self.seats.list);
-        for seat in seats {
-            let at = old.iter().position(|p| p.channel == *seat);
-            let place = at.map(|at| old.swap_remove(at));
-            self.seats.list.push(place.unwrap_or_else(|| ChannelState::new(seat.clone())));
+    /// Sets the instances that can make advice calls, in order of preference for quick calls. Pending
+    /// calls of instances that are no longer listed count as failed.
+    pub fn set_advice_channels(&mut self, channels: &[AdviceChannel]) {
+        let mut old = std::mem::take(&mut self.advice_channels.list);
+        for channel in channels {
+            let at = old.iter().position(|p| p.channel == *channel);
+            let state = at.map(|at| old.swap_remove(at));
+            self.advice_channels
+                .list
+                .push(state.unwrap_or_else(|| ChannelState::new(channel.clone())));
         }
-        for call in old.into_iter().filter_map(|place| place.call) {
+        for call in old.into_iter().filter_map(|state| state.call) {
             self.advice_failed(&call);
         }
     }
 
-    /// Returns the seat at a position.
+    /// Returns the channel at a position of the list that was set last.
     pub fn advice_channel(&self, at: usize) -> Option<&AdviceChannel> {
-        self.seats.list.get(at).map(|p| &p.channel)
+        self.advice_channels.list.get(at).map(|p| &p.channel)
     }
 
     fn advice_failed(&mut self, call: &PendingCall) {
@@ -165,44 +168,43 @@
         }
     }
 
-    /// Hands the calls to as many seats as help and are free for them, the workers named first
-    /// before others. What is not asked for comes again with the next pass.
-    pub(crate) fn ask_in_parallel(&mut self, want: AdviceCall, now: Millis, out: &mut Vec<Order>) {
-        let AdviceCall { step, workers, cost } = want;
-        let free = self.seats.free_count(cost.call_ms(workers.len()), now);
+    /// Splits a call over as many free channels as make it faster, the workers named first in the
+    /// first call. Workers without a free channel are asked about by a later pass.
+    pub(crate) fn ask_in_parallel(&mut self, call: AdviceCall, now: Millis, out: &mut Vec<Order>) {
+        let AdviceCall { step, workers, cost } = call;
+        let free = self.advice_channels.free_count(cost.call_ms(workers.len()), now);
         let calls = call_count(workers.len(), &cost, free);
-        for part in workers.chunks(workers.len().div_ceil(calls.max(1)).max(1)) {
-            self.ask(AdviceCall { step, workers: part.to_vec(), cost }, now, out);
+        for chunk in workers.chunks(workers.len().div_ceil(calls.max(1)).max(1)) {
+            self.ask(AdviceCall { step, workers: chunk.to_vec(), cost }, now, out);
         }
     }
 
-    /// Hands a call to a seat that is free for it. Without one it comes again with the next
-    /// pass.
-    pub(crate) fn ask(&mut self, want: AdviceCall, now: Millis, out: &mut Vec<Order>) {
-        let AdviceCall { step: key, mut workers, cost } = want;
+    /// Makes a call through a free channel. If none is free, a later pass makes the call.
+    pub(crate) fn ask(&mut self, call: AdviceCall, now: Millis, out: &mut Vec<Order>) {
+        let AdviceCall { step: key, mut workers, cost } = call;
         workers.truncate(MAX_WORKERS_PER_CALL);
         let ms = cost.call_ms(workers.len());
-        let Some(seat) = self.seats.free_for(ms, now) else { return };
+        let Some(seat) = self.advice_channels.free_for(ms, now) else { return };
         let Some(step) = self.jobs.step_mut(key) else { return };
         step.advice.call_sent(&workers);
         let id = |&w: &WorkerIdx| self.workers.get(w).map(|w| w.life.id().clone());
         let ids: Vec<_> = workers.iter().filter_map(id).collect();
         let quick = ms <= MAX_QUICK_CALL_MS;
-        let slack = if quick { QUICK_CALL_GRACE } else { CALL_GRACE };
-        let deadline = now + Millis(ms as u64) + slack;
+        let grace = if quick { QUICK_CALL_GRACE } else { CALL_GRACE };
+        let deadline = now + Millis(ms as u64) + grace;
         let slow = ms > MIN_SLOW_CALL_MS;
-        self.seats.list[seat].call =
+        self.advice_channels.list[seat].call =
             Some(PendingCall { step: key, workers, quick, slow, deadline });
         self.stats.asked += 1;
         out.push(Order::Advice { seat, step: key, workers: ids });
     }
 
-    /// Gives up on calls that should have been answered by now.
+    /// Abandons pending calls whose deadline has passed.
     pub(crate) fn expire_advice_calls(&mut self, now: Millis) {
-        for at in 0..self.seats.list.len() {
-            let place = &mut self.seats.list[at];
-            if let Some(call) = place.call.take_if(|c| c.deadline <= now) {
-                place.failed(now);
+        for at in 0..self.advice_channels.list.len() {
+            let state = &mut self.advice_channels.list[at];
+            if let Some(call) = state.call.take_if(|c| c.deadline <= now) {
+                state.failed(now);
                 let asked = call.workers.len();
                 self.notes.push(Note::Advised { step: call.step, asked, good: None });
                 self.advice_failed(&call);
@@ -210,27 +212,27 @@
         }
     }
 
-    /// Takes in the answer of a call for advice; none when it failed. The tickets hold from
-    /// the time of the answer.
+    /// Processes the answer of an advice call: the tickets and how long they are valid from `now`, or
+    /// `None` if the call failed. Ignores answers to calls that are no longer pending.
     pub fn advice_answered(
         &mut self,
-        seat: &AdviceChannel,
+        channel: &AdviceChannel,
         key: StepKey,
         answer: Option<(Advised, Millis)>,
         now: Millis,
     ) {
-        let theirs = |p: &&mut ChannelState| {
-            p.channel == *seat && p.call.as_ref().is_some_and(|c| c.step == key)
+        let is_called = |p: &&mut ChannelState| {
+            p.channel == *channel && p.call.as_ref().is_some_and(|c| c.step == key)
         };
-        let Some(place) = self.seats.list.iter_mut().find(theirs) else { return };
-        let Some(call) = place.call.take() else { return };
+        let Some(state) = self.advice_channels.list.iter_mut().find(is_called) else { return };
+        let Some(call) = state.call.take() else { return };
         if answer.is_some() {
-            place.failures = 0;
+            state.failures = 0;
         } else {
-            place.failed(now);
+            state.failed(now);
         }
         self.needs_pass = true;
-        // Its seat would be idle until the next full pass.
+        // The channel would otherwise be idle until the next full pass.
         self.slow_call_answered |= !call.quick;
         let (asked, good) = (call.workers.len(), answer.as_ref().map(|(rows, _)| rows.len()));
         self.notes.push(Note::Advised { step: key, asked, good });
@@ -238,7 +240,7 @@
             self.advice_failed(&call);
             return;
         };
-        // A ticket is for the life that was asked about: another one needs its own.
+        // A ticket is for the incarnation that the call named; another one needs its own.
         let asked = |id: &InstanceId| {
             let lives = self.workers.of_id(id).map(|(idx, _)| idx);
             lives.filter(|idx| call.workers.contains(idx)).last()
@@ -250,8 +252,8 @@
         step.advice.call_answered(&call.workers, good, now + validity);
     }
 
-    /// Learns from an answer which share of a queue's workers may run one of its steps. Calls
-    /// that renew tickets tell nothing of it.
+    /// Updates the share of a queue's workers that may run its steps from an answer. Only counts
+    /// workers named for the first time; renewed tickets say nothing about the share.
     fn record_allowed_share(
         &mut self,
         key: StepKey,
@@ -268,11 +270,11 @@
     }
 }
 
-/// Returns over how many calls to spread so many workers, with so many seats free: as many as
-/// make the part of a call that grows with its workers half of the part that doesn't. One step
-/// takes a fourth of the free seats at most.
+/// Returns the number of calls over which to split `workers`, with `free` free channels. After the
+/// split, the part of a call's duration that depends on the named workers is half of its base
+/// duration. One step takes at most a fourth of the free channels.
 fn call_count(workers: usize, cost: &AdviceCost, free: usize) -> usize {
-    let least = workers.div_ceil(MAX_WORKERS_PER_CALL);
-    let useful = 2.0 * cost.per_worker_ms * workers as f64 / cost.base_ms.max(1.0);
-    (useful.ceil() as usize).min(free / FREE_CHANNELS_PER_STEP_CALL).max(least)
+    let min_calls = workers.div_ceil(MAX_WORKERS_PER_CALL);
+    let useful_calls = 2.0 * cost.per_worker_ms * workers as f64 / cost.base_ms.max(1.0);
+    (useful_calls.ceil() as usize).min(free / FREE_CHANNELS_PER_STEP_CALL).max(min_calls)
 }
--- a/crates/hollowford-jobs/src/engine.rs
+++ b/crates/hollowford-jobs/src/engine.rs
@@ -97,7 +97,7 @@
     pub(crate) listings: FxHashMap<InstanceId, WorkerListing>,
     pub(crate) queues: FxHashMap<Arc<str>, Arc<Queue>>,
     pub(crate) accounts: Accounts,
-    pub(crate) seats: AdviceChannels,
+    pub(crate) advice_channels: AdviceChannels,
     /// Share of the workers that may run a step, by queue.
     pub(crate) allowed_shares: FxHashMap<Arc<str>, AllowedShare>,
     /// Rate at which answers of workers are lost.
@@ -155,7 +155,7 @@
             listings: FxHashMap::default(),
             queues: FxHashMap::default(),
             accounts: Accounts::default(),
-            seats: AdviceChannels::default(),
+            advice_channels: AdviceChannels::default(),
             allowed_shares: FxHashMap::default(),
             answer_losses: Losses::default(),
             task_failures: Failures::default(),
--- a/crates/hollowford-jobs/src/gang.rs
+++ b/crates/hollowford-jobs/src/gang.rs
@@ -1,4 +1,4 @@
-//! Gangs: all members start together, or none does.
+//! Placement of gangs, whose members start all together or not at all.
 
 use crate::advice::AdviceStatus;
 use crate::engine::Engine;
@@ -10,13 +10,13 @@
 use crate::urgency::WaitingStep;
 use crate::workers::Placement;
 
-/// How many members go to each room, by position in the pass.
+/// Number of members on each candidate, with the candidate's position in the pass.
 type GangPlacement = Vec<(usize, u32)>;
 
 impl Engine {
-    /// Starts a gang if all its members can start; else asks for what it lacks and keeps room
-    /// for it. One member that fails ends all, so workers on which tasks have failed lately are
-    /// used only where there is no room for it without them.
+    /// Starts a gang if all its members can start. Otherwise asks for the tickets that it lacks and
+    /// reserves capacity for it. A failing member ends the whole gang, so workers on which tasks have
+    /// failed recently are used only if the gang doesn't fit without them.
     pub(crate) fn place_gang(
         &mut self,
         pass: &mut Pass,
@@ -27,33 +27,34 @@
         let (account, need) = (gang.account, gang.spec.allocation());
         if !self.accounts.allows(account, &need, gang.spec.count) {
             self.accounts.reserve(account, &need, gang.spec.count);
-            // The answers are slow: the gang gets to know its workers meanwhile.
+            // Answers are slow, so the gang collects advice while it waits for its quota.
             self.ask_or_defer(pass, waiting, gang, None, out);
             return;
         }
         let ticketed: Vec<usize> =
             self.candidates_with(pass, gang, AdviceStatus::ValidTicket).collect();
-        let mut good = ticketed.clone();
+        let mut allowed = ticketed.clone();
         if gang.queue.advice.is_some() {
-            good.extend(self.candidates_with(pass, gang, AdviceStatus::LapsedTicket));
+            allowed.extend(self.candidates_with(pass, gang, AdviceStatus::LapsedTicket));
         }
-        let sound = |pass: &Pass, rooms: &[usize]| -> Vec<usize> {
-            rooms.iter().copied().filter(|&at| !pass.candidates[at].recently_failed).collect()
+        let without_recent_failures = |pass: &Pass, candidates: &[usize]| -> Vec<usize> {
+            candidates.iter().copied().filter(|&at| !pass.candidates[at].recently_failed).collect()
         };
-        let (sound_ticketed, sound_good) = (sound(pass, &ticketed), sound(pass, &good));
-        let seated = self.find_gang_placement(pass, gang, &sound_good);
-        let (ticketed, good) = match seated {
-            Some(_) => (sound_ticketed, sound_good),
-            None => (ticketed, good),
+        let (healthy_ticketed, healthy_allowed) =
+            (without_recent_failures(pass, &ticketed), without_recent_failures(pass, &allowed));
+        let placement = self.find_gang_placement(pass, gang, &healthy_allowed);
+        let (ticketed, allowed) = match placement {
+            Some(_) => (healthy_ticketed, healthy_allowed),
+            None => (ticketed, allowed),
         };
         if gang.durable
-            && let Some(seating) = self.find_gang_placement(pass, gang, &ticketed)
+            && let Some(placement) = self.find_gang_placement(pass, gang, &ticketed)
         {
-            self.start_gang(pass, gang, &seating, out);
+            self.start_gang(pass, gang, &placement, out);
             return;
         }
         self.accounts.reserve(account, &need, gang.spec.count);
-        let plan = self.plan_gang(pass, gang, seated, &good);
+        let plan = self.plan_gang(pass, gang, placement, &allowed);
         self.ask_or_defer(pass, waiting, gang, plan.as_ref(), out);
         if let Some(plan) = plan {
             plan.reserve(pass, &gang.spec.allocation());
@@ -61,8 +62,8 @@
         }
     }
 
-    /// Asks for a gang, or, if it has a call under way, once all other steps had their turn: a seat that
-    /// makes a second call for one is missing to another that has none.
+    /// Asks for advice for a gang. If it already has a pending call, defers the next one until all
+    /// other steps had their turn, so that it doesn't take a channel from a step without a call.
     fn ask_or_defer(
         &mut self,
         pass: &mut Pass,
@@ -78,37 +79,38 @@
         }
     }
 
-    /// Returns when and where the gang is expected to start: now, once its tickets are renewed
-    /// or its acceptance is in the store, or when enough of its workers are free.
+    /// Returns when and where the gang is expected to start. That is now if it lacks only valid
+    /// tickets or its acceptance in the store, and otherwise when enough of its workers are free.
     fn plan_gang(
         &self,
         pass: &mut Pass,
         gang: StepPlacement<'_>,
-        seated: Option<GangPlacement>,
-        good: &[usize],
+        placement: Option<GangPlacement>,
+        allowed: &[usize],
     ) -> Option<StartPlan> {
-        if let Some(seating) = seated.or_else(|| self.find_gang_placement(pass, gang, good)) {
+        if let Some(placement) = placement.or_else(|| self.find_gang_placement(pass, gang, allowed))
+        {
             let members = |(at, n): (usize, u32)| std::iter::repeat_n(at, n as usize);
-            let candidates = seating.into_iter().flat_map(members).collect();
+            let candidates = placement.into_iter().flat_map(members).collect();
             return Some(StartPlan { begin: pass.now, candidates });
         }
-        self.earliest_start(pass, gang, good)
+        self.earliest_start(pass, gang, allowed)
     }
 
     fn start_gang(
         &mut self,
         pass: &mut Pass,
         gang: StepPlacement<'_>,
-        seating: &GangPlacement,
+        placement: &GangPlacement,
         out: &mut Vec<Order>,
     ) {
         let StepPlacement { key, account, spec, .. } = gang;
-        let floor = self.jobs.get(key.job).map_or(0, |j| j.run_floor(self.epoch));
+        let run_floor = self.jobs.get(key.job).map_or(0, |j| j.run_floor(self.epoch));
         let Some(step) = self.jobs.step_mut(key) else { return };
         step.gang_since = pass.now;
-        let run = step.tasks.iter().map(|t| t.run).max().unwrap_or(0).max(floor) + 1;
+        let run = step.tasks.iter().map(|t| t.run).max().unwrap_or(0).max(run_floor) + 1;
         let mut index = 0;
-        for &(at, n) in seating {
+        for &(at, n) in placement {
             for _ in 0..n {
                 pass.candidates[at].allocate(&spec.allocation());
                 self.accounts.add_usage(account, &spec.allocation());
@@ -119,12 +121,13 @@
         }
     }
 
-    /// Finds room for all members among these rooms.
+    /// Returns a placement of all members on the given candidates, within one rack if the gang prefers
+    /// that and one has enough capacity.
     fn find_gang_placement(
         &self,
         pass: &mut Pass,
         gang: StepPlacement<'_>,
-        rooms: &[usize],
+        candidates: &[usize],
     ) -> Option<GangPlacement> {
         let spec = gang.spec;
         let need = spec.allocation();
@@ -132,29 +135,35 @@
             return None;
         }
         let fits = |&at: &usize| need.fits(&pass.candidates[at].free);
-        let usable = |at: &usize| fits(at) && self.is_eligible(&pass.candidates[*at], gang);
-        let mut rooms: Vec<(bool, usize)> = rooms
+        let is_usable = |at: &usize| fits(at) && self.is_eligible(&pass.candidates[*at], gang);
+        let mut candidates: Vec<(bool, usize)> = candidates
             .iter()
             .copied()
-            .filter(usable)
+            .filter(is_usable)
             .map(|at| (self.needs_ticket(pass, gang, at), at))
             .collect();
-        // Stable between passes: the rooms whose tickets are there, or on their way, first.
-        rooms.sort_by_key(|&(unready, _)| unready);
+        // Candidates with a valid or pending ticket first. The sort is stable, so that the order is
+        // the same in the next pass.
+        candidates.sort_by_key(|&(needs_ticket, _)| needs_ticket);
         if spec.prefer_one_rack {
             let racks = pass.racks();
             let in_rack = |rack| {
-                let of = |(_, at): &(bool, usize)| pass.candidates[*at].rack.as_ref() == Some(rack);
-                distribute_members(pass, spec, rooms.iter().copied().filter(of).collect())
+                let is_in_rack =
+                    |(_, at): &(bool, usize)| pass.candidates[*at].rack.as_ref() == Some(rack);
+                distribute_members(
+                    pass,
+                    spec,
+                    candidates.iter().copied().filter(is_in_rack).collect(),
+                )
             };
-            if let Some(seating) = racks.iter().find_map(in_rack) {
-                return Some(seating);
+            if let Some(placement) = racks.iter().find_map(in_rack) {
+                return Some(placement);
             }
         }
-        distribute_members(pass, spec, rooms)
+        distribute_members(pass, spec, candidates)
     }
 
-    /// Tells whether the gang has no ticket for a room and has not asked for one.
+    /// Returns whether the gang has no valid ticket for a candidate and no pending call for one.
     fn needs_ticket(&self, pass: &Pass, gang: StepPlacement<'_>, at: usize) -> bool {
         let idx = pass.candidates[at].idx;
         let asked = self.jobs.step(gang.key).is_some_and(|s| s.advice.is_pending(idx));
@@ -162,33 +171,38 @@
     }
 }
 
-/// Seats all members in the given rooms: those that are ready first, and of these the fullest.
+/// Distributes all members over the given candidates: those that need no ticket first, and of these
+/// the fullest.
 fn distribute_members(
     pass: &Pass,
     spec: &StepSpec,
-    rooms: Vec<(bool, usize)>,
+    candidates: Vec<(bool, usize)>,
 ) -> Option<GangPlacement> {
     let need = spec.allocation();
     let limit = if spec.max_per_worker > 0 { spec.max_per_worker } else { u32::MAX };
-    let mut slots: Vec<_> = rooms
+    let mut slots: Vec<_> = candidates
         .into_iter()
-        .map(|(unready, at)| (unready, at, pass.candidates[at].unreserved_count(&need).min(limit)))
+        .map(|(needs_ticket, at)| {
+            (needs_ticket, at, pass.candidates[at].unreserved_count(&need).min(limit))
+        })
         .collect();
     slots.retain(|&(_, _, n)| n > 0);
     if slots.iter().map(|&(_, _, n)| u64::from(n)).sum::<u64>() < u64::from(spec.count) {
         return None;
     }
-    let left = |at: usize| {
+    let remaining_cost = |at: usize| {
         pass.candidates[at].remaining_score(&need) + pass.candidates[at].slowness_cost()
     };
-    slots.sort_unstable_by(|a, b| a.0.cmp(&b.0).then(left(a.1).total_cmp(&left(b.1))));
-    let mut open = spec.count;
+    slots.sort_unstable_by(|a, b| {
+        a.0.cmp(&b.0).then(remaining_cost(a.1).total_cmp(&remaining_cost(b.1)))
+    });
+    let mut remaining = spec.count;
     let mut out = Vec::new();
     for (_, at, n) in slots {
-        let n = n.min(open);
-        open -= n;
+        let n = n.min(remaining);
+        remaining -= n;
         out.push((at, n));
-        if open == 0 {
+        if remaining == 0 {
             break;
         }
     }
--- a/crates/hollowford-jobs/src/gang_advice_selection.rs
+++ b/crates/hollowford-jobs/src/gang_advice_selection.rs
@@ -1,9 +1,9 @@
-//! Which workers to ask advice about for a gang.
+//! Selection of the workers that an advice call for a gang names.
 //!
-//! A gang needs room on many workers at the same moment, and other work holds most of their
-//! room. So it gets to know several times the workers that could hold it when empty, by calls
-//! side by side, and more of them the longer it waits. Its tickets are renewed just before the
-//! time at which it is expected to start, since they lapse sooner than room comes together.
+//! A gang needs capacity on many workers at the same moment, and other work occupies most of it. So
+//! the gang collects advice about several times as many workers as would hold it when empty, by
+//! calls in parallel, and about more of them the longer it waits. Its tickets are renewed just
+//! before the expected start, since they lapse before enough capacity is free.
 
 use crate::advice::AdviceStatus;
 use crate::advice_calls::AdviceCall;
@@ -17,19 +17,19 @@
 use crate::workers::WorkerIdx;
 use hollowford_core::Millis;
 
-/// The workers that may run a gang should hold so many times its members when empty: at two
-/// thirds of full load a third of their room is free.
+/// Empty capacity of the workers that may run a gang, as a multiple of the gang's members. With a
+/// factor of 3 the free capacity holds the gang at two thirds of full load.
 const KNOWN_CAPACITY_FACTOR: f32 = 3.0;
-/// The factor grows by so much for each second that the gang has waited.
+/// Increase of [`KNOWN_CAPACITY_FACTOR`] per second of waiting.
 const FACTOR_GROWTH_PER_S: f32 = 1.0;
-/// A call for a gang names so many workers, if there are as many: the choice is worth more
-/// than the few milliseconds for each.
+/// Fewest workers that a call for a gang names, if there are as many. A larger choice is worth the
+/// few additional milliseconds per worker.
 const MIN_WORKERS_PER_CALL: usize = 50;
-/// Tickets are renewed so long before they are needed, beside the time that the call takes.
+/// Time before the expected start at which tickets are renewed, in addition to the call's duration.
 const TICKET_RENEWAL_LEAD: Millis = Millis(200);
 
 impl Engine {
-    /// Asks for the tickets that a gang lacks where it is to start, or for more workers.
+    /// Asks for the tickets that a gang lacks for its planned start, or about more workers.
     pub(crate) fn ask_for_gang(
         &mut self,
         pass: &Pass,
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Returns the workers of the plan whose tickets won't hold when the gang starts; none while
-    /// that is far away.
+    /// Returns the workers of the plan whose tickets will have lapsed when the gang starts. Empty
+    /// while the start is further away than the call and [`TICKET_RENEWAL_LEAD`].
     fn tickets_to_renew(
         &self,
         pass: &Pass,
@@ -61,17 +61,17 @@
             plan.candidates.iter().map(|&at| pass.candidates[at].idx).collect();
         workers.sort_unstable();
         workers.dedup();
-        let answered = pass.now + Millis(cost.call_ms(workers.len()) as u64);
-        if plan.begin > answered + TICKET_RENEWAL_LEAD {
+        let answered_at = pass.now + Millis(cost.call_ms(workers.len()) as u64);
+        if plan.begin > answered_at + TICKET_RENEWAL_LEAD {
             return Vec::new();
         }
-        let needed_at = plan.begin.max(answered);
+        let needed_at = plan.begin.max(answered_at);
         workers.retain(|&w| !step.advice.is_pending(w) && !step.advice.has_ticket_at(w, needed_at));
         workers
     }
 
-    /// Returns workers to get to know, those with the most room now first; none while those that
-    /// are known, and those that are being asked about, are enough.
+    /// Returns more workers to ask about, those with the most free capacity first. Empty while the
+    /// known workers and those in pending calls are enough.
     fn more_workers_for_gang(&self, pass: &Pass, gang: StepPlacement<'_>) -> Vec<WorkerIdx> {
         let Some(missing) = self.missing_member_capacity(pass, gang).filter(|&m| m > 0.0) else {
             return Vec::new();
@@ -81,15 +81,16 @@
         if unknown.is_empty() {
             return Vec::new();
         }
-        let most = |at: &usize| fit_count(&need, &pass.candidates[*at].capacity).max(1);
-        let per_worker = unknown.iter().map(most).max().unwrap_or(1);
+        let max_members = |at: &usize| fit_count(&need, &pass.candidates[*at].capacity).max(1);
+        let per_worker = unknown.iter().map(max_members).max().unwrap_or(1);
         let share = self.allowed_shares.get(&gang.queue.name).copied().unwrap_or_default();
         let workers = share.workers_to_ask(missing / per_worker as f32).max(MIN_WORKERS_PER_CALL);
         unknown.sort_by_key(|&at| std::cmp::Reverse(pass.candidates[at].unreserved_count(&need)));
         unknown.into_iter().take(workers).map(|at| pass.candidates[at].idx).collect()
     }
 
-    /// Returns how many more members the workers that the gang may use should hold when empty.
+    /// Returns how many more members the allowed workers should be able to hold when empty. Counts
+    /// the expected share of allowed workers in pending calls.
     fn missing_member_capacity(&self, pass: &Pass, gang: StepPlacement<'_>) -> Option<f32> {
         let step = self.jobs.step(gang.key)?;
         let job = self.jobs.get(gang.key.job)?;
@@ -99,25 +100,25 @@
         let need = gang.spec.allocation();
         let limit = if gang.spec.max_per_worker > 0 { gang.spec.max_per_worker } else { u32::MAX };
         let members = |at: usize| fit_count(&need, &pass.candidates[at].capacity).min(limit) as f32;
-        let good = step.advice.allowed().filter_map(|(w, _)| pass.position_of(w));
-        let known: f32 = good.map(members).sum();
-        let usual = pass.candidates.first().map_or(0.0, |_| members(0));
+        let allowed = step.advice.allowed().filter_map(|(w, _)| pass.position_of(w));
+        let known: f32 = allowed.map(members).sum();
+        let typical_members = pass.candidates.first().map_or(0.0, |_| members(0));
         let share = self.allowed_shares.get(&gang.queue.name).copied().unwrap_or_default();
-        let coming = step.advice.pending_unknown_count() as f32 * usual * share.share();
-        Some(wanted - known - coming)
+        let expected = step.advice.pending_unknown_count() as f32 * typical_members * share.share();
+        Some(wanted - known - expected)
     }
 
-    /// Returns the rooms that the gang might use and doesn't know of.
+    /// Returns the eligible candidates that no answered or pending call has named.
     fn unknown_candidates(&self, pass: &Pass, gang: StepPlacement<'_>) -> Vec<usize> {
         let Some(step) = self.jobs.step(gang.key) else { return Vec::new() };
         let need = gang.spec.allocation();
-        let unknown = |at: &usize| {
+        let is_unknown = |at: &usize| {
             let r = &pass.candidates[*at];
             need.fits(&r.capacity)
                 && step.advice.advice_status(r.idx, pass.now) == AdviceStatus::Unknown
                 && !step.advice.is_pending(r.idx)
                 && self.is_eligible(r, gang)
         };
-        (0..pass.candidates.len()).filter(unknown).collect()
+        (0..pass.candidates.len()).filter(is_unknown).collect()
     }
 }
--- a/crates/hollowford-jobs/src/placement.rs
+++ b/crates/hollowford-jobs/src/placement.rs
@@ -227,10 +227,10 @@
         if !pass.may_fit(&need) {
             return None;
         }
-        let expected_end = pass.now + Millis(step.spec.estimate_ms);
+        let end = pass.now + Millis(step.spec.estimate_ms);
         let fits = |&at: &usize| {
             let r = &pass.candidates[at];
-            Some(r.idx) != avoid && r.fits(&need, expected_end) && self.is_eligible(r, step)
+            Some(r.idx) != avoid && r.fits(&need, end) && self.is_eligible(r, step)
         };
         let cost = |at: usize| {
             let candidate = &pass.candidates[at];
--- a/crates/hollowford-jobs/src/reservation.rs
+++ b/crates/hollowford-jobs/src/reservation.rs
@@ -1,8 +1,8 @@
-//! Room kept for gangs and large tasks that don't fit yet.
+//! Reservations for gangs and large tasks that don't fit yet.
 //!
-//! Without it small tasks would fill every gap for ever. For the most urgent of them the pass
-//! works out which of the workers that may run them are free first, and keeps later steps
-//! off these, unless they end before.
+//! Without reservations, small tasks would keep filling every gap. For the most urgent steps that
+//! don't fit, the pass computes which of their workers become free first. Later steps use these
+//! workers only for tasks that end before the reservation starts.
 
 use crate::advice::AdviceStatus;
 use crate::candidate::fit_count;
@@ -12,69 +12,73 @@
 use crate::workers::WorkerIdx;
 use hollowford_core::{Millis, Resources};
 
-/// Most steps for which room is kept at a time: each more leaves less for all others.
+/// Most steps with reservations at a time. Each reservation leaves less capacity for other steps.
 const MAX_RESERVATIONS: usize = 3;
-
-/// Most members that one worker is counted for.
+/// Most tasks of a step that are planned on one worker.
 const MAX_SLOTS_PER_WORKER: u32 = 64;
-
-/// A task that takes this part of a worker in some dimension, in hundredths, is large.
+/// Share of a worker's capacity, in percent, from which a task is large. One resource is enough.
 const LARGE_TASK_PERCENT: u64 = 40;
 
 /// When and where a gang is expected to start.
 #[derive(Clone, Debug)]
 pub(crate) struct StartPlan {
+    /// Expected start.
     pub begin: Millis,
-    /// Position of the room of each member.
+    /// Position of the candidate of each member.
     pub candidates: Vec<usize>,
 }
 
 impl StartPlan {
-    /// Keeps the room.
+    /// Reserves the resources of all members.
     pub fn reserve(&self, pass: &mut Pass, need: &Resources) {
         self.candidates.iter().for_each(|&at| pass.candidates[at].reserve(need, self.begin));
     }
 }
 
 impl Engine {
-    /// Returns when and where all members could start first, among the rooms where the gang may
-    /// run; none when they can't, or room is kept for others already.
+    /// Returns the earliest time and place at which all members could start on the allowed
+    /// candidates. `None` if these are too few or [`MAX_RESERVATIONS`] is reached.
     pub(crate) fn earliest_start(
         &self,
         pass: &Pass,
         gang: StepPlacement<'_>,
-        good: &[usize],
+        allowed: &[usize],
     ) -> Option<StartPlan> {
         let count = gang.spec.count as usize;
-        let slots = self.earliest_slots(pass, gang, good, count);
+        let slots = self.earliest_slots(pass, gang, allowed, count);
         let &(begin, _) = slots.last().filter(|_| slots.len() == count)?;
         Some(StartPlan { begin, candidates: slots.into_iter().map(|(_, at)| at).collect() })
     }
 
-    /// Keeps the room that tasks of a step could have first, if one of them takes a large part of
-    /// a worker: smaller ones would take each part of it as it comes free.
-    pub(crate) fn reserve_for_large(&self, pass: &mut Pass, step: StepPlacement<'_>, left: usize) {
-        let mut good: Vec<usize> =
+    /// Reserves the earliest capacity for the unstarted tasks of a step on workers of which one task
+    /// takes a large part. Otherwise smaller tasks would use each part of it as it becomes free.
+    pub(crate) fn reserve_for_large(
+        &self,
+        pass: &mut Pass,
+        step: StepPlacement<'_>,
+        remaining: usize,
+    ) {
+        let mut allowed: Vec<usize> =
             self.candidates_with(pass, step, AdviceStatus::ValidTicket).collect();
         if step.queue.advice.is_some() {
-            good.extend(self.candidates_with(pass, step, AdviceStatus::LapsedTicket));
+            allowed.extend(self.candidates_with(pass, step, AdviceStatus::LapsedTicket));
         }
         let need = step.spec.allocation();
-        good.retain(|&at| takes_large_part(&need, &pass.candidates[at].capacity));
-        let slots = self.earliest_slots(pass, step, &good, left);
+        allowed.retain(|&at| takes_large_part(&need, &pass.candidates[at].capacity));
+        let slots = self.earliest_slots(pass, step, &allowed, remaining);
         if !slots.is_empty() {
             slots.into_iter().for_each(|(begin, at)| pass.candidates[at].reserve(&need, begin));
             pass.reservations += 1;
         }
     }
 
-    /// Returns the first times at which tasks of a step could start among the given rooms, at
-    /// most `count`, with the room of each; none when room is kept for others already.
+    /// Returns the earliest times at which tasks of a step could start on the given candidates, at
+    /// most `count`, with the candidate of each. Empty if [`MAX_RESERVATIONS`] is reached.
     fn earliest_slots(
         &self,
         pass: &Pass,
         step: StepPlacement<'_>,
-        rooms: &[usize],
+        candidates: &[usize],
         count: usize,
     ) -> Vec<(Millis, usize)> {
         let mut slots = Vec::new();
@@ -82,20 +86,20 @@
             return slots;
         }
         let need = step.spec.allocation();
-        for &at in rooms {
-            let room = &pass.candidates[at];
-            if !self.is_eligible(room, step) {
+        for &at in candidates {
+            let candidate = &pass.candidates[at];
+            if !self.is_eligible(candidate, step) {
                 continue;
             }
-            let free = room.free.minus(&room.reserved);
-            self.add_slots(at, room.idx, free, &need, pass.now, &mut slots);
+            let free = candidate.free.minus(&candidate.reserved);
+            self.add_slots(at, candidate.idx, free, &need, pass.now, &mut slots);
         }
         slots.sort_unstable();
         slots.truncate(count);
         slots
     }
 
-    /// Adds the times at which the worker has room for one more member.
+    /// Adds each time at which the worker has capacity for one more task.
     fn add_slots(
         &self,
         at: usize,
@@ -108,25 +112,27 @@
         let Some(w) = self.workers.get(idx) else { return };
         let mut ends: Vec<_> = w.held.iter().map(|h| (h.expected_end.max(now), h.room)).collect();
         ends.sort_unstable_by_key(|&(end, _)| end);
-        let mut have = fit_count(need, &free);
-        for _ in 0..have.min(MAX_SLOTS_PER_WORKER) {
+        let mut fitting = fit_count(need, &free);
+        for _ in 0..fitting.min(MAX_SLOTS_PER_WORKER) {
             slots.push((now, at));
         }
         for (end, room) in ends {
             free = free.plus(&room);
             let count = fit_count(need, &free);
-            for _ in have..count.min(MAX_SLOTS_PER_WORKER) {
+            for _ in fitting..count.min(MAX_SLOTS_PER_WORKER) {
                 slots.push((end, at));
             }
-            have = have.max(count);
+            fitting = fitting.max(count);
         }
     }
 }
 
-/// Tells whether a task takes a large part of a worker in some dimension.
-fn takes_large_part(need: &Resources, of: &Resources) -> bool {
-    let large = |n: u32, o: u32| n > 0 && u64::from(n) * 100 >= u64::from(o) * LARGE_TASK_PERCENT;
-    large(need.cpu_milli, of.cpu_milli)
-        || large(need.memory_mib, of.memory_mib)
-        || large(need.accelerators, of.accelerators)
+/// Returns whether a task takes at least [`LARGE_TASK_PERCENT`] of some resource of a worker.
+fn takes_large_part(need: &Resources, capacity: &Resources) -> bool {
+    let large = |need: u32, capacity: u32| {
+        need > 0 && u64::from(need) * 100 >= u64::from(capacity) * LARGE_TASK_PERCENT
+    };
+    large(need.cpu_milli, capacity.cpu_milli)
+        || large(need.memory_mib, capacity.memory_mib)
+        || large(need.accelerators, capacity.accelerators)
 }
