--- a/crates/hollowford-jobs/src/engine.rs
+++ b/crates/hollowford-jobs/src/engine.rs
@@ -196,10 +196,10 @@
     /// Applies the queues of a configuration.
     pub fn set_queues(&mut self, queues: &[Queue], now: Millis) {
         self.queues.clear();
-        for queue in queues {
-            let pool = self.workers.pool_name(&queue.pool);
-            let queue = Queue { pool, ..queue.clone() };
-            self.queues.insert(queue.name.clone(), Arc::new(queue));
+        for configured in queues {
+            let pool = self.workers.pool_name(&configured.pool);
+            let queue = Queue { pool, ..configured.clone() };
+            self.queues.insert(configured.name.clone(), Arc::new(queue));
         }
         self.end_exhausted(now);
         self.needs_pass = true;
--- a/crates/hollowford-jobs/src/pacing.rs
+++ b/crates/hollowford-jobs/src/pacing.rs
@@ -1,9 +1,9 @@
-//! Tasks that only fill what others leave idle, slowed down while they disturb tasks that
-//! serve users.
+//! Pacing of best-effort tasks: they are slowed down while they disturb service tasks.
 //!
-//! What fills a worker disturbs what serves there by amounts that shift within seconds. When
-//! the tail of a serving task's answer times is over its target, all that fills on the same
-//! worker is slowed down at once; it is sped up again step by step.
+//! Best-effort tasks use processors that others leave idle. They disturb the service tasks on the
+//! same worker to a degree that changes within seconds. When the tail latency of a service task
+//! exceeds its target, all best-effort tasks on its worker are slowed down at once. They are sped up
+//! again step by step.
 
 use crate::engine::Engine;
 use crate::held::{FULL_PACE, Held, Phase};
@@ -13,54 +13,58 @@
 use crate::workers::WorkerIdx;
 use hollowford_core::Millis;
 
-/// What fills may work at this share, in percent, once a target was missed; the next miss
-/// stops it.
+/// Pace of best-effort tasks after a missed latency target, in percent of the full pace. Another
+/// miss stops them.
 const SLOWED_PACE_PERCENT: u32 = 30;
-/// What fills is sped up by this many percent at a time.
+/// Increase of the pace per step, in percent of the full pace.
 const SPEED_UP_STEP_PERCENT: u32 = 20;
-/// It is sped up while tails are below this part of their targets, in percent.
+/// Tail latency up to which best-effort tasks are sped up, in percent of the target.
 const CALM_LATENCY_PERCENT: u64 = 70;
-/// Time between two changes on a worker: tails are told over the last half second.
+/// Shortest time between a change of pace and slowing down on a worker. Tail latencies are reported
+/// over the last half second.
 const SLOW_DOWN_INTERVAL: Millis = Millis(600);
-/// Time between two steps up, so that a disturbance shows before the next one.
+/// Shortest time between a change of pace and speeding up on a worker, so that a disturbance shows
+/// before the next step.
 const SPEED_UP_INTERVAL: Millis = Millis(1_500);
 
-/// How a worker's serving tasks stand to their targets.
+/// Tail latencies of a worker's service tasks compared with their targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LatencyStatus {
-    /// None serves here, or all are well below.
+    /// All are at most [`CALM_LATENCY_PERCENT`] of their targets, or the worker has no service task.
     Calm,
-    /// Between calm and missed.
+    /// At least one is above [`CALM_LATENCY_PERCENT`] of its target, none above the target.
     Near,
-    /// At least one is over.
+    /// At least one is above its target.
     Missed,
 }
 
 impl Engine {
-    /// Decides how fast the worker's filling tasks may work, by what it told of its serving
-    /// ones.
+    /// Sets the wanted pace of the worker's best-effort tasks by the latencies that it reported for its
+    /// service tasks.
     pub(crate) fn pace_best_effort_tasks(
         &mut self,
         idx: WorkerIdx,
         running: &[Running],
         now: Millis,
     ) {
-        let tails = self.latency_status(running);
-        let fills = |t: &TaskKey| self.jobs.step_spec(t.step).is_some_and(|s| s.best_effort);
-        let fillers: Vec<TaskKey> = running.iter().map(|r| r.task).filter(fills).collect();
+        let status = self.latency_status(running);
+        let is_best_effort =
+            |t: &TaskKey| self.jobs.step_spec(t.step).is_some_and(|s| s.best_effort);
+        let best_effort_tasks: Vec<TaskKey> =
+            running.iter().map(|r| r.task).filter(is_best_effort).collect();
         let Some(w) = self.workers.get_mut(idx) else { return };
-        let waited = now.since(w.paced_at);
-        let due = match tails {
-            LatencyStatus::Missed => waited >= SLOW_DOWN_INTERVAL,
-            LatencyStatus::Calm => waited >= SPEED_UP_INTERVAL,
+        let since_change = now.since(w.paced_at);
+        let due = match status {
+            LatencyStatus::Missed => since_change >= SLOW_DOWN_INTERVAL,
+            LatencyStatus::Calm => since_change >= SPEED_UP_INTERVAL,
             LatencyStatus::Near => false,
         };
-        if !due || fillers.is_empty() {
+        if !due || best_effort_tasks.is_empty() {
             return;
         }
         let mut changed = false;
-        for h in w.held.iter_mut().filter(|h| fillers.contains(&h.task)) {
-            let wanted = match tails {
+        for h in w.held.iter_mut().filter(|h| best_effort_tasks.contains(&h.task)) {
+            let wanted = match status {
                 LatencyStatus::Missed if h.pace_wanted > SLOWED_PACE_PERCENT => SLOWED_PACE_PERCENT,
                 LatencyStatus::Missed => 0,
                 _ => (h.pace_wanted + SPEED_UP_STEP_PERCENT).min(FULL_PACE),
@@ -73,6 +77,7 @@
         }
     }
 
+    /// Returns the worst status of the service tasks among the given tasks.
     fn latency_status(&self, running: &[Running]) -> LatencyStatus {
         let mut worst = LatencyStatus::Calm;
         for r in running {
@@ -80,18 +85,18 @@
             if !spec.service || spec.latency_target_ms == 0 {
                 continue;
             }
-            let tail = u64::from(r.load);
-            if tail > spec.latency_target_ms {
+            let tail_ms = u64::from(r.load);
+            if tail_ms > spec.latency_target_ms {
                 return LatencyStatus::Missed;
             }
-            if tail * 100 > spec.latency_target_ms * CALM_LATENCY_PERCENT {
+            if tail_ms * 100 > spec.latency_target_ms * CALM_LATENCY_PERCENT {
                 worst = LatencyStatus::Near;
             }
         }
         worst
     }
 
-    /// Orders the paces that are not in force yet.
+    /// Orders the wanted paces that the workers have not confirmed yet.
     pub(crate) fn send_paces(&mut self, out: &mut Vec<Order>) {
         for idx in self.workers.indexes() {
             let Some(w) = self.workers.get_mut(idx) else { continue };
@@ -112,7 +117,7 @@
         }
     }
 
-    /// Takes in whether an order of a pace was answered.
+    /// Records whether an order to change a task's pace was answered.
     pub fn pace_answered(
         &mut self,
         life: &WorkerLife,
--- a/crates/hollowford-jobs/src/queue.rs
+++ b/crates/hollowford-jobs/src/queue.rs
@@ -1,25 +1,25 @@
-//! Queues: what the configuration says of jobs handed in under one prefix.
+//! Queues: the configuration of the jobs that are submitted under one prefix.
 
 use hollowford_core::Millis;
 use std::sync::Arc;
 
-/// Calls up to this time are quick.
+/// Expected duration in milliseconds up to which an advice call is quick.
 pub(crate) const MAX_QUICK_CALL_MS: f64 = 30.0;
 
-/// What a call for placement advice costs, and how long its tickets hold.
+/// Expected duration of calls for placement advice, and the validity of their tickets.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdviceCost {
-    /// Milliseconds for each call.
+    /// Base duration of a call, in milliseconds.
     pub base_ms: f64,
-    /// Milliseconds for each worker named.
+    /// Additional duration for each named worker, in milliseconds.
     pub per_worker_ms: f64,
-    /// How long a ticket is valid.
+    /// Time that a ticket is valid after the answer.
     pub ticket_validity: Millis,
 }
 
 impl AdviceCost {
-    /// Returns how many more workers a call may name if that is to lengthen it by `percent`
-    /// hundredths of the time that any call takes.
+    /// Returns how many more workers a call can name without taking longer by more than `percent` of
+    /// its base duration.
     pub fn extra_workers(&self, percent: u32) -> usize {
         if self.per_worker_ms <= 0.0 {
             return usize::MAX;
@@ -27,32 +27,33 @@
         (self.base_ms * f64::from(percent) / 100.0 / self.per_worker_ms) as usize
     }
 
-    /// Tells whether a call that names few workers is answered quickly.
+    /// Returns whether a call that names one worker is quick.
     pub fn is_quick(&self) -> bool {
         self.call_ms(1) <= MAX_QUICK_CALL_MS
     }
 
-    /// Returns the time of a call that names `workers`.
+    /// Returns the expected duration in milliseconds of a call that names this many workers.
     pub fn call_ms(&self, workers: usize) -> f64 {
         self.base_ms + self.per_worker_ms * workers as f64
     }
 }
 
-/// A queue.
+/// A queue: the worker pool, priority and objective of its jobs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Queue {
-    /// Its name.
+    /// Name of the queue.
     pub name: Arc<str>,
     /// Name of the pool of workers that runs its tasks.
     pub pool: Arc<str>,
-    /// 0 goes first.
+    /// Priority of the queue's jobs. Only 0, the first priority, goes before the others.
     pub priority: u32,
-    /// A task that failed so often fails its job.
+    /// Number of failures of one task that fails its job.
     pub max_attempts: u32,
-    /// The objective's multiple of the job's work.
+    /// Objective for the time from acceptance to completion, as a multiple of the estimated length of
+    /// the job's critical path.
     pub stretch: f64,
-    /// What the objective adds to that.
+    /// Constant time that is added to the objective.
     pub slack: Millis,
-    /// Its policy names the workers by advice.
+    /// Cost of advice calls, if the queue's workers are chosen by the advice service.
     pub advice: Option<AdviceCost>,
 }
--- a/crates/hollowford-jobs/src/urgency.rs
+++ b/crates/hollowford-jobs/src/urgency.rs
@@ -1,4 +1,4 @@
-//! The order in which steps are served.
+//! The order in which a pass tries the waiting steps.
 
 use crate::engine::Engine;
 use crate::job::Job;
@@ -6,39 +6,42 @@
 use crate::spec::StepKey;
 use hollowford_core::Millis;
 
-/// An answer later than this multiple of the objective is worth nothing (RULES).
+/// Multiple of the objective after which the users give an answer no more value.
 const WORTHLESS_AFTER_OBJECTIVES: u64 = 3;
-
-/// A step whose latest start in time is so long ago goes before others, one at a time.
+/// Time after its latest start at which a step goes before all others, one step at a time.
 const STARVATION_TIMEOUT: Millis = Millis(12_000);
 
-/// How urgent a step is. Smaller goes first.
+/// Urgency of a step. Steps with the smallest value go first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Urgency {
     rank: Rank,
-    /// The job is more than its account is owed. Behind what is owed of the same rank the surplus
-    /// of a noisy account costs the others less; behind all that is owed, it would wait for work that
-    /// has time.
+    /// The job exceeds the guaranteed rate of its account. Such jobs come after the guaranteed ones of
+    /// the same rank, so that an account with too many jobs delays the others less. They don't come
+    /// after the guaranteed jobs of all ranks, some of which can still wait.
     not_guaranteed: bool,
-    /// The latest start that is in time.
+    /// Latest start with which the job still meets its objective.
     latest_start: Millis,
 }
 
-/// In time before late, and of those in time the first priority before all others.
+/// Rank by the job's objective: steps in time come before late ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Rank {
+    /// In time, in a queue of the first priority.
     First,
+    /// In time, in any other queue.
     InTime,
+    /// Can no longer meet the objective.
     Late,
+    /// Can no longer finish while the answer has value.
     Worthless,
 }
 
-/// A step with tasks that wait.
+/// A step with tasks that may start now.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WaitingStep {
     pub urgency: Urgency,
     pub key: StepKey,
-    /// The job's acceptance is in the store, so that tasks may start.
+    /// Whether the job's acceptance is in the store; no task starts before.
     pub durable: bool,
 }
 
@@ -61,18 +64,18 @@
         out
     }
 
-    /// Counts the steps with tasks that may start now.
+    /// Returns the number of steps with tasks that may start now.
     pub(crate) fn count_waiting(&self, now: Millis) -> usize {
-        let starts = |&&key: &&StepKey| self.is_waiting(key, now);
-        self.jobs.waiting().filter(starts).count()
+        let is_waiting = |&&key: &&StepKey| self.is_waiting(key, now);
+        self.jobs.waiting().filter(is_waiting).count()
     }
 
-    /// Tells whether tasks of a step may start now.
+    /// Returns whether tasks of a step may start now.
     pub(crate) fn is_waiting(&self, key: StepKey, now: Millis) -> bool {
         matches!(self.readiness(key, now), Readiness::Now(_))
     }
 
-    /// Returns what a step waits for.
+    /// Returns whether tasks of a step may start now, later or not at all.
     fn readiness(&self, key: StepKey, now: Millis) -> Readiness {
         let Some(job) = self.jobs.get(key.job).filter(|j| j.end.is_none()) else {
             return Readiness::None;
@@ -80,7 +83,7 @@
         let Some(round) = job.round(key.round) else { return Readiness::None };
         let at = key.step as usize;
         let Some(step) = round.steps.get(at) else { return Readiness::None };
-        // A step that is not ready comes back when the one that it depends on is done.
+        // A step that is not ready is added again when the steps that it depends on are done.
         if !step.has_unplaced() || !round.ready(&job.spec, at) {
             return Readiness::None;
         }
@@ -94,9 +97,9 @@
     }
 }
 
-/// Puts the step that has waited longest before all others, if that is very long: what is worth
-/// nothing any more has still been accepted, and would never run while other work keeps coming.
-/// It is one step at a time, so that a backlog doesn't make all others late as well.
+/// Moves the most overdue worthless step to the front if it is overdue by [`STARVATION_TIMEOUT`]. A
+/// job without value has still been accepted and would never run while other work keeps arriving.
+/// Only one step is moved at a time, so that a backlog doesn't make all other steps late as well.
 fn promote_starved_step(steps: &mut [WaitingStep], now: Millis) {
     let worthless = steps.iter().position(|w| w.urgency.rank == Rank::Worthless);
     let Some(at) = worthless else { return };
@@ -105,23 +108,24 @@
     }
 }
 
-/// Whether tasks of a step are to be started.
+/// Whether tasks of a step can start.
 enum Readiness {
-    /// None, until something happens to the step.
+    /// No task can start until an event adds the step again.
     None,
-    /// Some, but not now.
+    /// Some tasks can start later.
     Later,
-    /// Some, now.
+    /// Some tasks can start now.
     Now(WaitingStep),
 }
 
+/// Returns the urgency of a step whose round fell due at `due`.
 fn urgency(job: &Job, due: Millis, step: usize, queue: &Queue, now: Millis) -> Urgency {
     let objective =
         Millis((job.spec.critical_path_ms() as f64 * queue.stretch) as u64) + queue.slack;
     let work = Millis(job.spec.critical_path_from_ms(step));
     let latest_start = (due + objective) - work;
-    let worthless = due + Millis(objective.0 * WORTHLESS_AFTER_OBJECTIVES);
-    let rank = if now + work > worthless {
+    let worthless_at = due + Millis(objective.0 * WORTHLESS_AFTER_OBJECTIVES);
+    let rank = if now + work > worthless_at {
         Rank::Worthless
     } else if now > latest_start {
         Rank::Late
--- a/crates/hollowford-jobs/src/wait_causes.rs
+++ b/crates/hollowford-jobs/src/wait_causes.rs
@@ -9,24 +9,24 @@
 use hollowford_core::Millis;
 use std::fmt::{self, Display};
 
-/// Why a step with tasks that wait doesn't start one.
+/// Why a waiting step doesn't start a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum WaitCause {
-    /// Its job's acceptance is not in the store.
+    /// The acceptance of its job is not in the store yet.
     NotDurable,
-    /// What became of earlier runs isn't known, or not in the store.
+    /// The outcome of earlier runs is unknown, or not in the store yet.
     HeldBack,
-    /// Its client account's quota.
+    /// The quota of its client account is used up.
     Quota,
-    /// A call for advice is under way.
+    /// An advice call is pending.
     AdvicePending,
-    /// Workers with room may run it, and their tickets have lapsed.
+    /// Enough workers with free capacity may run it, but tickets of some have lapsed.
     TicketsLapsed,
-    /// Workers with room have not been asked about.
+    /// Enough workers have free capacity, but no advice call has named some of them.
     AdviceMissing,
-    /// No worker that may run it has room, or too few have for a gang.
+    /// Too few of the workers that may run it have free capacity.
     NoRoom,
-    /// Room that it may use is kept for another step, or comes with the next pass.
+    /// Capacity that it may use is reserved for another step, or will be used by the next pass.
     Reserved,
 }
 
@@ -43,7 +43,7 @@
         WaitCause::Reserved,
     ];
 
-    /// Returns its name in the log and in metrics.
+    /// Returns the cause's name in the log and in metrics.
     pub fn name(self) -> &'static str {
         match self {
             WaitCause::NotDurable => "unkept",
@@ -58,14 +58,14 @@
     }
 }
 
-/// A step that waits.
+/// A waiting step and the reason why it waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StepWait {
-    /// The step.
+    /// The waiting step.
     pub step: StepKey,
-    /// Why.
+    /// Why it waits.
     pub cause: WaitCause,
-    /// Time since its job's acceptance.
+    /// Time since the acceptance of its job.
     pub age: Millis,
 }
 
@@ -75,15 +75,16 @@
     }
 }
 
-/// Most steps that are looked at: each is compared with all workers.
+/// Most steps that are reported, since each is compared with all workers.
 const MAX_REPORTED_STEPS: usize = 200;
 
 impl Engine {
-    /// Returns the steps that wait, with the reason of each, the oldest first; of very many only some.
+    /// Returns the waiting steps with their causes, the oldest first. At most 200 arbitrary steps are
+    /// considered.
     pub fn step_waits(&self, now: Millis) -> Vec<StepWait> {
         let usable = self.workers.iter().filter(|(_, w)| w.usable(now) && w.recorded);
-        let rooms = usable.map(|(i, w)| CandidateWorker::from_worker(i, w, now)).collect();
-        let pass = Pass::new(now, true, rooms);
+        let candidates = usable.map(|(i, w)| CandidateWorker::from_worker(i, w, now)).collect();
+        let pass = Pass::new(now, true, candidates);
         let wait = |&key: &StepKey| {
             let job = self.jobs.get(key.job)?;
             let cause = self.wait_cause(&pass, key)?;
@@ -99,7 +100,7 @@
         let job = self.jobs.get(key.job).filter(|j| j.end.is_none())?;
         let queue = self.queues.get(&job.queue)?;
         let (spec, step) = (job.spec.steps.get(key.step as usize)?, self.jobs.step(key)?);
-        let gang = StepPlacement { key, account: job.account, durable: job.kept, spec, queue };
+        let placement = StepPlacement { key, account: job.account, durable: job.kept, spec, queue };
         if !self.is_waiting(key, pass.now) {
             let held_back = step.tasks.iter().any(|t| t.is_held_back());
             return held_back.then_some(WaitCause::HeldBack);
@@ -110,32 +111,32 @@
         } else if !self.accounts.allows(job.account, &spec.allocation(), wanted) {
             WaitCause::Quota
         } else {
-            self.capacity_cause(pass, gang, wanted)
+            self.capacity_cause(pass, placement, wanted)
         })
     }
 
-    /// Returns the cause of a step that lacks only advice or room for `wanted` tasks.
+    /// Returns the cause of a step that lacks only advice or capacity for `wanted` tasks.
     fn capacity_cause(&self, pass: &Pass, step: StepPlacement<'_>, wanted: u32) -> WaitCause {
         let need = step.spec.allocation();
-        let places = |standing: &[AdviceStatus]| -> u32 {
-            let has = |r: &&CandidateWorker| {
-                standing.contains(&self.advice_status(step, r.idx, pass.now))
+        let free_slots = |statuses: &[AdviceStatus]| -> u32 {
+            let is_usable = |r: &&CandidateWorker| {
+                statuses.contains(&self.advice_status(step, r.idx, pass.now))
                     && self.is_eligible(r, step)
             };
             pass.candidates
                 .iter()
-                .filter(has)
+                .filter(is_usable)
                 .map(|r| fit_count(&need, &r.free))
                 .fold(0, u32::saturating_add)
         };
-        let is_asking = self.jobs.step(step.key).is_some_and(|s| s.advice.is_call_pending());
-        if places(&[AdviceStatus::ValidTicket]) >= wanted {
+        let is_call_pending = self.jobs.step(step.key).is_some_and(|s| s.advice.is_call_pending());
+        if free_slots(&[AdviceStatus::ValidTicket]) >= wanted {
             WaitCause::Reserved
-        } else if is_asking {
+        } else if is_call_pending {
             WaitCause::AdvicePending
-        } else if places(&[AdviceStatus::ValidTicket, AdviceStatus::LapsedTicket]) >= wanted {
+        } else if free_slots(&[AdviceStatus::ValidTicket, AdviceStatus::LapsedTicket]) >= wanted {
             WaitCause::TicketsLapsed
-        } else if places(&[
+        } else if free_slots(&[
             AdviceStatus::ValidTicket,
             AdviceStatus::LapsedTicket,
             AdviceStatus::Unknown,
