--- a/crates/hollowford-jobs/src/accounts.rs
+++ b/crates/hollowford-jobs/src/accounts.rs
@@ -1,9 +1,10 @@
-//! Client accounts: what each may have running, and what it has.
+//! Client accounts: their quotas and what they use of them.
 //!
-//! What an account has running is counted anew for each pass, from what workers hold: ordered,
-//! unanswered, stopping, or on a worker that is silent and whose lease isn't surely over. After a
-//! takeover what may run on workers that this owner has not heard yet counts besides. So nothing
-//! has to be kept in step, and no start goes by a count that was right only a moment ago.
+//! The usage of an account is counted again for each pass from the tasks on the workers, including
+//! starts without an answer, stopping tasks, and tasks on silent workers whose lease may not have
+//! expired. After a takeover, tasks that may run on workers that this owner has not claimed count as
+//! well. Counting again avoids incremental counters that could drift, and no start relies on an
+//! outdated count.
 
 use crate::engine::Engine;
 use crate::job::Job;
@@ -16,29 +17,29 @@
 /// Position of a client account in the engine's table.
 pub(crate) type AccountIdx = u32;
 
-/// Name of the account of jobs that came over a route without keys. It has no quota.
+/// Name of the account of jobs that were submitted over a route without keys. It has no quota.
 pub const NO_ACCOUNT: &str = "";
 
-/// A client account as the configuration has it.
+/// The configuration of a client account.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Account {
-    /// Its name.
+    /// Name of the account.
     pub name: Arc<str>,
-    /// What it is granted.
+    /// Quota and other limits of the account.
     pub policy: AccountPolicy,
-    /// Jobs of it a second that are owed an answer in time; what comes beyond them goes behind what
-    /// is owed. 0: all are.
+    /// Jobs per second that are guaranteed to be served in time. Jobs beyond this rate come after
+    /// guaranteed ones. 0 means that all jobs are guaranteed.
     pub guaranteed_jobs_per_s: u32,
 }
 
-/// What the engine knows of one account.
+/// Policy and usage of one account.
 #[derive(Clone, Debug)]
 struct AccountState {
     name: Arc<str>,
     policy: AccountPolicy,
-    /// What its tasks hold, or may hold.
+    /// Resources that its tasks hold, or may hold.
     used: Totals,
-    /// Part of its quota that is kept for a gang of its own.
+    /// Part of its quota that is reserved for one of its gangs.
     reserved: Option<Totals>,
     allowance: Allowance,
 }
@@ -56,7 +57,7 @@
     }
 }
 
-/// All accounts that jobs belong to, or that the configuration names.
+/// All accounts that are configured or that jobs belong to.
 #[derive(Debug, Default)]
 pub(crate) struct Accounts {
     list: Vec<AccountState>,
@@ -64,7 +65,7 @@
 }
 
 impl Accounts {
-    /// Finds an account, or adds it without a quota.
+    /// Returns the position of an account, which is added without a quota if it is unknown.
     pub fn intern(&mut self, name: &str) -> AccountIdx {
         if let Some(&idx) = self.by_name.get(name) {
             return idx;
@@ -76,8 +77,8 @@
         idx
     }
 
-    /// Puts what the configuration grants in force. An account that it doesn't name any more keeps
-    /// what it was granted last, since its accepted jobs go on.
+    /// Applies the configured policies. An account that is no longer configured keeps its last policy,
+    /// since its accepted jobs continue.
     pub fn set(&mut self, accounts: &[Account]) {
         for a in accounts {
             let idx = self.intern(&a.name);
@@ -87,8 +88,8 @@
         }
     }
 
-    /// Counts a job that an account hands in. Tells whether it is owed an answer in time, or comes
-    /// beyond what the account is owed.
+    /// Counts a submitted job of an account. Returns whether it is within the account's guaranteed
+    /// rate.
     pub fn record_job(&mut self, idx: AccountIdx, now: Millis) -> bool {
         self.list[idx as usize].allowance.note(now)
     }
@@ -97,12 +98,12 @@
         &self.list[idx as usize].name
     }
 
-    /// Tells whether some account has a quota.
+    /// Returns whether any account has a quota.
     pub fn has_quotas(&self) -> bool {
         self.list.iter().any(|a| !a.policy.is_unlimited())
     }
 
-    /// Begins to count anew.
+    /// Resets the usage and the reservation of all accounts.
     pub fn reset_usage(&mut self) {
         for a in &mut self.list {
             a.used = Totals::default();
@@ -110,38 +111,38 @@
         }
     }
 
-    /// Counts what one of the account's tasks holds.
-    pub fn add_usage(&mut self, idx: AccountIdx, room: &Resources) {
-        self.list[idx as usize].used.add(room);
+    /// Adds the resources of one task to the account's usage.
+    pub fn add_usage(&mut self, idx: AccountIdx, resources: &Resources) {
+        self.list[idx as usize].used.add(resources);
     }
 
-    /// Counts what the account's tasks may hold together.
-    fn add_total_usage(&mut self, idx: AccountIdx, rooms: &Totals) {
-        self.list[idx as usize].used.plus(rooms);
+    /// Adds the resources of several tasks to the account's usage.
+    fn add_total_usage(&mut self, idx: AccountIdx, resources: &Totals) {
+        self.list[idx as usize].used.plus(resources);
     }
 
-    /// Tells whether `count` more tasks stay within the account's quota, beside what is kept of it
-    /// for a gang.
+    /// Returns whether `count` more tasks fit in the account's quota next to its reservation for a
+    /// gang.
     pub fn allows(&self, idx: AccountIdx, need: &Resources, count: u32) -> bool {
         let a = &self.list[idx as usize];
         if a.policy.is_unlimited() {
             return true;
         }
-        let mut used = a.used;
-        if let Some(kept) = &a.reserved {
-            used.plus(kept);
+        let mut total = a.used;
+        if let Some(reserved) = &a.reserved {
+            total.plus(reserved);
         }
-        a.policy.allows(&used, need, count)
+        a.policy.allows(&total, need, count)
     }
 
-    /// Returns how many more such tasks, at most `most`, stay within the account's quota.
-    pub fn allowed_count(&self, idx: AccountIdx, need: &Resources, most: usize) -> usize {
-        (0..most).take_while(|&n| self.allows(idx, need, n as u32 + 1)).count()
+    /// Returns how many more tasks that need `need` fit in the account's quota, at most `limit`.
+    pub fn allowed_count(&self, idx: AccountIdx, need: &Resources, limit: usize) -> usize {
+        (0..limit).take_while(|&n| self.allows(idx, need, n as u32 + 1)).count()
     }
 
-    /// Keeps a part of the account's quota for a gang that can't start yet: its smaller tasks
-    /// would use each part of it that comes free. One gang of an account at a time, the most
-    /// urgent, and none that is larger than the quota.
+    /// Reserves a part of the account's quota for a gang that can't start yet. Otherwise the account's
+    /// smaller tasks would use each part of the quota as it becomes free. Only the first gang in a pass
+    /// gets a reservation, which is the most urgent one, and none that is larger than the quota.
     pub fn reserve(&mut self, idx: AccountIdx, need: &Resources, count: u32) {
         let a = &mut self.list[idx as usize];
         let fits = a.policy.allows(&Totals::default(), need, count);
@@ -151,56 +152,60 @@
         a.reserved = Some(Totals::of(need, count));
     }
 
-    /// Returns what each account with a quota holds of it.
+    /// Returns the usage of each account with a quota.
     pub fn usage(&self) -> impl Iterator<Item = AccountUsage> {
-        let limited = self.list.iter().filter(|a| !a.policy.is_unlimited());
-        limited.map(|a| AccountUsage { name: a.name.clone(), used: a.used, quota: a.policy.quota })
+        let with_quota = self.list.iter().filter(|a| !a.policy.is_unlimited());
+        with_quota.map(|a| AccountUsage {
+            name: a.name.clone(),
+            used: a.used,
+            quota: a.policy.quota,
+        })
     }
 }
 
-/// What an account holds of its quota.
+/// Resources that an account uses of its quota.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AccountUsage {
-    /// Its name.
+    /// Name of the account.
     pub name: Arc<str>,
-    /// What its tasks hold.
+    /// Resources that its tasks hold, or may hold.
     pub used: Totals,
-    /// Most that they may; 0: no limit.
+    /// Most resources that its tasks may hold; 0 means no limit.
     pub quota: Totals,
 }
 
 impl AccountUsage {
-    /// Tells whether the account holds so much of its quota, in percent, of some resource.
-    pub fn is_over(&self, percent: u64) -> bool {
-        let over = |used: u64, quota: u64| quota > 0 && used * 100 >= quota * percent;
-        over(self.used.cpu_milli, self.quota.cpu_milli)
-            || over(self.used.memory_mib, self.quota.memory_mib)
-            || over(self.used.accelerators, self.quota.accelerators)
+    /// Returns whether the account uses at least `percent` of its quota of any resource.
+    pub fn has_reached(&self, percent: u64) -> bool {
+        let is_reached = |used: u64, quota: u64| quota > 0 && used * 100 >= quota * percent;
+        is_reached(self.used.cpu_milli, self.quota.cpu_milli)
+            || is_reached(self.used.memory_mib, self.quota.memory_mib)
+            || is_reached(self.used.accelerators, self.quota.accelerators)
     }
 }
 
 impl Engine {
-    /// Puts the client accounts of a configuration in force. All jobs of an account belong to one
-    /// partition, which grants it all of its quota.
+    /// Applies the client accounts of a configuration. All jobs of an account belong to one partition,
+    /// so the partition applies the whole quota.
     pub fn set_accounts(&mut self, accounts: &[Account]) {
         self.accounts.set(accounts);
         self.needs_pass = true;
     }
 
-    /// Returns the client account that a job belongs to; none when there is no such job.
+    /// Returns the client account of a job, or `None` if the job is unknown.
     pub fn account_of(&self, job: JobId) -> Option<&str> {
         let open = self.jobs.get(job).map(|j| j.account);
         let idx = open.or_else(|| self.jobs.ended(job).map(|e| e.account))?;
         Some(self.accounts.name(idx))
     }
 
-    /// Returns what each account with a quota holds of it.
+    /// Returns the current usage of each account with a quota.
     pub fn account_usage(&mut self) -> Vec<AccountUsage> {
         self.recount_usage();
         self.accounts.usage().collect()
     }
 
-    /// Counts what the accounts have running, or may have.
+    /// Counts the usage of all accounts again.
     pub(crate) fn recount_usage(&mut self) {
         if !self.accounts.has_quotas() {
             return;
@@ -208,9 +213,9 @@
         self.accounts.reset_usage();
         for (_, w) in self.workers.iter() {
             for h in &w.held {
-                // What a job that has ended takes is not known: the whole worker at most.
-                let room = if h.room == Resources::ALL { &w.capacity } else { &h.room };
-                self.accounts.add_usage(h.account, room);
+                // The allocation of an ended job's task is unknown, so it counts as the whole worker.
+                let resources = if h.room == Resources::ALL { &w.capacity } else { &h.room };
+                self.accounts.add_usage(h.account, resources);
             }
         }
         if self.tasks_unsettled {
@@ -218,27 +223,32 @@
         }
     }
 
-    /// Counts what may run on workers that this owner has not claimed: of each account what its
-    /// unsettled tasks take, and no more than those workers have.
+    /// Counts the tasks that may run on workers that this owner has not claimed: the unsettled tasks
+    /// of each account, limited to the capacity of those workers.
     fn count_unsettled_usage(&mut self) {
-        let most = self.workers.iter().fold(Resources::default(), |m, (_, w)| m.most(&w.capacity));
-        let mut room = Totals::default();
+        let max_capacity =
+            self.workers.iter().fold(Resources::default(), |max, (_, w)| max.most(&w.capacity));
+        let mut unclaimed_capacity = Totals::default();
         for &idx in &self.unsettled_workers {
-            let capacity = self.workers.get(idx).map_or(most, |w| w.capacity);
-            // One that is not listed any more may be as large as any.
-            room.add(if capacity == Resources::default() { &most } else { &capacity });
+            let capacity = self.workers.get(idx).map_or(max_capacity, |w| w.capacity);
+            // The capacity of a worker that is no longer listed is unknown, so it counts as the largest.
+            unclaimed_capacity.add(if capacity == Resources::default() {
+                &max_capacity
+            } else {
+                &capacity
+            });
         }
         let mut by_account: FxHashMap<AccountIdx, Totals> = FxHashMap::default();
         for job in self.jobs.open() {
             by_account.entry(job.account).or_default().plus(&unsettled_usage(job));
         }
         for (idx, tasks) in by_account {
-            self.accounts.add_total_usage(idx, &tasks.least(&room));
+            self.accounts.add_total_usage(idx, &tasks.least(&unclaimed_capacity));
         }
     }
 }
 
-/// Returns what the tasks of a job take that may run on unclaimed workers.
+/// Returns the resources of a job's tasks that may run on unclaimed workers.
 fn unsettled_usage(job: &Job) -> Totals {
     let mut sum = Totals::default();
     for round in &job.rounds {
--- a/crates/hollowford-jobs/src/candidate.rs
+++ b/crates/hollowford-jobs/src/candidate.rs
@@ -111,7 +111,7 @@
 
 /// Returns how many tasks that need `need` fit into `available`.
 pub(crate) fn fit_count(need: &Resources, available: &Resources) -> u32 {
-    let times = |need: u32, available: u32| available.checked_div(need).unwrap_or(u32::MAX);
+    let times = |per_task: u32, total: u32| total.checked_div(per_task).unwrap_or(u32::MAX);
     times(need.cpu_milli, available.cpu_milli)
         .min(times(need.memory_mib, available.memory_mib))
         .min(times(need.accelerators, available.accelerators))
--- a/crates/hollowford-jobs/src/reservation.rs
+++ b/crates/hollowford-jobs/src/reservation.rs
@@ -129,8 +129,8 @@
 
 /// Returns whether a task takes at least [`LARGE_TASK_PERCENT`] of some resource of a worker.
 fn takes_large_part(need: &Resources, capacity: &Resources) -> bool {
-    let large = |need: u32, capacity: u32| {
-        need > 0 && u64::from(need) * 100 >= u64::from(capacity) * LARGE_TASK_PERCENT
+    let large = |part: u32, whole: u32| {
+        part > 0 && u64::from(part) * 100 >= u64::from(whole) * LARGE_TASK_PERCENT
     };
     large(need.cpu_milli, capacity.cpu_milli)
         || large(need.memory_mib, capacity.memory_mib)
--- a/crates/hollowford-jobs/src/spec.rs
+++ b/crates/hollowford-jobs/src/spec.rs
@@ -1,18 +1,18 @@
-//! What callers ask for, checked.
+//! Specifications of jobs and their validation.
 
 use hollowford_core::Resources;
 use std::fmt;
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// Most tasks of one step. A larger step is refused, since its progress has to fit a row.
+/// Most tasks of one step. The progress of a step has to fit into one row of the store.
 pub const MAX_TASKS_PER_STEP: u32 = 2_000;
 /// Most steps of one job.
 pub const MAX_STEPS_PER_JOB: usize = 64;
 /// Longest template, in bytes.
 pub const MAX_TEMPLATE_BYTES: usize = 4_000;
 
-/// Names a job: 16 hex digits that the caller chose.
+/// Identifies a job: 16 hex digits that the caller chose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
@@ -35,16 +35,16 @@
 /// One step of one round of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StepKey {
-    /// The job.
+    /// The job of the step.
     pub job: JobId,
-    /// Number of the round, from 0; always 0 without a schedule.
+    /// Number of the job's round, from 0; always 0 without a schedule.
     pub round: u32,
-    /// Number of the step, from 0.
+    /// Position of the step in the job, from 0.
     pub step: u32,
 }
 
 impl StepKey {
-    /// Names a task of the step.
+    /// Returns the key of the task at `index` in the step.
     pub fn task(self, index: u32) -> TaskKey {
         TaskKey { step: self, index }
     }
@@ -56,12 +56,12 @@
     }
 }
 
-/// One task.
+/// One task of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskKey {
     /// The step that it belongs to.
     pub step: StepKey,
-    /// Position in the step, from 0.
+    /// Position of the task in the step, from 0.
     pub index: u32,
 }
 
@@ -85,136 +85,137 @@
     }
 }
 
-/// What is wrong with a job.
+/// Reasons why a job's id, a task's name or a job's specification is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SpecError {
-    /// The id is not 16 hex digits.
-    #[error("a job's id is 16 hex digits")]
+    /// A job's id is not 16 hex digits.
+    #[error("a job id must be 16 hex digits")]
     InvalidId,
-    /// A task's name is not ID.ROUND.STEP.INDEX.
-    #[error("a task's name is ID.ROUND.STEP.INDEX")]
+    /// A task's name doesn't have the form `ID.ROUND.STEP.INDEX`.
+    #[error("a task name must have the form ID.ROUND.STEP.INDEX")]
     InvalidTaskName,
-    /// The template is too long.
-    #[error("the template has {0} bytes; {MAX_TEMPLATE_BYTES} is the most")]
+    /// The template has more than 4,000 bytes; contains its length.
+    #[error("the template has {0} bytes; the limit is {MAX_TEMPLATE_BYTES}")]
     TemplateTooLong(usize),
-    /// No step, or too many.
-    #[error("a job has 1 to {MAX_STEPS_PER_JOB} steps, not {0}")]
-    StepCount(usize),
-    /// A step without tasks, or with too many.
-    #[error("step {step} has {count} tasks; it may have 1 to {MAX_TASKS_PER_STEP}")]
-    TaskCount {
-        /// Number of the step.
+    /// The job has no step or more than 64; contains their number.
+    #[error("the job has {0} steps; it must have 1 to {MAX_STEPS_PER_JOB}")]
+    InvalidStepCount(usize),
+    /// A step has no task or more than 2,000.
+    #[error("step {step} has {count} tasks; it must have 1 to {MAX_TASKS_PER_STEP}")]
+    InvalidTaskCount {
+        /// Position of the step in the job.
         step: usize,
-        /// How many tasks it asks for.
+        /// Number of tasks that it specifies.
         count: u32,
     },
-    /// A step depends on itself, on a later one, or on none that there is.
-    #[error("step {step} depends on step {on}, which is not an earlier one")]
+    /// A step depends on a step that is not an earlier one of the job.
+    #[error("step {step} depends on step {on}, which is not an earlier step")]
     InvalidDependency {
-        /// Number of the step.
+        /// Position of the step in the job.
         step: usize,
-        /// What it depends on.
+        /// Position of the step that it depends on.
         on: u32,
     },
 }
 
-/// A step as it came, not checked.
+/// A step as specified by the caller, before validation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RawStep {
-    /// How many equal tasks.
+    /// Number of identical tasks.
     pub count: u32,
-    /// What each task takes.
+    /// Resources of each task.
     pub resources: Resources,
-    /// The caller's guess of a task's run time, in milliseconds.
+    /// The caller's estimate of a task's run time, in milliseconds.
     pub estimate_ms: u64,
-    /// Numbers of earlier steps that must be done first.
+    /// Positions of earlier steps that must be done before this step starts.
     pub depends_on: Vec<u32>,
-    /// Whether a stopped task can go on from where it was.
+    /// Whether a stopped task can resume from its last checkpoint.
     pub resumable: bool,
-    /// Whether the tasks work only together.
+    /// Whether the tasks are a gang, which has to run all at the same time.
     pub gang: bool,
-    /// Whether a gang is slow when it spans racks.
+    /// Whether a gang should be placed in one rack because it is slower across racks.
     pub prefer_one_rack: bool,
-    /// Label that a worker must have; empty: any.
+    /// Label that a worker must have; empty for any worker.
     pub required_label: String,
-    /// Rack where the data lies; empty: none.
+    /// Rack that holds the data; empty if there is none.
     pub data_rack: String,
-    /// Most tasks of the step on one worker; 0: no limit.
+    /// Most tasks of the step on one worker; 0 means no limit.
     pub max_per_worker: u32,
-    /// Whether copies of a task may run side by side.
+    /// Whether copies of a task may run at the same time.
     pub speculative: bool,
-    /// Whether the tasks run until the job is cancelled.
+    /// Whether the tasks are service tasks, which run until the job is cancelled.
     pub service: bool,
-    /// How many tasks of a lasting step may be away at once by our doing.
+    /// Most service tasks of the step that the scheduler itself may interrupt at the same time.
     pub max_unavailable: u32,
-    /// Whether the tasks use only processors that others leave idle.
+    /// Whether the tasks are best-effort tasks, which use only processors that others leave idle.
     pub best_effort: bool,
-    /// What the tasks run; equal images behave alike.
+    /// Name of the program image; tasks with the same image behave alike.
     pub image: String,
-    /// Bound of the users' answer times of lasting tasks, in milliseconds; 0: none.
+    /// Target for the tail latency of service tasks, in milliseconds; 0 means none.
     pub latency_target_ms: u64,
 }
 
-/// A job as it came, not checked.
+/// A job as specified by the caller, before validation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RawJob {
-    /// Handed to the workers as it is.
+    /// Opaque template that is passed to the workers unchanged.
     pub template: String,
-    /// Its steps.
+    /// The job's steps.
     pub steps: Vec<RawStep>,
-    /// When and how often to repeat.
+    /// When and how often the steps are repeated; `None` for once, immediately.
     pub schedule: Option<Schedule>,
 }
 
 /// When a job's rounds are due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Schedule {
-    /// Time of the first round, in milliseconds since 1970.
+    /// Time of the first round, in milliseconds of Unix time.
     pub first_unix_ms: u64,
-    /// Milliseconds between rounds.
+    /// Time between two rounds, in milliseconds.
     pub interval_ms: u64,
-    /// How many rounds.
+    /// Number of rounds.
     pub rounds: u32,
 }
 
-/// A checked step. The fields are those of [`RawStep`].
+/// A validated step, with the fields of [`RawStep`].
 pub type StepSpec = RawStep;
 
 impl RawStep {
-    /// Returns the room that a worker has to set aside for one task.
+    /// Returns the resources that a worker sets aside for one task. Best-effort tasks get no processor
+    /// share of their own.
     pub fn allocation(&self) -> Resources {
         let cpu_milli = if self.best_effort { 0 } else { self.resources.cpu_milli };
         Resources { cpu_milli, ..self.resources }
     }
 }
 
-/// A checked job.
+/// A validated job.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobSpec {
-    /// Handed to the workers as it is.
+    /// Opaque template that is passed to the workers unchanged.
     pub template: Arc<str>,
-    /// Its steps, each depending on earlier ones only.
+    /// The job's steps, each depending only on earlier ones.
     pub steps: Vec<StepSpec>,
-    /// When and how often to repeat; none: once, now.
+    /// When and how often the steps are repeated; `None` for once, immediately.
     pub schedule: Option<Schedule>,
 }
 
 impl JobSpec {
-    /// Returns how many rounds the job has.
+    /// Returns the number of rounds, which is 1 without a schedule.
     pub fn rounds(&self) -> u32 {
         self.schedule.map_or(1, |s| s.rounds)
     }
 
-    /// Returns the longest chain of estimates from the start of `step` on.
+    /// Returns the estimated length in milliseconds of the critical path from the start of `step`.
     pub fn critical_path_from_ms(&self, step: usize) -> u64 {
-        let after = |(i, s): (usize, &StepSpec)| {
+        let path_after = |(i, s): (usize, &StepSpec)| {
             s.depends_on.contains(&(step as u32)).then(|| self.critical_path_from_ms(i))
         };
-        let rest = self.steps.iter().enumerate().skip(step + 1).filter_map(after).max();
+        let rest = self.steps.iter().enumerate().skip(step + 1).filter_map(path_after).max();
         self.steps[step].estimate_ms + rest.unwrap_or(0)
     }
 
-    /// Returns the longest chain of estimates of the whole job.
+    /// Returns the estimated length in milliseconds of the critical path of the whole job.
     pub fn critical_path_ms(&self) -> u64 {
         (0..self.steps.len()).map(|i| self.critical_path_from_ms(i)).max().unwrap_or(0)
     }
@@ -228,11 +229,11 @@
             return Err(SpecError::TemplateTooLong(raw.template.len()));
         }
         if raw.steps.is_empty() || raw.steps.len() > MAX_STEPS_PER_JOB {
-            return Err(SpecError::StepCount(raw.steps.len()));
+            return Err(SpecError::InvalidStepCount(raw.steps.len()));
         }
         for (step, s) in raw.steps.iter().enumerate() {
             if s.count == 0 || s.count > MAX_TASKS_PER_STEP {
-                return Err(SpecError::TaskCount { step, count: s.count });
+                return Err(SpecError::InvalidTaskCount { step, count: s.count });
             }
             if let Some(&on) = s.depends_on.iter().find(|&&on| on as usize >= step) {
                 return Err(SpecError::InvalidDependency { step, on });
--- a/crates/hollowford-node/src/owner/view.rs
+++ b/crates/hollowford-node/src/owner/view.rs
@@ -58,7 +58,7 @@
         let mut lines = 0;
         for a in self.engine.account_usage() {
             gauge.with_label_values(&[part.as_str(), &a.name]).set(a.used.cpu_milli as i64);
-            if a.is_over(AT_QUOTA_PERCENT) && lines < MOST_QUOTA_LINES {
+            if a.has_reached(AT_QUOTA_PERCENT) && lines < MOST_QUOTA_LINES {
                 lines += 1;
                 log::info!(
                     "account.at_quota partition={part} account={} used={:?} quota={:?}",
