--- a/crates/hollowford-jobs/src/starts.rs
+++ b/crates/hollowford-jobs/src/starts.rs
@@ -1,4 +1,4 @@
-//! Orders to start and stop tasks, and what workers say to them.
+//! Orders to start and stop tasks, and the workers' answers to them.
 
 use crate::engine::Engine;
 use crate::held::{Held, Phase};
@@ -11,19 +11,19 @@
 use hollowford_core::Millis;
 use std::sync::Arc;
 
-/// A worker that said it is not well gets nothing for so long.
+/// Time without new tasks for a worker that answered that it is unhealthy.
 const UNHEALTHY_PAUSE: Millis = Millis(500);
-/// A task whose start was refused waits so long, so that a refusal is not asked for at once.
+/// Delay before a task whose start was refused may start again, so that the same refusal doesn't
+/// follow at once.
 const REFUSED_PAUSE: Millis = Millis(20);
-/// A member of a gang whose start is still not answered after this part of the gang's time
-/// limit makes the gang start again, in hundredths.
+/// Time after which an unanswered start of a member makes the whole gang start again, in percent of
+/// the gang timeout.
 const GANG_RESTART_PERCENT: u64 = 60;
-
-/// A start waits so long for its row at most.
+/// Longest time that a start waits until its row is in the store.
 const UNSENT_START_TIMEOUT: Millis = Millis(500);
 
 impl Engine {
-    /// Places a task on a worker and orders its start.
+    /// Places a task on a worker and orders its start, at once or after its row is stored.
     pub(crate) fn start_task(&mut self, p: Placement, now: Millis, out: &mut Vec<Order>) {
         let Placement { idx, task: key, run } = p;
         let Some(job) = self.jobs.get(key.step.job) else { return };
@@ -43,10 +43,10 @@
             let (worker, free) = (w.life.clone(), w.free);
             self.notes.push(Note::Starts { task: key, run, worker, free, age });
         }
-        let written_first = self.must_be_stored_first(key);
+        let is_deferred = self.must_be_stored_first(key);
         self.note_open_run(p);
         self.stats.started += 1;
-        if written_first {
+        if is_deferred {
             if let Some(h) = self.workers.get_mut(idx).and_then(|w| w.find_mut(key, run)) {
                 h.unsent = true;
             }
@@ -55,9 +55,9 @@
         self.send_start(p, now, out);
     }
 
-    /// Tells whether a start waits for the row that tells of it: an owner that was lost in between
-    /// would leave one that the next one doesn't know of, and so one crash too many. A gang is sent as
-    /// a whole.
+    /// Returns whether a start has to wait until its row is in the store. This holds for tasks with a
+    /// record of crashes: if the owner failed in between, the next owner wouldn't know of the start,
+    /// and the task could crash one worker more than allowed. The starts of a gang wait together.
     fn must_be_stored_first(&self, key: TaskKey) -> bool {
         if self.is_gang(key.step) {
             self.jobs.step(key.step).is_some_and(Step::is_tracked)
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Tells whether the store has the row that tells of a start.
+    /// Returns whether the row that records a start is in the store.
     fn is_stored(&self, key: TaskKey) -> bool {
         if self.is_gang(key.step) {
             self.jobs.step(key.step).is_none_or(Step::is_written)
@@ -82,9 +82,9 @@
         let template = job.spec.template.clone();
         let Some(step) = self.jobs.step(task.step) else { return };
         let gang = self.is_gang(task.step);
-        let own = std::slice::from_ref(&step.tasks[task.index as usize]);
-        // All members of a gang bring the same checkpoint.
-        let saved = first_checkpoint(if gang { &step.tasks } else { own });
+        let single_task = std::slice::from_ref(&step.tasks[task.index as usize]);
+        // All members of a gang start from the same checkpoint.
+        let saved = first_checkpoint(if gang { &step.tasks } else { single_task });
         let ticket = step.advice.ticket(idx);
         let Some(w) = self.workers.get_mut(idx) else { return };
         let Some(lease_until) = w.extend_lease(now, lease) else { return };
@@ -105,8 +105,8 @@
         out.push(Order::Worker { call, limit });
     }
 
-    /// Takes in a worker's answer to a start that was sent at `sent`. Tells whether a newer owner
-    /// has claimed it.
+    /// Processes a worker's answer to a start that was sent at `sent`. Returns true if a newer owner
+    /// has claimed the worker.
     pub fn start_answered(
         &mut self,
         life: &WorkerLife,
@@ -135,14 +135,14 @@
                 self.jobs.has_begun(task.step.job);
             }
             StartAnswer::Unanswered => h.unsure = true,
-            // Its end is listed, or was already.
+            // The end of the run is listed in a look, now or before.
             StartAnswer::Old => {
                 h.phase = Phase::Running;
                 h.since = now;
             }
             StartAnswer::OtherLife => self.worker_dead(idx, now),
             StartAnswer::Fenced => return true,
-            // An earlier copy could still be carried out: only a stop makes sure.
+            // An earlier copy of the order may still be executed; only a stop prevents that.
             StartAnswer::NoRoom | StartAnswer::Unhealthy | StartAnswer::Invalid if h.unsure => {
                 h.phase = Phase::Stopping;
             }
@@ -157,7 +157,8 @@
         false
     }
 
-    /// Takes in that a worker has answered a start, which doesn't say which life of it has.
+    /// Processes the acknowledgement of a start. It doesn't say which incarnation of the worker has
+    /// answered, so it is not evidence of the incarnation while that is in doubt.
     fn start_acknowledged(&mut self, idx: WorkerIdx, clock: u64, now: Millis) {
         self.note_heard(idx, now);
         if self.workers.get(idx).is_some_and(|w| w.doubted_since.is_none()) {
@@ -165,9 +166,9 @@
         }
     }
 
-    /// Takes in an answer to a start that came after it was told that there was none. Only that
-    /// the task runs is of use: a newer copy may be under way, which a refusal says nothing of.
-    /// Tells whether a newer owner has claimed the worker.
+    /// Processes an answer to a start that arrived after [`Engine::start_answered`] was called with
+    /// [`StartAnswer::Unanswered`]. Only the answer that the task runs has an effect, since a refusal
+    /// doesn't apply to newer copies of the order. Returns true if a newer owner has claimed the worker.
     pub fn start_answered_late(
         &mut self,
         life: &WorkerLife,
@@ -190,7 +191,7 @@
         *answer == StartAnswer::Fenced
     }
 
-    /// The worker has done nothing: the task waits again, or its gang starts again.
+    /// Processes a refused start: the task waits again, or its whole gang starts again.
     fn start_refused(&mut self, p: Placement, answer: &StartAnswer, now: Millis) {
         let Placement { idx, task, run } = p;
         self.stats.refused += 1;
@@ -219,7 +220,7 @@
         self.jobs.step_spec(step).is_some_and(|s| s.gang)
     }
 
-    /// Stops what runs of a gang, so that it can start again whole.
+    /// Stops the placed members of a gang, so that the whole gang can start again.
     pub(crate) fn restart_gang(&mut self, key: StepKey) {
         let Some(step) = self.jobs.step_mut(key) else { return };
         let members: Vec<_> =
@@ -230,14 +231,14 @@
         }
     }
 
-    /// Sends again what got no answer, and stops what is to be stopped.
+    /// Repeats unanswered starts, sends starts whose rows are stored, and stops tasks.
     pub(crate) fn retry_orders(&mut self, now: Millis, out: &mut Vec<Order>) {
         for idx in self.workers.indexes() {
             let Some(w) = self.workers.get(idx) else { continue };
-            // An answered stop is not sent again: the end is listed, or the run never started.
-            let due = |h: &&Held| !h.calling && h.phase != Phase::Running && !h.stop_answered;
+            // An answered stop is not repeated: the run's end is listed, or the run never started.
+            let is_due = |h: &&Held| !h.calling && h.phase != Phase::Running && !h.stop_answered;
             let due: Vec<_> =
-                w.held.iter().filter(due).map(|h| (h.task, h.run, h.phase, h.unsent)).collect();
+                w.held.iter().filter(is_due).map(|h| (h.task, h.run, h.phase, h.unsent)).collect();
             for (task, run, phase, unsent) in due {
                 let p = Placement { idx, task, run };
                 match phase {
@@ -250,17 +251,17 @@
         }
     }
 
-    /// Orders a start once the store has the row that tells of it. Where that takes long the store is
-    /// away: the task gives its place back, and waits for the store.
+    /// Sends a start if its row is in the store. After [`UNSENT_START_TIMEOUT`] the store is probably
+    /// unavailable: the task releases its worker and waits for the store.
     fn send_stored_start(&mut self, p: Placement, now: Millis, out: &mut Vec<Order>) {
-        let written = self.is_stored(p.task);
+        let is_stored = self.is_stored(p.task);
         let Some(w) = self.workers.get_mut(p.idx) else { return };
-        // The worker may have less room than it had when the task was placed.
+        // The worker's capacity may have shrunk since the task was placed.
         let has_room = w.holds_no_more_than_it_has();
         let Some(h) = w.find_mut(p.task, p.run) else { return };
         if !has_room {
             self.free(p, GiveUp::Unsent, now);
-        } else if written {
+        } else if is_stored {
             h.unsent = false;
             h.since = now;
             self.send_start(p, now, out);
@@ -269,11 +270,12 @@
         }
     }
 
+    /// Repeats an unanswered start, or restarts the gang of the task after [`GANG_RESTART_PERCENT`].
     fn retry_start(&mut self, p: Placement, now: Millis, out: &mut Vec<Order>) {
         let Placement { idx, task, run } = p;
-        let patience = Millis(self.time_limits.gang_timeout.0 * GANG_RESTART_PERCENT / 100);
+        let restart_after = Millis(self.time_limits.gang_timeout.0 * GANG_RESTART_PERCENT / 100);
         let since = self.workers.get_mut(idx).and_then(|w| w.find_mut(task, run)).map(|h| h.since);
-        if self.is_gang(task.step) && since.is_some_and(|s| now.since(s) > patience) {
+        if self.is_gang(task.step) && since.is_some_and(|s| now.since(s) > restart_after) {
             self.restart_gang(task.step);
             return;
         }
@@ -291,7 +293,7 @@
         out.push(Order::Worker { call: WorkerCall::Stop { worker, address, task, run }, limit });
     }
 
-    /// Takes in whether a stop was answered.
+    /// Records whether a stop was answered.
     pub fn stop_answered(
         &mut self,
         life: &WorkerLife,
@@ -309,7 +311,7 @@
     }
 }
 
-/// Returns the first checkpoint of these tasks; empty: there is none.
+/// Returns the first checkpoint of the given tasks, or an empty text if there is none.
 fn first_checkpoint(tasks: &[Task]) -> Arc<str> {
     tasks.iter().find_map(|t| t.saved.clone()).unwrap_or_else(|| "".into())
 }
--- a/crates/hollowford-jobs/src/submit.rs
+++ b/crates/hollowford-jobs/src/submit.rs
@@ -1,4 +1,4 @@
-//! Jobs come in, are cancelled, and are asked for.
+//! Submission, cancellation and state of jobs.
 
 use crate::accounts::{AccountIdx, NO_ACCOUNT};
 use crate::batch::WANTED_IN_BATCH;
@@ -10,33 +10,33 @@
 use hollowford_core::Millis;
 use std::sync::Arc;
 
-/// What came of handing in a job.
+/// Outcome of submitting a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmitAnswer {
-    /// It is kept already.
+    /// The job's acceptance is already in the store.
     Durable,
-    /// It is kept once the next batch is in the store.
+    /// The job is accepted once its batch is in the store.
     Pending,
-    /// There is no such queue.
+    /// The queue doesn't exist.
     UnknownQueue,
-    /// The id is that of another account's job. Nothing was taken.
+    /// The id belongs to a job of another account. The job is rejected.
     OtherAccount,
 }
 
-/// What came of cancelling a job.
+/// Outcome of cancelling a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelAnswer {
-    /// It has ended, by this or before.
+    /// The job has already ended.
     Ended,
-    /// It is cancelled once the next batch is in the store.
+    /// The job is cancelled once its batch is in the store.
     Pending,
-    /// There is no such job.
+    /// The job is unknown.
     UnknownJob,
 }
 
 impl Engine {
-    /// Takes a job of a client account. A job that is known already remains as it is, and is told
-    /// of to its own account only.
+    /// Accepts a job of a client account. A known job remains unchanged and is visible only to its own
+    /// account.
     pub fn submit(
         &mut self,
         id: JobId,
@@ -60,22 +60,22 @@
         let steps = spec.steps.len();
         let account = self.accounts.intern(account);
         let name = self.accounts.name(account).clone();
-        let owed = self.accounts.record_job(account, now);
+        let is_guaranteed = self.accounts.record_job(account, now);
         let mut job = new_job(id, (account, queue.clone()), spec, self.epoch, now);
-        job.owed = owed;
+        job.owed = is_guaranteed;
         if job.spec.schedule.is_none() {
             job.add_round(now);
         }
         self.jobs.insert(job);
         self.jobs.dirty.want(id);
         self.stats.accepted += 1;
-        self.stats.unowed += u64::from(!owed);
+        self.stats.unowed += u64::from(!is_guaranteed);
         self.notes.push(Note::Accepted { job: id, account: name, queue, steps });
         self.needs_pass = true;
         SubmitAnswer::Pending
     }
 
-    /// Cancels a job: nothing of it is started any more, and what runs is stopped.
+    /// Cancels a job: stops its running tasks and starts no more.
     pub fn cancel(&mut self, id: JobId, now: Millis) -> CancelAnswer {
         if self.jobs.ended(id).is_some() {
             return CancelAnswer::Ended;
@@ -87,13 +87,13 @@
         CancelAnswer::Pending
     }
 
-    /// Tells whether an account may ask for a job or cancel it: its own, one that isn't known, and
-    /// one that belongs to none.
+    /// Returns whether an account may query or cancel a job: its own jobs, unknown jobs, and jobs
+    /// without an account.
     pub fn may_access(&self, id: JobId, account: &str) -> bool {
         self.account_of(id).is_none_or(|owner| owner == account || owner == NO_ACCOUNT)
     }
 
-    /// Tells whether a job's acceptance is in the store; none when it is not known.
+    /// Returns whether a job's acceptance is in the store, or `None` if the job is unknown.
     pub fn is_durable(&self, id: JobId) -> Option<bool> {
         if self.jobs.ended(id).is_some() {
             return Some(true);
@@ -101,7 +101,8 @@
         self.jobs.get(id).map(|j| j.kept)
     }
 
-    /// Returns a job's state, as far as it is in the store.
+    /// Returns a job's state without changes that are not in the store yet. `None` if the job is
+    /// unknown or its acceptance is not in the store.
     pub fn state(&self, id: JobId) -> Option<JobState> {
         if let Some(ended) = self.jobs.ended(id) {
             return Some(ended.state);
@@ -110,27 +111,27 @@
         Some(if job.begun { JobState::Running } else { JobState::Queued })
     }
 
-    /// Tells whether a job's end is decided and not in the store yet.
+    /// Returns whether a job's end is decided but not in the store yet.
     pub fn is_ending(&self, id: JobId) -> bool {
         self.jobs.get(id).is_some_and(|j| j.end.is_some())
     }
 
-    /// Counts the queue's kept jobs none of whose tasks has begun.
+    /// Returns the number of the queue's durably accepted jobs of which no task has begun.
     pub fn waiting_jobs(&self, queue: &str) -> usize {
-        let waits = |j: &&Job| &*j.queue == queue && j.kept && !j.begun && j.end.is_none();
-        self.jobs.open().filter(waits).count()
+        let is_waiting = |j: &&Job| &*j.queue == queue && j.kept && !j.begun && j.end.is_none();
+        self.jobs.open().filter(is_waiting).count()
     }
 
-    /// Takes back jobs whose acceptance was not sent to the store, and returns them: nothing
-    /// of them has run or will.
+    /// Withdraws the jobs whose acceptance was not sent to the store, and returns them. None of their
+    /// tasks has run or will run.
     pub fn withdraw_unsent(&mut self) -> Vec<JobId> {
         let unsent: Vec<_> = self.jobs.open().filter(|j| j.unwritten).map(|j| j.id).collect();
         unsent.iter().for_each(|&id| self.remove_withdrawn(id));
         unsent
     }
 
-    /// Takes back one job, if its acceptance was not sent to the store. Tells whether it was:
-    /// then nothing of it has run or will.
+    /// Withdraws a job whose acceptance was not sent to the store. Returns true if it was withdrawn:
+    /// none of its tasks has run or will run.
     pub fn withdraw(&mut self, id: JobId) -> bool {
         let unsent = self.jobs.get(id).is_some_and(|j| j.unwritten);
         if unsent {
@@ -144,13 +145,14 @@
         self.notes.push(Note::Withdrawn { job: id });
     }
 
-    /// Returns how many batches are to be written until an acceptance that comes now is, with
-    /// its own.
+    /// Returns how many batches have to be written until a job submitted now is accepted, including the
+    /// batch with its acceptance.
     pub fn batches_ahead(&self) -> u64 {
         (self.jobs.dirty.wanted_len() / WANTED_IN_BATCH + 1) as u64
     }
 
-    /// Decides how a job ends. It is shown once it is in the store.
+    /// Decides a job's final state, unless it is already decided. Callers see the state once it is in
+    /// the store.
     pub(crate) fn end_job(&mut self, id: JobId, state: JobState, now: Millis) {
         let Some(job) = self.jobs.get_mut(id).filter(|j| j.end.is_none()) else {
             return;
@@ -165,14 +167,14 @@
         self.needs_pass = true;
     }
 
-    /// Replaces a job whose end is in the store.
+    /// Replaces an open job, whose final state is now in the store, by that state.
     pub(crate) fn close_job(&mut self, id: JobId, state: JobState, at: Millis) {
         let Some(account) = self.jobs.get(id).map(|j| j.account) else { return };
         self.jobs.close(id, Ended { state, at, account });
     }
 }
 
-/// Makes a job without rounds.
+/// Creates a job without rounds whose acceptance has to be written.
 pub(crate) fn new_job(
     id: JobId,
     (account, queue): (AccountIdx, Arc<str>),
