--- a/crates/hollowford-jobs/src/advice.rs
+++ b/crates/hollowford-jobs/src/advice.rs
@@ -47,10 +47,10 @@
 }
 
 impl AllowedShare {
-    /// Records an answer about `asked` workers that were unknown before, of which `good` are allowed.
-    pub fn record(&mut self, asked: usize, good: usize) {
+    /// Records an answer about `asked` workers that were unknown before, of which `allowed` may run the step.
+    pub fn record(&mut self, asked: usize, allowed: usize) {
         self.asked += asked as f32;
-        self.allowed += good as f32;
+        self.allowed += allowed as f32;
         if self.asked > MAX_REMEMBERED_WORKERS {
             self.asked /= 2.0;
             self.allowed /= 2.0;
@@ -91,6 +91,7 @@
 }
 
 impl StepAdvice {
+    /// Returns what advice says about a worker at `now`.
     pub fn advice_status(&self, w: WorkerIdx, now: Millis) -> AdviceStatus {
         match self.known.get(&w) {
             None => AdviceStatus::Unknown,
@@ -117,6 +118,7 @@
         }
     }
 
+    /// Returns whether no call for the step has been answered.
     pub fn has_no_answers(&self) -> bool {
         self.known.is_empty()
     }
--- a/crates/hollowford-jobs/src/advice_calls.rs
+++ b/crates/hollowford-jobs/src/advice_calls.rs
@@ -16,9 +16,9 @@
 
 /// Expected duration in milliseconds above which a call is slow.
 const MIN_SLOW_CALL_MS: f64 = 200.0;
-/// Channels per channel that is closed to slow calls.
+/// Available channels for each channel that is closed to slow calls.
 const CHANNELS_PER_QUICK_CHANNEL: usize = 3;
-/// Free channels per channel that one step's parallel calls may take.
+/// Free channels for each channel that the parallel calls of one step may take.
 const FREE_CHANNELS_PER_STEP_CALL: usize = 4;
 /// Most workers that the protocol lets one call name.
 const MAX_WORKERS_PER_CALL: usize = 100;
@@ -49,7 +49,7 @@
     deadline: Millis,
 }
 
-/// A channel with its pending call and its failures.
+/// A channel with its pending call and its recent failures.
 #[derive(Debug)]
 struct ChannelState {
     channel: AdviceChannel,
@@ -103,18 +103,19 @@
 
     /// Returns the position of a free channel for a call of the given duration.
     fn free_for(&self, ms: f64, now: Millis) -> Option<usize> {
-        let available = self.list.iter().filter(|p| p.is_available(now)).count();
+        let available = self.list.iter().filter(|s| s.is_available(now)).count();
         // If all channels are in backoff, each may take a call.
         let all_in_backoff = available == 0;
-        let n = if all_in_backoff { self.list.len() } else { available };
-        let quick_only = if n < 2 { 0 } else { n.div_ceil(CHANNELS_PER_QUICK_CHANNEL) };
+        let channel_count = if all_in_backoff { self.list.len() } else { available };
+        let quick_only =
+            if channel_count < 2 { 0 } else { channel_count.div_ceil(CHANNELS_PER_QUICK_CHANNEL) };
         let states = self.list.iter().enumerate();
-        let mut channels = states.filter(|(_, p)| all_in_backoff || p.is_available(now));
-        let is_free = |(_, p): &(usize, &ChannelState)| p.call.is_none();
+        let mut channels = states.filter(|(_, s)| all_in_backoff || s.is_available(now));
+        let is_free = |(_, s): &(usize, &ChannelState)| s.call.is_none();
         if ms <= MAX_QUICK_CALL_MS {
             return channels.find(is_free).map(|(at, _)| at);
         }
-        if ms > MIN_SLOW_CALL_MS && !self.may_take_slow_call(n - quick_only) {
+        if ms > MIN_SLOW_CALL_MS && !self.may_take_slow_call(channel_count - quick_only) {
             return None;
         }
         // The last channels first, since quick calls take the first ones. Calls between quick and slow
@@ -125,7 +126,7 @@
 
     /// Returns approximately how many channels are free for calls of the given duration.
     fn free_count(&self, ms: f64, now: Millis) -> usize {
-        let free = self.list.iter().filter(|p| p.call.is_none() && p.is_available(now)).count();
+        let free = self.list.iter().filter(|s| s.call.is_none() && s.is_available(now)).count();
         if ms <= MAX_QUICK_CALL_MS {
             return free;
         }
@@ -135,8 +136,8 @@
     /// Returns whether one more of the `channels` for longer calls may take a slow call. One is left to
     /// the calls between quick and slow.
     fn may_take_slow_call(&self, channels: usize) -> bool {
-        let busy = self.list.iter().filter(|p| p.is_slow()).count();
-        busy + 1 < channels || channels <= 1
+        let slow_calls = self.list.iter().filter(|s| s.is_slow()).count();
+        slow_calls + 1 < channels || channels <= 1
     }
 }
 
@@ -146,7 +147,7 @@
     pub fn set_advice_channels(&mut self, channels: &[AdviceChannel]) {
         let mut old = std::mem::take(&mut self.advice_channels.list);
         for channel in channels {
-            let at = old.iter().position(|p| p.channel == *channel);
+            let at = old.iter().position(|s| s.channel == *channel);
             let state = at.map(|at| old.swap_remove(at));
             self.advice_channels
                 .list
@@ -159,7 +160,7 @@
 
     /// Returns the channel at a position of the list that was set last.
     pub fn advice_channel(&self, at: usize) -> Option<&AdviceChannel> {
-        self.advice_channels.list.get(at).map(|p| &p.channel)
+        self.advice_channels.list.get(at).map(|s| &s.channel)
     }
 
     fn advice_failed(&mut self, call: &PendingCall) {
@@ -168,8 +169,8 @@
         }
     }
 
-    /// Splits a call over as many free channels as make it faster, the workers named first in the
-    /// first call. Workers without a free channel are asked about by a later pass.
+    /// Splits a call into parallel calls over as many free channels as make it faster. The order of
+    /// the workers is kept, and those without a free channel are asked about by a later pass.
     pub(crate) fn ask_in_parallel(&mut self, call: AdviceCall, now: Millis, out: &mut Vec<Order>) {
         let AdviceCall { step, workers, cost } = call;
         let free = self.advice_channels.free_count(cost.call_ms(workers.len()), now);
@@ -221,8 +222,8 @@
         answer: Option<(Advised, Millis)>,
         now: Millis,
     ) {
-        let is_called = |p: &&mut ChannelState| {
-            p.channel == *channel && p.call.as_ref().is_some_and(|c| c.step == key)
+        let is_called = |s: &&mut ChannelState| {
+            s.channel == *channel && s.call.as_ref().is_some_and(|c| c.step == key)
         };
         let Some(state) = self.advice_channels.list.iter_mut().find(is_called) else { return };
         let Some(call) = state.call.take() else { return };
@@ -234,19 +235,19 @@
         self.needs_pass = true;
         // The channel would otherwise be idle until the next full pass.
         self.slow_call_answered |= !call.quick;
-        let (asked, good) = (call.workers.len(), answer.as_ref().map(|(rows, _)| rows.len()));
+        let (asked, good) = (call.workers.len(), answer.as_ref().map(|(tickets, _)| tickets.len()));
         self.notes.push(Note::Advised { step: key, asked, good });
-        let Some((rows, validity)) = answer else {
+        let Some((tickets, validity)) = answer else {
             self.advice_failed(&call);
             return;
         };
         // A ticket is for the incarnation that the call named; another one needs its own.
-        let asked = |id: &InstanceId| {
-            let lives = self.workers.of_id(id).map(|(idx, _)| idx);
-            lives.filter(|idx| call.workers.contains(idx)).last()
+        let asked_worker = |id: &InstanceId| {
+            let incarnations = self.workers.of_id(id).map(|(idx, _)| idx);
+            incarnations.filter(|idx| call.workers.contains(idx)).last()
         };
         let good: Vec<_> =
-            rows.iter().filter_map(|(id, t)| Some((asked(id)?, t.clone()))).collect();
+            tickets.iter().filter_map(|(id, t)| Some((asked_worker(id)?, t.clone()))).collect();
         self.record_allowed_share(key, &call.workers, &good);
         let Some(step) = self.jobs.step_mut(key) else { return };
         step.advice.call_answered(&call.workers, good, now + validity);
--- a/crates/hollowford-jobs/src/advice_selection.rs
+++ b/crates/hollowford-jobs/src/advice_selection.rs
@@ -26,8 +26,8 @@
         step: StepPlacement<'_>,
     ) -> Option<AdviceCost> {
         let cost = self.call_cost(pass, step)?;
-        let asking = self.jobs.step(step.key)?.advice.is_call_pending();
-        (!asking).then_some(cost)
+        let is_call_pending = self.jobs.step(step.key)?.advice.is_call_pending();
+        (!is_call_pending).then_some(cost)
     }
 
     /// Returns the cost of an advice call for the step, if this pass may make one. Selecting the
@@ -35,8 +35,8 @@
     /// and after an answered call, unless its calls are quick.
     pub(crate) fn call_cost(&self, pass: &Pass, step: StepPlacement<'_>) -> Option<AdviceCost> {
         let cost = step.queue.advice?;
-        let first = self.jobs.step(step.key)?.advice.has_no_answers();
-        let may_ask = pass.may_ask_again || first || cost.is_quick();
+        let is_first = self.jobs.step(step.key)?.advice.has_no_answers();
+        let may_ask = pass.may_ask_again || is_first || cost.is_quick();
         (may_ask && self.advice_channels.has_free(&cost, pass.now)).then_some(cost)
     }
 
@@ -81,20 +81,20 @@
         let end = pass.now + Millis(step.spec.estimate_ms);
         let mut out = AdviceCandidates::default();
         let Some(advice) = self.jobs.step(step.key).map(|s| &s.advice) else { return out };
-        let first = advice.has_no_answers();
-        let with_cost = |r: &CandidateWorker| (r.cost(step.spec), r.idx);
-        for r in &pass.candidates {
-            if Some(r.idx) == avoided || !self.is_eligible(r, step) {
+        let is_first = advice.has_no_answers();
+        let with_cost = |c: &CandidateWorker| (c.cost(step.spec), c.idx);
+        for c in &pass.candidates {
+            if Some(c.idx) == avoided || !self.is_eligible(c, step) {
                 continue;
             }
-            match advice.advice_status(r.idx, pass.now) {
-                AdviceStatus::Unknown if r.fits(&need, end) => out.unknown.push(with_cost(r)),
-                AdviceStatus::Unknown if first && need.fits(&r.capacity) => {
-                    out.full.push(with_cost(r));
+            match advice.advice_status(c.idx, pass.now) {
+                AdviceStatus::Unknown if c.fits(&need, end) => out.unknown.push(with_cost(c)),
+                AdviceStatus::Unknown if is_first && need.fits(&c.capacity) => {
+                    out.full.push(with_cost(c));
                 }
-                AdviceStatus::LapsedTicket if r.fits(&need, end) => {
-                    out.lapsed_task_capacity += r.unreserved_count(&need).max(1) as usize;
-                    out.lapsed.push(with_cost(r));
+                AdviceStatus::LapsedTicket if c.fits(&need, end) => {
+                    out.lapsed_task_capacity += c.unreserved_count(&need).max(1) as usize;
+                    out.lapsed.push(with_cost(c));
                 }
                 _ => {}
             }
--- a/crates/hollowford-jobs/src/candidate.rs
+++ b/crates/hollowford-jobs/src/candidate.rs
@@ -22,8 +22,8 @@
     pub free: Resources,
     /// Part of the free resources that is reserved for gangs and large tasks.
     pub reserved: Resources,
-    /// When the first of the reservations is expected to be used.
-    pub reserved_until: Millis,
+    /// Time at which the first of the reservations is expected to be used.
+    pub reserved_from: Millis,
     /// Run time of tasks here as a multiple of their estimates. See [`Worker::slowness`].
     pub slowness: f32,
     /// Whether tasks have failed here and none has succeeded since.
@@ -39,18 +39,18 @@
             capacity: worker.capacity,
             free: worker.room(now),
             reserved: Resources::default(),
-            reserved_until: Millis(0),
+            reserved_from: Millis(0),
             slowness: worker.slowness,
             recently_failed: worker.health.is_suspect(),
         }
     }
 
-    /// Returns whether a task fits next to the reservations, or ends at `ends`, before they are needed.
-    pub fn fits(&self, need: &Resources, ends: Millis) -> bool {
+    /// Returns whether a task fits next to the reservations, or ends before they are needed.
+    pub fn fits(&self, need: &Resources, end: Millis) -> bool {
         if !need.fits(&self.free) {
             return false;
         }
-        ends <= self.reserved_until || need.fits(&self.free.minus(&self.reserved))
+        end <= self.reserved_from || need.fits(&self.free.minus(&self.reserved))
     }
 
     /// Returns how many tasks with these resources fit next to the reservations.
@@ -62,7 +62,7 @@
     pub fn reserve(&mut self, need: &Resources, begin: Millis) {
         let is_first = self.reserved == Resources::default();
         self.reserved = self.reserved.plus(need);
-        self.reserved_until = if is_first { begin } else { self.reserved_until.min(begin) };
+        self.reserved_from = if is_first { begin } else { self.reserved_from.min(begin) };
     }
 
     /// Subtracts the resources of a task that starts here.
@@ -79,10 +79,11 @@
     /// memory, from 0 (full) to 2 (empty), plus their difference, since one is of no use without the
     /// other.
     pub fn remaining_score(&self, need: &Resources) -> f32 {
-        let left = self.free.minus(need);
-        let share = |a: u32, b: u32| if b == 0 { 0.0 } else { a as f32 / b as f32 };
-        let cpu = share(left.cpu_milli, self.capacity.cpu_milli);
-        let memory = share(left.memory_mib, self.capacity.memory_mib);
+        let remaining = self.free.minus(need);
+        let share =
+            |part: u32, whole: u32| if whole == 0 { 0.0 } else { part as f32 / whole as f32 };
+        let cpu = share(remaining.cpu_milli, self.capacity.cpu_milli);
+        let memory = share(remaining.memory_mib, self.capacity.memory_mib);
         cpu + memory + (cpu - memory).abs()
     }
 
@@ -111,10 +112,10 @@
 
 /// Returns how many tasks that need `need` fit into `available`.
 pub(crate) fn fit_count(need: &Resources, available: &Resources) -> u32 {
-    let times = |per_task: u32, total: u32| total.checked_div(per_task).unwrap_or(u32::MAX);
-    times(need.cpu_milli, available.cpu_milli)
-        .min(times(need.memory_mib, available.memory_mib))
-        .min(times(need.accelerators, available.accelerators))
+    let count = |per_task: u32, total: u32| total.checked_div(per_task).unwrap_or(u32::MAX);
+    count(need.cpu_milli, available.cpu_milli)
+        .min(count(need.memory_mib, available.memory_mib))
+        .min(count(need.accelerators, available.accelerators))
 }
 
 /// Returns the label that names a worker's rack: the first that starts with `r` and has more than
--- a/crates/hollowford-jobs/src/engine.rs
+++ b/crates/hollowford-jobs/src/engine.rs
@@ -20,8 +20,8 @@
 use std::collections::{BTreeSet, HashSet};
 use std::sync::Arc;
 
-/// Longest time between two passes over all waiting steps. Passes also run without an event because
-/// reservations depend on the current time.
+/// Longest time between two passes over all waiting steps. Passes also run without an event, because
+/// reservations rely on expected end times.
 const FULL_PASS_INTERVAL: Millis = Millis(100);
 /// Workers per millisecond of the shortest time between two passes. A pass visits every worker, so
 /// the gap grows with their number.
@@ -64,7 +64,7 @@
     pub done: u64,
     /// Tasks that failed.
     pub failed: u64,
-    /// Tasks that ended without succeeding or failing, such as stopped ones.
+    /// Tasks that ended in another way, such as stopped ones.
     pub interrupted: u64,
     /// Tasks given up because their worker's lease had expired.
     pub lapsed: u64,
@@ -106,13 +106,13 @@
     pub(crate) task_failures: Failures,
     /// Workers that this owner has not claimed and that may still run tasks of an earlier owner.
     pub(crate) unsettled_workers: BTreeSet<WorkerIdx>,
-    /// When the leases of the unsettled workers have all expired.
+    /// Time at which the leases of the unsettled workers have all expired.
     pub(crate) settled_at: Millis,
-    /// Some tasks may still run on an unsettled worker, so they are not started yet.
+    /// Whether some tasks may still run on an unsettled worker and are therefore not started.
     pub(crate) tasks_unsettled: bool,
-    /// The store was unavailable shortly before the takeover.
+    /// Whether the store was unavailable shortly before the takeover.
     pub(crate) store_outage_before: bool,
-    /// Batches that are being written.
+    /// Batches that are built and not committed yet.
     pub(crate) in_flight: InFlight,
     /// Number of the last batch, counted from 1.
     pub(crate) last_batch_number: u64,
@@ -120,9 +120,9 @@
     pub(crate) recorded_workers: Vec<WorkerAddress>,
     /// Incarnations that crashed recently, which that row also names.
     pub(crate) crashed_incarnations: Vec<CrashedLife>,
-    /// Something changed since the last pass that may allow a step to be placed.
+    /// Whether something has changed since the last pass that may let a step be placed.
     pub(crate) needs_pass: bool,
-    /// An advice call that was not quick has been answered since the last pass.
+    /// Whether an advice call that was not quick has been answered since the last pass.
     pub(crate) slow_call_answered: bool,
     /// Time of the last round of timed work at the workers.
     pub(crate) last_upkeep_at: Millis,
@@ -229,8 +229,8 @@
             self.send_paces(out);
         }
         let is_full = now.since(self.last_full_pass_at) >= FULL_PASS_INTERVAL;
-        let gap = Millis((self.workers.len() / WORKERS_PER_PASS_GAP_MS) as u64);
-        if is_full || (self.needs_pass && now.since(self.last_pass_at) >= gap) {
+        let min_gap = Millis((self.workers.len() / WORKERS_PER_PASS_GAP_MS) as u64);
+        if is_full || (self.needs_pass && now.since(self.last_pass_at) >= min_gap) {
             self.needs_pass = false;
             self.last_pass_at = now;
             if is_full {
@@ -242,7 +242,7 @@
 
     /// Adds the due rounds of jobs with a schedule.
     fn add_due_rounds(&mut self, now: Millis) {
-        let unix = now.0 as i64 + self.unix_offset;
+        let unix_now = now.0 as i64 + self.unix_offset;
         for id in self.jobs.scheduled() {
             let Some(job) = self.jobs.get_mut(id) else { continue };
             let Some(schedule) = job.spec.schedule else { continue };
@@ -250,11 +250,11 @@
                 continue;
             }
             let due = schedule.first_unix_ms + u64::from(job.due_rounds) * schedule.interval_ms;
-            if due as i64 > unix {
+            if due as i64 > unix_now {
                 continue;
             }
-            let late = Millis((unix - due as i64) as u64);
-            job.add_round(now - late);
+            let lateness = Millis((unix_now - due as i64) as u64);
+            job.add_round(now - lateness);
             // No row records whether an earlier owner has begun the round.
             let round = job.rounds.last_mut().filter(|_| self.tasks_unsettled);
             round.into_iter().for_each(Round::mark_unsettled);
--- a/crates/hollowford-jobs/src/gang.rs
+++ b/crates/hollowford-jobs/src/gang.rs
@@ -166,8 +166,8 @@
     /// Returns whether the gang has no valid ticket for a candidate and no pending call for one.
     fn needs_ticket(&self, pass: &Pass, gang: StepPlacement<'_>, at: usize) -> bool {
         let idx = pass.candidates[at].idx;
-        let asked = self.jobs.step(gang.key).is_some_and(|s| s.advice.is_pending(idx));
-        !asked && self.advice_status(gang, idx, pass.now) != AdviceStatus::ValidTicket
+        let is_pending = self.jobs.step(gang.key).is_some_and(|s| s.advice.is_pending(idx));
+        !is_pending && self.advice_status(gang, idx, pass.now) != AdviceStatus::ValidTicket
     }
 }
 
--- a/crates/hollowford-jobs/src/gang_advice_selection.rs
+++ b/crates/hollowford-jobs/src/gang_advice_selection.rs
@@ -113,11 +113,11 @@
         let Some(step) = self.jobs.step(gang.key) else { return Vec::new() };
         let need = gang.spec.allocation();
         let is_unknown = |at: &usize| {
-            let r = &pass.candidates[*at];
-            need.fits(&r.capacity)
-                && step.advice.advice_status(r.idx, pass.now) == AdviceStatus::Unknown
-                && !step.advice.is_pending(r.idx)
-                && self.is_eligible(r, gang)
+            let c = &pass.candidates[*at];
+            need.fits(&c.capacity)
+                && step.advice.advice_status(c.idx, pass.now) == AdviceStatus::Unknown
+                && !step.advice.is_pending(c.idx)
+                && self.is_eligible(c, gang)
         };
         (0..pass.candidates.len()).filter(is_unknown).collect()
     }
--- a/crates/hollowford-jobs/src/pass.rs
+++ b/crates/hollowford-jobs/src/pass.rs
@@ -25,7 +25,8 @@
     racks: Option<Rc<[Arc<str>]>>,
     /// Number of steps with reserved capacity.
     pub reservations: usize,
-    /// Gangs with a pending advice call. They may make another one after all other steps had theirs.
+    /// Gangs with a pending advice call. They may make another one after all other steps had their
+    /// turn.
     pub deferred_gangs: Vec<(WaitingStep, Option<StartPlan>)>,
 }
 
--- a/crates/hollowford-jobs/src/placement.rs
+++ b/crates/hollowford-jobs/src/placement.rs
@@ -114,23 +114,24 @@
             if step.durable { self.start_tasks(pass, step, tasks, out) } else { (0, None) };
         // Tasks that the account's quota holds back need neither advice nor capacity.
         let need = step.spec.allocation();
-        let left = self.accounts.allowed_count(step.account, &need, waiting_count - started);
-        if left == 0 {
+        let remaining = self.accounts.allowed_count(step.account, &need, waiting_count - started);
+        if remaining == 0 {
             return;
         }
         if let Some(cost) = self.single_call_cost(pass, step)
-            && let Some(workers) = self.workers_to_ask_for(pass, step, left, avoided)
+            && let Some(workers) = self.workers_to_ask_for(pass, step, remaining, avoided)
         {
             self.ask(AdviceCall { step: step.key, workers, cost }, pass.now, out);
         }
         // Only after asking, which considers unreserved capacity.
         if step.durable {
-            self.reserve_for_large(pass, step, left);
+            self.reserve_for_large(pass, step, remaining);
         }
     }
 
-    /// Starts tasks of a step until no candidate has capacity. Returns how many were started, and the
-    /// worker that the first unplaced task avoids, if any.
+    /// Starts tasks of a step until no candidate has capacity or the account's quota is used up.
+    /// Returns how many were started, and the worker that the first task without capacity avoids, if
+    /// any.
     fn start_tasks(
         &mut self,
         pass: &mut Pass,
@@ -182,8 +183,8 @@
     /// free capacity.
     fn has_alternative_to(&self, pass: &Pass, step: StepPlacement<'_>, w: WorkerIdx) -> bool {
         let is_allowed =
-            |r: &CandidateWorker| self.advice_status(step, r.idx, pass.now) != AdviceStatus::Denied;
-        pass.candidates.iter().any(|r| r.idx != w && is_allowed(r) && self.is_eligible(r, step))
+            |c: &CandidateWorker| self.advice_status(step, c.idx, pass.now) != AdviceStatus::Denied;
+        pass.candidates.iter().any(|c| c.idx != w && is_allowed(c) && self.is_eligible(c, step))
     }
 
     /// Returns whether pool, label and the limit of tasks per worker let the step run on a worker.
@@ -229,8 +230,10 @@
         }
         let end = pass.now + Millis(step.spec.estimate_ms);
         let fits = |&at: &usize| {
-            let r = &pass.candidates[at];
-            Some(r.idx) != avoid && r.fits(&need, end) && self.is_eligible(r, step)
+            let candidate = &pass.candidates[at];
+            Some(candidate.idx) != avoid
+                && candidate.fits(&need, end)
+                && self.is_eligible(candidate, step)
         };
         let cost = |at: usize| {
             let candidate = &pass.candidates[at];
--- a/crates/hollowford-jobs/src/urgency.rs
+++ b/crates/hollowford-jobs/src/urgency.rs
@@ -8,7 +8,7 @@
 
 /// Multiple of the objective after which the users give an answer no more value.
 const WORTHLESS_AFTER_OBJECTIVES: u64 = 3;
-/// Time after its latest start at which a step goes before all others, one step at a time.
+/// Time after its latest start at which a worthless step goes before all others, one step at a time.
 const STARVATION_TIMEOUT: Millis = Millis(12_000);
 
 /// Urgency of a step. Steps with the smallest value go first.
@@ -97,7 +97,7 @@
     }
 }
 
-/// Moves the most overdue worthless step to the front if it is overdue by [`STARVATION_TIMEOUT`]. A
+/// Moves the first worthless step to the front if it is overdue by [`STARVATION_TIMEOUT`]. A
 /// job without value has still been accepted and would never run while other work keeps arriving.
 /// Only one step is moved at a time, so that a backlog doesn't make all other steps late as well.
 fn promote_starved_step(steps: &mut [WaitingStep], now: Millis) {
--- a/crates/hollowford-jobs/src/wait_causes.rs
+++ b/crates/hollowford-jobs/src/wait_causes.rs
@@ -96,6 +96,7 @@
         out
     }
 
+    /// Returns why a step waits, or `None` if it has no task that waits to be started.
     fn wait_cause(&self, pass: &Pass, key: StepKey) -> Option<WaitCause> {
         let job = self.jobs.get(key.job).filter(|j| j.end.is_none())?;
         let queue = self.queues.get(&job.queue)?;
@@ -119,14 +120,14 @@
     fn capacity_cause(&self, pass: &Pass, step: StepPlacement<'_>, wanted: u32) -> WaitCause {
         let need = step.spec.allocation();
         let free_slots = |statuses: &[AdviceStatus]| -> u32 {
-            let is_usable = |r: &&CandidateWorker| {
-                statuses.contains(&self.advice_status(step, r.idx, pass.now))
-                    && self.is_eligible(r, step)
+            let is_usable = |c: &&CandidateWorker| {
+                statuses.contains(&self.advice_status(step, c.idx, pass.now))
+                    && self.is_eligible(c, step)
             };
             pass.candidates
                 .iter()
                 .filter(is_usable)
-                .map(|r| fit_count(&need, &r.free))
+                .map(|c| fit_count(&need, &c.free))
                 .fold(0, u32::saturating_add)
         };
         let is_call_pending = self.jobs.step(step.key).is_some_and(|s| s.advice.is_call_pending());
