--- a/crates/hollowford-jobs/src/accounts.rs
+++ b/crates/hollowford-jobs/src/accounts.rs
@@ -2,8 +2,8 @@
 //!
 //! The usage of an account is counted again for each pass from the tasks on the workers, including
 //! starts without an answer, stopping tasks, and tasks on silent workers whose lease may not have
-//! expired. After a takeover, tasks that may run on workers that this owner has not claimed count as
-//! well. Counting again avoids incremental counters that could drift, and no start relies on an
+//! expired. After a takeover, tasks that may run on workers that this owner has not claimed count
+//! as well. Counting again avoids incremental counters that could drift, and no start relies on an
 //! outdated count.
 
 use crate::engine::Engine;
@@ -77,8 +77,8 @@
         idx
     }
 
-    /// Applies the configured policies. An account that is no longer configured keeps its last policy,
-    /// since its accepted jobs continue.
+    /// Applies the configured policies. An account that is no longer configured keeps its last
+    /// policy, since its accepted jobs continue.
     pub fn set(&mut self, accounts: &[Account]) {
         for a in accounts {
             let idx = self.intern(&a.name);
@@ -140,9 +140,10 @@
         (0..limit).take_while(|&n| self.allows(idx, need, n as u32 + 1)).count()
     }
 
-    /// Reserves a part of the account's quota for a gang that can't start yet. Otherwise the account's
-    /// smaller tasks would use each part of the quota as it becomes free. Only the first gang in a pass
-    /// gets a reservation, which is the most urgent one, and none that is larger than the quota.
+    /// Reserves a part of the account's quota for a gang that can't start yet. Otherwise the
+    /// account's smaller tasks would use each part of the quota as it becomes free. Only the first
+    /// gang in a pass gets a reservation, which is the most urgent one, and none that is larger
+    /// than the quota.
     pub fn reserve(&mut self, idx: AccountIdx, need: &Resources, count: u32) {
         let a = &mut self.list[idx as usize];
         let fits = a.policy.allows(&Totals::default(), need, count);
@@ -185,8 +186,8 @@
 }
 
 impl Engine {
-    /// Applies the client accounts of a configuration. All jobs of an account belong to one partition,
-    /// so the partition applies the whole quota.
+    /// Applies the client accounts of a configuration. All jobs of an account belong to one
+    /// partition, so the partition applies the whole quota.
     pub fn set_accounts(&mut self, accounts: &[Account]) {
         self.accounts.set(accounts);
         self.needs_pass = true;
@@ -213,7 +214,8 @@
         self.accounts.reset_usage();
         for (_, w) in self.workers.iter() {
             for h in &w.held {
-                // The allocation of an ended job's task is unknown, so it counts as the whole worker.
+                // The allocation of an ended job's task is unknown, so it counts as the whole
+                // worker.
                 let resources = if h.room == Resources::ALL { &w.capacity } else { &h.room };
                 self.accounts.add_usage(h.account, resources);
             }
@@ -223,15 +225,16 @@
         }
     }
 
-    /// Counts the tasks that may run on workers that this owner has not claimed: the unsettled tasks
-    /// of each account, limited to the capacity of those workers.
+    /// Counts the tasks that may run on workers that this owner has not claimed: the unsettled
+    /// tasks of each account, limited to the capacity of those workers.
     fn count_unsettled_usage(&mut self) {
         let max_capacity =
             self.workers.iter().fold(Resources::default(), |max, (_, w)| max.most(&w.capacity));
         let mut unclaimed_capacity = Totals::default();
         for &idx in &self.unsettled_workers {
             let capacity = self.workers.get(idx).map_or(max_capacity, |w| w.capacity);
-            // The capacity of a worker that is no longer listed is unknown, so it counts as the largest.
+            // The capacity of a worker that is no longer listed is unknown, so it counts as the
+            // largest.
             unclaimed_capacity.add(if capacity == Resources::default() {
                 &max_capacity
             } else {
--- a/crates/hollowford-jobs/src/advice.rs
+++ b/crates/hollowford-jobs/src/advice.rs
@@ -47,7 +47,8 @@
 }
 
 impl AllowedShare {
-    /// Records an answer about `asked` workers that were unknown before, of which `allowed` may run the step.
+    /// Records an answer about `asked` workers that were unknown before, of which `allowed` may run
+    /// the step.
     pub fn record(&mut self, asked: usize, allowed: usize) {
         self.asked += asked as f32;
         self.allowed += allowed as f32;
@@ -138,7 +139,8 @@
         self.pending.iter().filter(|w| !self.known.contains_key(w)).count()
     }
 
-    /// Returns whether the worker's ticket is valid at `at`, with [`MIN_TICKET_REMAINING`] to spare.
+    /// Returns whether the worker's ticket is valid at `at`, with [`MIN_TICKET_REMAINING`] to
+    /// spare.
     pub fn has_ticket_at(&self, w: WorkerIdx, at: Millis) -> bool {
         self.advice_status(w, at) == AdviceStatus::ValidTicket
     }
--- a/crates/hollowford-jobs/src/advice_calls.rs
+++ b/crates/hollowford-jobs/src/advice_calls.rs
@@ -2,7 +2,8 @@
 //!
 //! The advice service processes one call at a time for each calling instance, and a call takes
 //! longer the more workers it names. A quick call queued behind the slow call of a large gang would
-//! be late, so the first channel takes only quick calls, and only some of the others take slow ones.
+//! be late, so the first channel takes only quick calls, and only some of the others take slow
+//! ones.
 
 use crate::advice::AdviceStatus;
 use crate::engine::Engine;
@@ -26,8 +27,8 @@
 const QUICK_CALL_GRACE: Millis = Millis(250);
 /// Time after its expected duration at which any other unanswered call is abandoned.
 const CALL_GRACE: Millis = Millis(700);
-/// Backoff of a channel after a failed call; doubled after each further failure. Channels in backoff
-/// get calls only if all are in backoff.
+/// Backoff of a channel after a failed call; doubled after each further failure. Channels in
+/// backoff get calls only if all are in backoff.
 const CHANNEL_BACKOFF: Millis = Millis(1_000);
 /// Most doublings of [`CHANNEL_BACKOFF`].
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
@@ -118,8 +119,9 @@
         if ms > MIN_SLOW_CALL_MS && !self.may_take_slow_call(channel_count - quick_only) {
             return None;
         }
-        // The last channels first, since quick calls take the first ones. Calls between quick and slow
-        // occupy a channel only briefly, so leaving one channel to quick calls is enough for them.
+        // The last channels first, since quick calls take the first ones. Calls between quick and
+        // slow occupy a channel only briefly, so leaving one channel to quick calls is enough for
+        // them.
         let skipped = if ms > MIN_SLOW_CALL_MS { quick_only } else { quick_only.min(1) };
         channels.skip(skipped).filter(is_free).last().map(|(at, _)| at)
     }
@@ -133,8 +135,8 @@
         free.saturating_sub(self.list.len().div_ceil(CHANNELS_PER_QUICK_CHANNEL))
     }
 
-    /// Returns whether one more of the `channels` for longer calls may take a slow call. One is left to
-    /// the calls between quick and slow.
+    /// Returns whether one more of the `channels` for longer calls may take a slow call. One is
+    /// left to the calls between quick and slow.
     fn may_take_slow_call(&self, channels: usize) -> bool {
         let slow_calls = self.list.iter().filter(|s| s.is_slow()).count();
         slow_calls + 1 < channels || channels <= 1
@@ -142,8 +144,8 @@
 }
 
 impl Engine {
-    /// Sets the instances that can make advice calls, in order of preference for quick calls. Pending
-    /// calls of instances that are no longer listed count as failed.
+    /// Sets the instances that can make advice calls, in order of preference for quick calls.
+    /// Pending calls of instances that are no longer listed count as failed.
     pub fn set_advice_channels(&mut self, channels: &[AdviceChannel]) {
         let mut old = std::mem::take(&mut self.advice_channels.list);
         for channel in channels {
@@ -213,8 +215,8 @@
         }
     }
 
-    /// Processes the answer of an advice call: the tickets and how long they are valid from `now`, or
-    /// `None` if the call failed. Ignores answers to calls that are no longer pending.
+    /// Processes the answer of an advice call: the tickets and how long they are valid from `now`,
+    /// or `None` if the call failed. Ignores answers to calls that are no longer pending.
     pub fn advice_answered(
         &mut self,
         channel: &AdviceChannel,
--- a/crates/hollowford-jobs/src/advice_selection.rs
+++ b/crates/hollowford-jobs/src/advice_selection.rs
@@ -18,8 +18,8 @@
 const MIN_WORKERS_ASKED: usize = 8;
 
 impl Engine {
-    /// Returns the cost of an advice call for a step that is not a gang, if one can be made now. Such
-    /// a step has one call at a time.
+    /// Returns the cost of an advice call for a step that is not a gang, if one can be made now.
+    /// Such a step has one call at a time.
     pub(crate) fn single_call_cost(
         &self,
         pass: &Pass,
@@ -31,8 +31,8 @@
     }
 
     /// Returns the cost of an advice call for the step, if this pass may make one. Selecting the
-    /// workers visits all of them, so a step that has asked before may ask again only in full passes
-    /// and after an answered call, unless its calls are quick.
+    /// workers visits all of them, so a step that has asked before may ask again only in full
+    /// passes and after an answered call, unless its calls are quick.
     pub(crate) fn call_cost(&self, pass: &Pass, step: StepPlacement<'_>) -> Option<AdviceCost> {
         let cost = step.queue.advice?;
         let is_first = self.jobs.step(step.key)?.advice.has_no_answers();
@@ -40,8 +40,8 @@
         (may_ask && self.advice_channels.has_free(&cost, pass.now)).then_some(cost)
     }
 
-    /// Returns the workers to ask about for `tasks` tasks, without the one to avoid. `None` if no call
-    /// would help now.
+    /// Returns the workers to ask about for `tasks` tasks, without the one to avoid. `None` if no
+    /// call would help now.
     pub(crate) fn workers_to_ask_for(
         &self,
         pass: &Pass,
--- a/crates/hollowford-jobs/src/candidate.rs
+++ b/crates/hollowford-jobs/src/candidate.rs
@@ -76,8 +76,8 @@
     }
 
     /// Returns the score of the resources that would remain free: the free shares of processors and
-    /// memory, from 0 (full) to 2 (empty), plus their difference, since one is of no use without the
-    /// other.
+    /// memory, from 0 (full) to 2 (empty), plus their difference, since one is of no use without
+    /// the other.
     pub fn remaining_score(&self, need: &Resources) -> f32 {
         let remaining = self.free.minus(need);
         let share =
--- a/crates/hollowford-jobs/src/engine.rs
+++ b/crates/hollowford-jobs/src/engine.rs
@@ -20,8 +20,8 @@
 use std::collections::{BTreeSet, HashSet};
 use std::sync::Arc;
 
-/// Longest time between two passes over all waiting steps. Passes also run without an event, because
-/// reservations rely on expected end times.
+/// Longest time between two passes over all waiting steps. Passes also run without an event,
+/// because reservations rely on expected end times.
 const FULL_PASS_INTERVAL: Millis = Millis(100);
 /// Workers per millisecond of the shortest time between two passes. A pass visits every worker, so
 /// the gap grows with their number.
@@ -91,7 +91,8 @@
     pub(crate) time_limits: TimeLimits,
     pub(crate) jobs: Jobs,
     pub(crate) workers: Workers,
-    /// Incarnations of workers that have ended. The platform's list may still name them for a while.
+    /// Incarnations of workers that have ended. The platform's list may still name them for a
+    /// while.
     pub(crate) ended_incarnations: HashSet<WorkerLife>,
     /// The platform's list of workers, by instance id.
     pub(crate) listings: FxHashMap<InstanceId, WorkerListing>,
@@ -210,14 +211,14 @@
         self.time_limits = time_limits;
     }
 
-    /// Sets the offset in milliseconds by which Unix time is ahead of the engine's time. Jobs with a
-    /// schedule are due by Unix time.
+    /// Sets the offset in milliseconds by which Unix time is ahead of the engine's time. Jobs with
+    /// a schedule are due by Unix time.
     pub fn set_unix_offset(&mut self, offset: i64) {
         self.unix_offset = offset;
     }
 
-    /// Does the work that is due at `now` and appends orders to `out`. To be called after every event
-    /// and some tens of times a second.
+    /// Does the work that is due at `now` and appends orders to `out`. To be called after every
+    /// event and some tens of times a second.
     pub fn poll(&mut self, now: Millis, out: &mut Vec<Order>) {
         self.settle(now);
         if now.since(self.last_upkeep_at) >= UPKEEP_INTERVAL {
@@ -264,8 +265,8 @@
         }
     }
 
-    /// Releases the tasks that waited for unclaimed workers, once none of these workers can still run
-    /// a task.
+    /// Releases the tasks that waited for unclaimed workers, once none of these workers can still
+    /// run a task.
     fn settle(&mut self, now: Millis) {
         if !self.tasks_unsettled {
             return;
--- a/crates/hollowford-jobs/src/gang.rs
+++ b/crates/hollowford-jobs/src/gang.rs
@@ -15,8 +15,8 @@
 
 impl Engine {
     /// Starts a gang if all its members can start. Otherwise asks for the tickets that it lacks and
-    /// reserves capacity for it. A failing member ends the whole gang, so workers on which tasks have
-    /// failed recently are used only if the gang doesn't fit without them.
+    /// reserves capacity for it. A failing member ends the whole gang, so workers on which tasks
+    /// have failed recently are used only if the gang doesn't fit without them.
     pub(crate) fn place_gang(
         &mut self,
         pass: &mut Pass,
@@ -121,8 +121,8 @@
         }
     }
 
-    /// Returns a placement of all members on the given candidates, within one rack if the gang prefers
-    /// that and one has enough capacity.
+    /// Returns a placement of all members on the given candidates, within one rack if the gang
+    /// prefers that and one has enough capacity.
     fn find_gang_placement(
         &self,
         pass: &mut Pass,
--- a/crates/hollowford-jobs/src/pacing.rs
+++ b/crates/hollowford-jobs/src/pacing.rs
@@ -2,8 +2,8 @@
 //!
 //! Best-effort tasks use processors that others leave idle. They disturb the service tasks on the
 //! same worker to a degree that changes within seconds. When the tail latency of a service task
-//! exceeds its target, all best-effort tasks on its worker are slowed down at once. They are sped up
-//! again step by step.
+//! exceeds its target, all best-effort tasks on its worker are slowed down at once. They are sped
+//! up again step by step.
 
 use crate::engine::Engine;
 use crate::held::{FULL_PACE, Held, Phase};
@@ -30,7 +30,8 @@
 /// Tail latencies of a worker's service tasks compared with their targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LatencyStatus {
-    /// All are at most [`CALM_LATENCY_PERCENT`] of their targets, or the worker has no service task.
+    /// All are at most [`CALM_LATENCY_PERCENT`] of their targets, or the worker has no service
+    /// task.
     Calm,
     /// At least one is above [`CALM_LATENCY_PERCENT`] of its target, none above the target.
     Near,
@@ -39,8 +40,8 @@
 }
 
 impl Engine {
-    /// Sets the wanted pace of the worker's best-effort tasks by the latencies that it reported for its
-    /// service tasks.
+    /// Sets the wanted pace of the worker's best-effort tasks by the latencies that it reported for
+    /// its service tasks.
     pub(crate) fn pace_best_effort_tasks(
         &mut self,
         idx: WorkerIdx,
--- a/crates/hollowford-jobs/src/pass.rs
+++ b/crates/hollowford-jobs/src/pass.rs
@@ -18,8 +18,8 @@
     pub candidates: Vec<CandidateWorker>,
     /// Position of each worker in `candidates`.
     positions: FxHashMap<WorkerIdx, usize>,
-    /// Largest free amount of each resource on any candidate when the pass began. A task that exceeds
-    /// it fits nowhere.
+    /// Largest free amount of each resource on any candidate when the pass began. A task that
+    /// exceeds it fits nowhere.
     max_free: Resources,
     /// Racks of the candidates, computed on first use.
     racks: Option<Rc<[Arc<str>]>>,
--- a/crates/hollowford-jobs/src/placement.rs
+++ b/crates/hollowford-jobs/src/placement.rs
@@ -130,8 +130,8 @@
     }
 
     /// Starts tasks of a step until no candidate has capacity or the account's quota is used up.
-    /// Returns how many were started, and the worker that the first task without capacity avoids, if
-    /// any.
+    /// Returns how many were started, and the worker that the first task without capacity avoids,
+    /// if any.
     fn start_tasks(
         &mut self,
         pass: &mut Pass,
--- a/crates/hollowford-jobs/src/queue.rs
+++ b/crates/hollowford-jobs/src/queue.rs
@@ -18,8 +18,8 @@
 }
 
 impl AdviceCost {
-    /// Returns how many more workers a call can name without taking longer by more than `percent` of
-    /// its base duration.
+    /// Returns how many more workers a call can name without taking longer by more than `percent`
+    /// of its base duration.
     pub fn extra_workers(&self, percent: u32) -> usize {
         if self.per_worker_ms <= 0.0 {
             return usize::MAX;
@@ -49,8 +49,8 @@
     pub priority: u32,
     /// Number of failures of one task that fails its job.
     pub max_attempts: u32,
-    /// Objective for the time from acceptance to completion, as a multiple of the estimated length of
-    /// the job's critical path.
+    /// Objective for the time from acceptance to completion, as a multiple of the estimated length
+    /// of the job's critical path.
     pub stretch: f64,
     /// Constant time that is added to the objective.
     pub slack: Millis,
--- a/crates/hollowford-jobs/src/reservation.rs
+++ b/crates/hollowford-jobs/src/reservation.rs
@@ -50,8 +50,9 @@
         Some(StartPlan { begin, candidates: slots.into_iter().map(|(_, at)| at).collect() })
     }
 
-    /// Reserves the earliest capacity for the unstarted tasks of a step on workers of which one task
-    /// takes a large part. Otherwise smaller tasks would use each part of it as it becomes free.
+    /// Reserves the earliest capacity for the unstarted tasks of a step on workers of which one
+    /// task takes a large part. Otherwise smaller tasks would use each part of it as it becomes
+    /// free.
     pub(crate) fn reserve_for_large(
         &self,
         pass: &mut Pass,
--- a/crates/hollowford-jobs/src/spec.rs
+++ b/crates/hollowford-jobs/src/spec.rs
@@ -181,8 +181,8 @@
 pub type StepSpec = RawStep;
 
 impl RawStep {
-    /// Returns the resources that a worker sets aside for one task. Best-effort tasks get no processor
-    /// share of their own.
+    /// Returns the resources that a worker sets aside for one task. Best-effort tasks get no
+    /// processor share of their own.
     pub fn allocation(&self) -> Resources {
         let cpu_milli = if self.best_effort { 0 } else { self.resources.cpu_milli };
         Resources { cpu_milli, ..self.resources }
--- a/crates/hollowford-jobs/src/starts.rs
+++ b/crates/hollowford-jobs/src/starts.rs
@@ -55,9 +55,10 @@
         self.send_start(p, now, out);
     }
 
-    /// Returns whether a start has to wait until its row is in the store. This holds for tasks with a
-    /// record of crashes: if the owner failed in between, the next owner wouldn't know of the start,
-    /// and the task could crash one worker more than allowed. The starts of a gang wait together.
+    /// Returns whether a start has to wait until its row is in the store. This holds for tasks with
+    /// a record of crashes: if the owner failed in between, the next owner wouldn't know of the
+    /// start, and the task could crash one worker more than allowed. The starts of a gang wait
+    /// together.
     fn must_be_stored_first(&self, key: TaskKey) -> bool {
         if self.is_gang(key.step) {
             self.jobs.step(key.step).is_some_and(Step::is_tracked)
@@ -105,8 +106,8 @@
         out.push(Order::Worker { call, limit });
     }
 
-    /// Processes a worker's answer to a start that was sent at `sent`. Returns true if a newer owner
-    /// has claimed the worker.
+    /// Processes a worker's answer to a start that was sent at `sent`. Returns true if a newer
+    /// owner has claimed the worker.
     pub fn start_answered(
         &mut self,
         life: &WorkerLife,
@@ -167,8 +168,9 @@
     }
 
     /// Processes an answer to a start that arrived after [`Engine::start_answered`] was called with
-    /// [`StartAnswer::Unanswered`]. Only the answer that the task runs has an effect, since a refusal
-    /// doesn't apply to newer copies of the order. Returns true if a newer owner has claimed the worker.
+    /// [`StartAnswer::Unanswered`]. Only the answer that the task runs has an effect, since a
+    /// refusal doesn't apply to newer copies of the order. Returns true if a newer owner has
+    /// claimed the worker.
     pub fn start_answered_late(
         &mut self,
         life: &WorkerLife,
@@ -251,8 +253,8 @@
         }
     }
 
-    /// Sends a start if its row is in the store. After [`UNSENT_START_TIMEOUT`] the store is probably
-    /// unavailable: the task releases its worker and waits for the store.
+    /// Sends a start if its row is in the store. After [`UNSENT_START_TIMEOUT`] the store is
+    /// probably unavailable: the task releases its worker and waits for the store.
     fn send_stored_start(&mut self, p: Placement, now: Millis, out: &mut Vec<Order>) {
         let is_stored = self.is_stored(p.task);
         let Some(w) = self.workers.get_mut(p.idx) else { return };
@@ -270,7 +272,8 @@
         }
     }
 
-    /// Repeats an unanswered start, or restarts the gang of the task after [`GANG_RESTART_PERCENT`].
+    /// Repeats an unanswered start, or restarts the gang of the task after
+    /// [`GANG_RESTART_PERCENT`].
     fn retry_start(&mut self, p: Placement, now: Millis, out: &mut Vec<Order>) {
         let Placement { idx, task, run } = p;
         let restart_after = Millis(self.time_limits.gang_timeout.0 * GANG_RESTART_PERCENT / 100);
--- a/crates/hollowford-jobs/src/submit.rs
+++ b/crates/hollowford-jobs/src/submit.rs
@@ -35,8 +35,8 @@
 }
 
 impl Engine {
-    /// Accepts a job of a client account. A known job remains unchanged and is visible only to its own
-    /// account.
+    /// Accepts a job of a client account. A known job remains unchanged and is visible only to its
+    /// own account.
     pub fn submit(
         &mut self,
         id: JobId,
@@ -122,16 +122,16 @@
         self.jobs.open().filter(is_waiting).count()
     }
 
-    /// Withdraws the jobs whose acceptance was not sent to the store, and returns them. None of their
-    /// tasks has run or will run.
+    /// Withdraws the jobs whose acceptance was not sent to the store, and returns them. None of
+    /// their tasks has run or will run.
     pub fn withdraw_unsent(&mut self) -> Vec<JobId> {
         let unsent: Vec<_> = self.jobs.open().filter(|j| j.unwritten).map(|j| j.id).collect();
         unsent.iter().for_each(|&id| self.remove_withdrawn(id));
         unsent
     }
 
-    /// Withdraws a job whose acceptance was not sent to the store. Returns true if it was withdrawn:
-    /// none of its tasks has run or will run.
+    /// Withdraws a job whose acceptance was not sent to the store. Returns true if it was
+    /// withdrawn: none of its tasks has run or will run.
     pub fn withdraw(&mut self, id: JobId) -> bool {
         let unsent = self.jobs.get(id).is_some_and(|j| j.unwritten);
         if unsent {
@@ -145,14 +145,14 @@
         self.notes.push(Note::Withdrawn { job: id });
     }
 
-    /// Returns how many batches have to be written until a job submitted now is accepted, including the
-    /// batch with its acceptance.
+    /// Returns how many batches have to be written until a job submitted now is accepted, including
+    /// the batch with its acceptance.
     pub fn batches_ahead(&self) -> u64 {
         (self.jobs.dirty.wanted_len() / WANTED_IN_BATCH + 1) as u64
     }
 
-    /// Decides a job's final state, unless it is already decided. Callers see the state once it is in
-    /// the store.
+    /// Decides a job's final state, unless it is already decided. Callers see the state once it is
+    /// in the store.
     pub(crate) fn end_job(&mut self, id: JobId, state: JobState, now: Millis) {
         let Some(job) = self.jobs.get_mut(id).filter(|j| j.end.is_none()) else {
             return;
--- a/crates/hollowford-jobs/src/urgency.rs
+++ b/crates/hollowford-jobs/src/urgency.rs
@@ -8,16 +8,17 @@
 
 /// Multiple of the objective after which the users give an answer no more value.
 const WORTHLESS_AFTER_OBJECTIVES: u64 = 3;
-/// Time after its latest start at which a worthless step goes before all others, one step at a time.
+/// Time after its latest start at which a worthless step goes before all others, one step at a
+/// time.
 const STARVATION_TIMEOUT: Millis = Millis(12_000);
 
 /// Urgency of a step. Steps with the smallest value go first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Urgency {
     rank: Rank,
-    /// The job exceeds the guaranteed rate of its account. Such jobs come after the guaranteed ones of
-    /// the same rank, so that an account with too many jobs delays the others less. They don't come
-    /// after the guaranteed jobs of all ranks, some of which can still wait.
+    /// The job exceeds the guaranteed rate of its account. Such jobs come after the guaranteed ones
+    /// of the same rank, so that an account with too many jobs delays the others less. They don't
+    /// come after the guaranteed jobs of all ranks, some of which can still wait.
     not_guaranteed: bool,
     /// Latest start with which the job still meets its objective.
     latest_start: Millis,
