--- a/crates/hollowford-jobs/src/advice_calls.rs
+++ b/crates/hollowford-jobs/src/advice_calls.rs
@@ -178,12 +178,12 @@
         let free = self.advice_channels.free_count(cost.call_ms(workers.len()), now);
         let calls = call_count(workers.len(), &cost, free);
         for chunk in workers.chunks(workers.len().div_ceil(calls.max(1)).max(1)) {
-            self.ask(AdviceCall { step, workers: chunk.to_vec(), cost }, now, out);
+            self.ask_for_advice(AdviceCall { step, workers: chunk.to_vec(), cost }, now, out);
         }
     }
 
     /// Makes a call through a free channel. If none is free, a later pass makes the call.
-    pub(crate) fn ask(&mut self, call: AdviceCall, now: Millis, out: &mut Vec<Order>) {
+    pub(crate) fn ask_for_advice(&mut self, call: AdviceCall, now: Millis, out: &mut Vec<Order>) {
         let AdviceCall { step: key, mut workers, cost } = call;
         workers.truncate(MAX_WORKERS_PER_CALL);
         let ms = cost.call_ms(workers.len());
--- a/crates/hollowford-jobs/src/gang_advice_selection.rs
+++ b/crates/hollowford-jobs/src/gang_advice_selection.rs
@@ -38,7 +38,7 @@
         out: &mut Vec<Order>,
     ) {
         let Some(cost) = self.call_cost(pass, gang) else { return };
-        let mut workers = self.tickets_to_renew(pass, gang, plan, &cost);
+        let mut workers = self.workers_to_renew(pass, gang, plan, &cost);
         if workers.is_empty() {
             workers = self.more_workers_for_gang(pass, gang);
         }
@@ -49,7 +49,7 @@
 
     /// Returns the workers of the plan whose tickets will have lapsed when the gang starts. Empty
     /// while the start is further away than the call and [`TICKET_RENEWAL_LEAD`].
-    fn tickets_to_renew(
+    fn workers_to_renew(
         &self,
         pass: &Pass,
         gang: StepPlacement<'_>,
--- a/crates/hollowford-jobs/src/placement.rs
+++ b/crates/hollowford-jobs/src/placement.rs
@@ -121,11 +121,11 @@
         if let Some(cost) = self.single_call_cost(pass, step)
             && let Some(workers) = self.workers_to_ask_for(pass, step, remaining, avoided)
         {
-            self.ask(AdviceCall { step: step.key, workers, cost }, pass.now, out);
+            self.ask_for_advice(AdviceCall { step: step.key, workers, cost }, pass.now, out);
         }
         // Only after asking, which considers unreserved capacity.
         if step.durable {
-            self.reserve_for_large(pass, step, remaining);
+            self.reserve_for_large_tasks(pass, step, remaining);
         }
     }
 
--- a/crates/hollowford-jobs/src/queue.rs
+++ b/crates/hollowford-jobs/src/queue.rs
@@ -49,8 +49,8 @@
     pub priority: u32,
     /// Number of failures of one task that fails its job.
     pub max_attempts: u32,
-    /// Objective for the time from acceptance to completion, as a multiple of the estimated length
-    /// of the job's critical path.
+    /// Objective for the time from a job's or round's due time to its completion, as a multiple of
+    /// the estimated length of the job's critical path.
     pub stretch: f64,
     /// Constant time that is added to the objective.
     pub slack: Millis,
--- a/crates/hollowford-jobs/src/reservation.rs
+++ b/crates/hollowford-jobs/src/reservation.rs
@@ -53,7 +53,7 @@
     /// Reserves the earliest capacity for the unstarted tasks of a step on workers of which one
     /// task takes a large part. Otherwise smaller tasks would use each part of it as it becomes
     /// free.
-    pub(crate) fn reserve_for_large(
+    pub(crate) fn reserve_for_large_tasks(
         &self,
         pass: &mut Pass,
         step: StepPlacement<'_>,
--- a/crates/hollowford-jobs/src/spec.rs
+++ b/crates/hollowford-jobs/src/spec.rs
@@ -94,13 +94,13 @@
     /// A task's name doesn't have the form `ID.ROUND.STEP.INDEX`.
     #[error("a task name must have the form ID.ROUND.STEP.INDEX")]
     InvalidTaskName,
-    /// The template has more than 4,000 bytes; contains its length.
+    /// The template is too long; contains its length in bytes.
     #[error("the template has {0} bytes; the limit is {MAX_TEMPLATE_BYTES}")]
     TemplateTooLong(usize),
-    /// The job has no step or more than 64; contains their number.
+    /// The job has no steps or too many; contains their number.
     #[error("the job has {0} steps; it must have 1 to {MAX_STEPS_PER_JOB}")]
     InvalidStepCount(usize),
-    /// A step has no task or more than 2,000.
+    /// A step has no tasks or too many.
     #[error("step {step} has {count} tasks; it must have 1 to {MAX_TASKS_PER_STEP}")]
     InvalidTaskCount {
         /// Position of the step in the job.
