--- a/crates/hollowford-jobs/src/advice_calls.rs
+++ b/crates/hollowford-jobs/src/advice_calls.rs
@@ -209,7 +209,7 @@
             if let Some(call) = state.call.take_if(|c| c.deadline <= now) {
                 state.failed(now);
                 let asked = call.workers.len();
-                self.notes.push(Note::Advised { step: call.step, asked, good: None });
+                self.events.push(Note::Advised { step: call.step, asked, good: None });
                 self.advice_failed(&call);
             }
         }
@@ -238,7 +238,7 @@
         // The channel would otherwise be idle until the next full pass.
         self.slow_call_answered |= !call.quick;
         let (asked, good) = (call.workers.len(), answer.as_ref().map(|(tickets, _)| tickets.len()));
-        self.notes.push(Note::Advised { step: key, asked, good });
+        self.events.push(Note::Advised { step: key, asked, good });
         let Some((tickets, validity)) = answer else {
             self.advice_failed(&call);
             return;
--- a/crates/hollowford-jobs/src/crashes.rs
+++ b/crates/hollowford-jobs/src/crashes.rs
@@ -117,7 +117,7 @@
         }
         let (crashes, telling) = (suspicion.crashed_runs.len(), suspicion.is_telling());
         let (worker, fresh) = (worker.clone(), stage == Stage::Fresh);
-        self.notes.push(Note::CrashedUnder { task: key, run, worker, fresh, crashes });
+        self.events.push(Note::CrashedUnder { task: key, run, worker, fresh, crashes });
         if telling {
             self.stats.crashing_jobs += 1;
             self.end_job(job, JobState::Failed, now);
@@ -224,7 +224,7 @@
             }
         }
         let (crashes, open) = (found.crashed_runs.len(), found.open_runs.len());
-        self.notes.push(Note::Recovered { task: key, crashes, open });
+        self.events.push(Note::Recovered { task: key, crashes, open });
         if let Some(task) = self.jobs.task_mut(key) {
             task.suspicion = Some(Box::new(found));
         }
--- a/crates/hollowford-jobs/src/ends.rs
+++ b/crates/hollowford-jobs/src/ends.rs
@@ -34,7 +34,7 @@
         }
         let worker = w.life.clone();
         if self.adopt(idx, r, now) {
-            self.notes.push(Note::Adopted { task: r.task, run: r.run, worker });
+            self.events.push(Note::Adopted { task: r.task, run: r.run, worker });
             self.note_progress(idx, r, now);
             self.note_saved(r.task, &r.saved);
         } else {
@@ -84,7 +84,7 @@
         // be known yet: nothing fits beside it.
         let room = step.map_or(Resources::ALL, StepSpec::allocation);
         w.hold(Held::new((r.task, r.run), account, room, Phase::Stopping, now));
-        self.notes.push(Note::Foreign { task: r.task, run: r.run, worker: w.life.clone() });
+        self.events.push(Note::Foreign { task: r.task, run: r.run, worker: w.life.clone() });
         self.stats.foreign += 1;
     }
 
@@ -134,7 +134,7 @@
         let Some(w) = self.workers.get_mut(idx) else { return };
         let held = w.find(end.task, end.run).map(|at| w.release(at));
         self.needs_pass |= held.is_some();
-        self.notes.push(Note::Ended {
+        self.events.push(Note::Ended {
             task: end.task,
             run: end.run,
             worker: w.life.clone(),
@@ -156,14 +156,14 @@
 
     fn note_health(&mut self, idx: WorkerIdx, end: &End, now: Millis) {
         if matches!(end.kind, EndKind::Done | EndKind::Failed) {
-            self.task_failures.note(end.kind == EndKind::Failed);
+            self.failure_rate.note(end.kind == EndKind::Failed);
         }
-        let telling = self.task_failures.telling();
+        let telling = self.failure_rate.telling();
         let Some(w) = self.workers.get_mut(idx) else { return };
         match end.kind {
             EndKind::Done => w.health.success(),
             EndKind::Failed if w.health.failure(end.task.step.job, telling, now) => {
-                self.notes.push(Note::PutAside { worker: w.life.clone() });
+                self.events.push(Note::PutAside { worker: w.life.clone() });
                 self.stats.put_aside += 1;
             }
             _ => {}
--- a/crates/hollowford-jobs/src/engine.rs
+++ b/crates/hollowford-jobs/src/engine.rs
@@ -101,10 +101,10 @@
     pub(crate) advice_channels: AdviceChannels,
     /// Share of the workers that may run a step, by queue.
     pub(crate) allowed_shares: FxHashMap<Arc<str>, AllowedShare>,
-    /// Rate at which answers of workers are lost.
-    pub(crate) answer_losses: Losses,
-    /// Rate at which tasks fail.
-    pub(crate) task_failures: Failures,
+    /// Share of the workers' answers that are lost.
+    pub(crate) answer_loss: Losses,
+    /// Share of the tasks that fail.
+    pub(crate) failure_rate: Failures,
     /// Workers that this owner has not claimed and that may still run tasks of an earlier owner.
     pub(crate) unsettled_workers: BTreeSet<WorkerIdx>,
     /// Time at which the leases of the unsettled workers have all expired.
@@ -134,8 +134,8 @@
     /// Unix time minus the engine's time, in milliseconds.
     pub(crate) unix_offset: i64,
     pub(crate) stats: Stats,
-    /// Decisions since the last call of [`Engine::take_notes`].
-    pub(crate) notes: Vec<Note>,
+    /// Decisions and changes of state since the last call of [`Engine::take_events`].
+    pub(crate) events: Vec<Note>,
 }
 
 impl Engine {
@@ -158,8 +158,8 @@
             accounts: Accounts::default(),
             advice_channels: AdviceChannels::default(),
             allowed_shares: FxHashMap::default(),
-            answer_losses: Losses::default(),
-            task_failures: Failures::default(),
+            answer_loss: Losses::default(),
+            failure_rate: Failures::default(),
             unsettled_workers: BTreeSet::new(),
             settled_at: now + time_limits.previous_lease,
             tasks_unsettled: false,
@@ -175,13 +175,13 @@
             last_full_pass_at: Millis(0),
             unix_offset: 0,
             stats: Stats::default(),
-            notes: Vec::new(),
+            events: Vec::new(),
         }
     }
 
-    /// Takes the decisions since the last call, for the log.
-    pub fn take_notes(&mut self) -> Vec<Note> {
-        std::mem::take(&mut self.notes)
+    /// Takes the decisions and changes of state since the last call, for the log.
+    pub fn take_events(&mut self) -> Vec<Note> {
+        std::mem::take(&mut self.events)
     }
 
     /// Returns the owner's epoch, which is also its fencing token at the workers.
@@ -281,7 +281,7 @@
         }
         self.mark_settled();
         self.tasks_unsettled = false;
-        self.notes.push(Note::Settled { unclaimed });
+        self.events.push(Note::Settled { unclaimed });
         self.needs_pass = true;
     }
 
--- a/crates/hollowford-jobs/src/gone.rs
+++ b/crates/hollowford-jobs/src/gone.rs
@@ -53,7 +53,7 @@
         }
         self.free_all(idx, GiveUp::WorkerDead, now);
         self.ended_incarnations.insert(worker.clone());
-        self.notes.push(Note::Dead { worker, how, tasks });
+        self.events.push(Note::Dead { worker, how, tasks });
         self.forget_worker(idx);
     }
 
@@ -107,7 +107,7 @@
             && let Some(at) = w.find(task, run)
         {
             w.release(at);
-            self.notes.push(Note::GivenUp { task, run, worker: w.life.clone(), cause });
+            self.events.push(Note::GivenUp { task, run, worker: w.life.clone(), cause });
         }
         self.unplace(p, now);
         self.needs_pass = true;
--- a/crates/hollowford-jobs/src/lease.rs
+++ b/crates/hollowford-jobs/src/lease.rs
@@ -43,7 +43,7 @@
     /// Orders the looks that are due.
     pub(crate) fn look(&mut self, now: Millis, out: &mut Vec<Order>) {
         let lease = self.time_limits.lease;
-        let longest = self.answer_losses.look_wait();
+        let longest = self.answer_loss.look_wait();
         for idx in self.workers.indexes() {
             let Some(w) = self.workers.get_mut(idx) else { continue };
             if w.looking || w.look_at > now {
@@ -126,7 +126,7 @@
         w.doubted_since = Some(now);
         if w.unanswered == SILENT_AFTER {
             let since = now.since(w.last_answer);
-            self.notes.push(Note::Silent { worker: w.life.clone(), silent: true, since });
+            self.events.push(Note::Silent { worker: w.life.clone(), silent: true, since });
         }
     }
 
@@ -167,12 +167,12 @@
     /// Takes in that a worker has answered a call.
     pub(crate) fn note_heard(&mut self, idx: WorkerIdx, now: Millis) {
         let Some(w) = self.workers.get_mut(idx) else { return };
-        self.answer_losses.note(w.unanswered > 0);
+        self.answer_loss.note(w.unanswered > 0);
         // A worker that answers again may get tasks.
         self.needs_pass |= w.unanswered > 0;
         if w.unanswered >= SILENT_AFTER {
             let since = now.since(w.last_answer);
-            self.notes.push(Note::Silent { worker: w.life.clone(), silent: false, since });
+            self.events.push(Note::Silent { worker: w.life.clone(), silent: false, since });
         }
         w.unanswered = 0;
     }
@@ -195,7 +195,7 @@
         // What an earlier owner ordered may run for so long without a word of this one.
         w.lease_until = w.lease_until.max(look.clock + earlier.0);
         let (running, ended) = (look.running.len(), look.ended.len());
-        self.notes.push(Note::Claimed { worker: w.life.clone(), running, ended });
+        self.events.push(Note::Claimed { worker: w.life.clone(), running, ended });
     }
 
     /// Takes in the ends that are new, then what runs.
--- a/crates/hollowford-jobs/src/listing.rs
+++ b/crates/hollowford-jobs/src/listing.rs
@@ -42,7 +42,7 @@
         w.listed = listing.is_some();
         let Some(l) = listing else { return };
         if l.leaving && !w.leaving {
-            self.notes.push(Note::Leaving { worker: w.life.clone() });
+            self.events.push(Note::Leaving { worker: w.life.clone() });
         }
         w.take_listing(l, now);
     }
--- a/crates/hollowford-jobs/src/stall.rs
+++ b/crates/hollowford-jobs/src/stall.rs
@@ -79,7 +79,7 @@
         let moved: Vec<TaskKey> = running.into_iter().filter(short).map(|h| h.task).collect();
         let Some(w) = self.workers.get_mut(idx) else { return };
         if !w.health.is_aside(now) {
-            self.notes.push(Note::Stalled { worker: w.life.clone(), tasks: stuck });
+            self.events.push(Note::Stalled { worker: w.life.clone(), tasks: stuck });
         }
         w.health.pause(now + STALLED_PAUSE);
         for key in moved {
--- a/crates/hollowford-jobs/src/starts.rs
+++ b/crates/hollowford-jobs/src/starts.rs
@@ -41,7 +41,7 @@
         if let Some(w) = self.workers.get_mut(idx) {
             w.hold(held);
             let (worker, free) = (w.life.clone(), w.free);
-            self.notes.push(Note::Starts { task: key, run, worker, free, age });
+            self.events.push(Note::Starts { task: key, run, worker, free, age });
         }
         let is_deferred = self.must_be_stored_first(key);
         self.note_open_run(p);
@@ -203,7 +203,7 @@
             if answer == StartAnswer::Unhealthy {
                 w.health.pause(now + UNHEALTHY_PAUSE);
             }
-            self.notes.push(Note::Refused { task, run, worker, answer });
+            self.events.push(Note::Refused { task, run, worker, answer });
         }
         if let Some(step) = self.jobs.step_mut(task.step) {
             if *answer == StartAnswer::Ticket {
--- a/crates/hollowford-jobs/src/submit.rs
+++ b/crates/hollowford-jobs/src/submit.rs
@@ -70,7 +70,7 @@
         self.jobs.dirty.want(id);
         self.stats.accepted += 1;
         self.stats.unowed += u64::from(!is_guaranteed);
-        self.notes.push(Note::Accepted { job: id, account: name, queue, steps });
+        self.events.push(Note::Accepted { job: id, account: name, queue, steps });
         self.needs_pass = true;
         SubmitAnswer::Pending
     }
@@ -142,7 +142,7 @@
 
     fn remove_withdrawn(&mut self, id: JobId) {
         self.jobs.remove(id);
-        self.notes.push(Note::Withdrawn { job: id });
+        self.events.push(Note::Withdrawn { job: id });
     }
 
     /// Returns how many batches have to be written until a job submitted now is accepted, including
@@ -159,7 +159,7 @@
         };
         job.end = Some(state);
         let age = now.since(job.accepted_at);
-        self.notes.push(Note::JobEnds { job: id, state, age });
+        self.events.push(Note::JobEnds { job: id, state, age });
         self.jobs.dirty.want(id);
         if state != JobState::Completed {
             self.stop_job(id);
--- a/crates/hollowford-jobs/src/view.rs
+++ b/crates/hollowford-jobs/src/view.rs
@@ -52,7 +52,7 @@
             unsettled_workers: self.unsettled_workers.len(),
             cores_milli: usable().map(|w| u64::from(w.capacity.cpu_milli)).sum(),
             free_milli: usable().map(|w| u64::from(w.free.cpu_milli)).sum(),
-            lost_permille: self.answer_losses.permille(),
+            lost_permille: self.answer_loss.permille(),
             held: self.workers.iter().map(|(_, w)| w.held.len()).sum(),
             batches: self.last_batch_number,
             stats: self.stats,
--- a/crates/hollowford-jobs/src/wait_causes.rs
+++ b/crates/hollowford-jobs/src/wait_causes.rs
@@ -79,8 +79,8 @@
 const MAX_REPORTED_STEPS: usize = 200;
 
 impl Engine {
-    /// Returns the waiting steps with their causes, the oldest first. If there are very many, returns
-    /// only an arbitrary part of them.
+    /// Returns the waiting steps with their causes, the oldest first. If there are very many,
+    /// returns only an arbitrary part of them.
     pub fn step_waits(&self, now: Millis) -> Vec<StepWait> {
         let usable = self.workers.iter().filter(|(_, w)| w.usable(now) && w.recorded);
         let candidates = usable.map(|(i, w)| CandidateWorker::from_worker(i, w, now)).collect();
--- a/crates/hollowford-jobs/tests/common/plays.rs
+++ b/crates/hollowford-jobs/tests/common/plays.rs
@@ -215,7 +215,7 @@
         self.note_ends();
         self.judge_stuck();
         let age = self.age();
-        for note in self.cell.engine.take_notes() {
+        for note in self.cell.engine.take_events() {
             if self.traced {
                 eprintln!("{age:>6} {note}");
             }
--- a/crates/hollowford-jobs/tests/crashes.rs
+++ b/crates/hollowford-jobs/tests/crashes.rs
@@ -139,7 +139,7 @@
     cell.run(2_000);
     let other =
         |n: &Note| matches!(n, Note::CrashedUnder { task, .. } if task.step.job == JobId(2));
-    assert!(!cell.engine.take_notes().iter().any(other));
+    assert!(!cell.engine.take_events().iter().any(other));
 }
 
 #[test]
@@ -200,7 +200,7 @@
     cell.crashes.crash(&mut cell.workers[at]);
     cell.run(5_000);
     let under = |n: &Note| matches!(n, Note::CrashedUnder { .. });
-    assert_eq!(cell.engine.take_notes().iter().filter(|n| under(n)).count(), 0);
+    assert_eq!(cell.engine.take_events().iter().filter(|n| under(n)).count(), 0);
     assert_eq!(cell.engine.stats().crashes, 1);
 }
 
@@ -217,7 +217,7 @@
     cell.crashes.crash(&mut cell.workers[1]);
     cell.run(10_000);
     assert_eq!(cell.crashes.under.len(), 0);
-    let fresh: Vec<_> = cell.engine.take_notes().iter().filter_map(counted_as_fresh).collect();
+    let fresh: Vec<_> = cell.engine.take_events().iter().filter_map(counted_as_fresh).collect();
     assert_eq!(fresh, [false, false], "it was sent twice, and each counts as one of any kind");
     assert_eq!(cell.state(2), Some(JobState::Completed));
 }
@@ -277,7 +277,7 @@
     }
     cell.run(5_000);
     assert_eq!(cell.crashes.under.len(), 0);
-    let fresh: Vec<_> = cell.engine.take_notes().iter().filter_map(counted_as_fresh).collect();
+    let fresh: Vec<_> = cell.engine.take_events().iter().filter_map(counted_as_fresh).collect();
     assert_eq!(fresh, [true, true]);
     assert_eq!(cell.state(2), Some(JobState::Completed));
 }
--- a/crates/hollowford-jobs/tests/restarts.rs
+++ b/crates/hollowford-jobs/tests/restarts.rs
@@ -394,7 +394,7 @@
         Note::CrashedUnder { task, fresh, .. } => (task.step.job == JobId(2)).then_some(*fresh),
         _ => None,
     };
-    let notes = cell.engine.take_notes();
+    let notes = cell.engine.take_events();
     assert_eq!(notes.iter().filter_map(fresh).collect::<Vec<_>>(), [true]);
 }
 
@@ -422,7 +422,7 @@
 fn is_blamed(cell: &mut Cell, id: u64) -> bool {
     let blamed =
         |n: &Note| matches!(n, Note::CrashedUnder { task, .. } if task.step.job == JobId(id));
-    cell.engine.take_notes().iter().any(blamed)
+    cell.engine.take_events().iter().any(blamed)
 }
 
 #[test]
@@ -482,7 +482,7 @@
         cell.run(5);
     }
     cell.take_over();
-    cell.engine.take_notes();
+    cell.engine.take_events();
     cell.run(900);
     assert!(is_blamed(&mut cell, 1));
 }
--- a/crates/hollowford-jobs/tests/unwritten.rs
+++ b/crates/hollowford-jobs/tests/unwritten.rs
@@ -167,8 +167,8 @@
     cell.workers[at].reachable = true;
     cell.take_over();
     until(&mut cell, |c| c.crashes.count == 2);
-    cell.engine.take_notes();
+    cell.engine.take_events();
     cell.take_over();
     let recovered = |n: &Note| matches!(n, Note::Recovered { open: 1, .. });
-    assert!(cell.engine.take_notes().iter().any(recovered), "its second start is on record");
+    assert!(cell.engine.take_events().iter().any(recovered), "its second start is on record");
 }
--- a/crates/hollowford-node/src/owner.rs
+++ b/crates/hollowford-node/src/owner.rs
@@ -272,7 +272,7 @@
         }
         self.orders = orders;
         self.delegation.send(now);
-        self.decisions.write(&self.engine.take_notes(), now);
+        self.decisions.write(&self.engine.take_events(), now);
         self.refuse_unsent(now);
         let last_sent = self.giving_up.since().is_some() && self.waiters.is_empty();
         if !last_sent {
