--- a/crates/hollowford-jobs/benches/passes.rs
+++ b/crates/hollowford-jobs/benches/passes.rs
@@ -9,7 +9,7 @@
 
 use common::{LARGE, QUICK, TestCell, job, queue, step};
 use hollowford_core::Millis;
-use hollowford_jobs::{AdviceCost, Seat, StepSpec};
+use hollowford_jobs::{AdviceChannel, AdviceCost, StepSpec};
 use std::time::{Duration, Instant};
 
 /// Number of workers of a large deployment, in one partition.
@@ -56,12 +56,12 @@
 /// Returns a cell whose workers are full for about the next second.
 fn full_cell() -> TestCell {
     let mut cell = TestCell::new(WORKERS);
-    let quick = AdviceCost { decide_ms: 7.2, per_worker_ms: 0.1, validity: Millis(2_000) };
-    let large = AdviceCost { decide_ms: 540.0, per_worker_ms: 7.8, validity: Millis(2_000) };
+    let quick = AdviceCost { base_ms: 7.2, per_worker_ms: 0.1, ticket_validity: Millis(2_000) };
+    let large = AdviceCost { base_ms: 540.0, per_worker_ms: 7.8, ticket_validity: Millis(2_000) };
     cell.set_queues(vec![queue(QUICK, 0, Some(quick)), queue(LARGE, 1, Some(large))]);
     let advice_channels: Vec<_> =
-        (0..ADVICE_CHANNELS).map(|i| Seat { address: format!("s{i}").into() }).collect();
-    cell.engine.set_seats(&advice_channels);
+        (0..ADVICE_CHANNELS).map(|i| AdviceChannel { address: format!("s{i}").into() }).collect();
+    cell.engine.set_advice_channels(&advice_channels);
     for i in 0..WORKERS * 2 {
         submit_shape(&mut cell, i as u64, 0);
     }
--- a/crates/hollowford-jobs/src/advice.rs
+++ b/crates/hollowford-jobs/src/advice.rs
@@ -1,165 +1,176 @@
-//! Placement advice: what is known for each step.
+//! Placement advice: which workers may run a step, and the tickets for them.
 
 use crate::workers::WorkerIdx;
 use hollowford_core::Millis;
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::sync::Arc;
 
-/// A ticket is not used when less time is left, since the start has to arrive before it ends.
-const TICKET_MARGIN: Millis = Millis(60);
+/// Shortest remaining validity with which a ticket is used, since the start has to arrive at the
+/// worker before the ticket lapses.
+const MIN_TICKET_REMAINING: Millis = Millis(60);
 
-/// A ticket for one worker.
+/// A ticket that lets a step run on one worker for a limited time.
 #[derive(Clone, Debug)]
 pub(crate) struct Ticket {
     text: Arc<str>,
-    until: Millis,
+    valid_until: Millis,
 }
 
 impl Ticket {
-    /// Tells whether the ticket holds at `now`.
-    pub fn standing(&self, now: Millis) -> Standing {
-        if self.until > now + TICKET_MARGIN { Standing::Ticketed } else { Standing::Lapsed }
+    /// Returns whether the ticket is valid or has lapsed at `now`.
+    pub fn advice_status(&self, now: Millis) -> AdviceStatus {
+        if self.valid_until > now + MIN_TICKET_REMAINING {
+            AdviceStatus::ValidTicket
+        } else {
+            AdviceStatus::LapsedTicket
+        }
     }
 }
 
-/// The share of the workers named in calls for a queue's steps that may run them.
+/// Share of the workers named in calls for a queue's steps that may run them. Older answers count
+/// less than newer ones.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct GoodShare {
+pub(crate) struct AllowedShare {
     asked: f32,
-    good: f32,
+    allowed: f32,
 }
 
-/// What is assumed before any answer: half of them, as one call of so many workers would tell.
-const ASSUMED: GoodShare = GoodShare { asked: 20.0, good: 10.0 };
-/// Beyond so many workers, older answers count less.
-const REMEMBERED: f32 = 2_000.0;
+/// The share before any answer: one half, with the weight of a call that names 20 workers.
+const INITIAL_SHARE: AllowedShare = AllowedShare { asked: 20.0, allowed: 10.0 };
+/// Number of asked workers beyond which the weight of older answers is halved.
+const MAX_REMEMBERED_WORKERS: f32 = 2_000.0;
 
-impl Default for GoodShare {
-    fn default() -> GoodShare {
-        ASSUMED
+impl Default for AllowedShare {
+    fn default() -> AllowedShare {
+        INITIAL_SHARE
     }
 }
 
-impl GoodShare {
-    /// Takes in an answer about workers that were not known before.
-    pub fn note(&mut self, asked: usize, good: usize) {
+impl AllowedShare {
+    /// Records an answer about `asked` workers that were unknown before, of which `allowed` may run
+    /// the step.
+    pub fn record(&mut self, asked: usize, allowed: usize) {
         self.asked += asked as f32;
-        self.good += good as f32;
-        if self.asked > REMEMBERED {
+        self.allowed += allowed as f32;
+        if self.asked > MAX_REMEMBERED_WORKERS {
             self.asked /= 2.0;
-            self.good /= 2.0;
+            self.allowed /= 2.0;
         }
     }
 
     /// Returns the share, from 0 to 1.
     pub fn share(self) -> f32 {
-        self.good / self.asked
+        self.allowed / self.asked
     }
 
-    /// Returns how many workers have to be asked about to find `wanted` that may run a step.
-    pub fn needed_for(self, wanted: f32) -> usize {
-        (wanted * self.asked / self.good.max(1.0)).ceil() as usize
+    /// Returns how many workers have to be asked about to find `wanted` allowed ones.
+    pub fn workers_to_ask(self, wanted: f32) -> usize {
+        (wanted * self.asked / self.allowed.max(1.0)).ceil() as usize
     }
 }
 
-/// What is known of the workers for one step.
+/// Advice about the workers for one step.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StepAdvice {
-    /// Workers that were named in a call that was answered; with a ticket: it may run there.
+    /// Workers named in answered calls. Those with a ticket may run the step.
     known: FxHashMap<WorkerIdx, Option<Ticket>>,
-    /// Workers named in calls that are under way.
-    asked: FxHashSet<WorkerIdx>,
+    /// Workers named in pending calls.
+    pending: FxHashSet<WorkerIdx>,
 }
 
-/// What advice says of one worker.
+/// What advice says about one worker for a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Standing {
-    /// Not asked yet.
+pub(crate) enum AdviceStatus {
+    /// No answered call has named the worker.
     Unknown,
-    /// The step may not run there.
-    Barred,
-    /// It may, and the ticket holds.
-    Ticketed,
-    /// It may, and the ticket has lapsed.
-    Lapsed,
+    /// The step may not run on the worker.
+    Denied,
+    /// The step may run on the worker, and its ticket is valid.
+    ValidTicket,
+    /// The step may run on the worker, but its ticket has lapsed.
+    LapsedTicket,
 }
 
 impl StepAdvice {
-    pub fn standing(&self, w: WorkerIdx, now: Millis) -> Standing {
+    /// Returns what advice says about a worker at `now`.
+    pub fn advice_status(&self, w: WorkerIdx, now: Millis) -> AdviceStatus {
         match self.known.get(&w) {
-            None => Standing::Unknown,
-            Some(None) => Standing::Barred,
-            Some(Some(t)) => t.standing(now),
+            None => AdviceStatus::Unknown,
+            Some(None) => AdviceStatus::Denied,
+            Some(Some(t)) => t.advice_status(now),
         }
     }
 
-    /// Returns the workers on which the step may run, with their tickets.
+    /// Returns the workers that may run the step, with their tickets.
     pub fn allowed(&self) -> impl Iterator<Item = (WorkerIdx, &Ticket)> {
         self.known.iter().filter_map(|(&w, t)| Some((w, t.as_ref()?)))
     }
 
+    /// Returns the text of the worker's ticket; empty if there is none.
     pub fn ticket(&self, w: WorkerIdx) -> Arc<str> {
         let ticket = self.known.get(&w).and_then(|t| t.as_ref());
         ticket.map_or_else(|| "".into(), |t| t.text.clone())
     }
 
-    /// Takes a ticket as lapsed, since the worker refused it.
-    pub fn drop_ticket(&mut self, w: WorkerIdx) {
+    /// Marks a ticket as lapsed after the worker has refused it.
+    pub fn expire_ticket(&mut self, w: WorkerIdx) {
         if let Some(Some(t)) = self.known.get_mut(&w) {
-            t.until = Millis(0);
+            t.valid_until = Millis(0);
         }
     }
 
-    pub fn nothing_known(&self) -> bool {
+    /// Returns whether no call for the step has been answered.
+    pub fn has_no_answers(&self) -> bool {
         self.known.is_empty()
     }
 
-    /// Tells whether a call is under way.
-    pub fn is_asking(&self) -> bool {
-        !self.asked.is_empty()
+    /// Returns whether a call is pending.
+    pub fn is_call_pending(&self) -> bool {
+        !self.pending.is_empty()
     }
 
-    /// Tells whether a call under way names the worker.
-    pub fn is_asked(&self, w: WorkerIdx) -> bool {
-        self.asked.contains(&w)
+    /// Returns whether a pending call names the worker.
+    pub fn is_pending(&self, w: WorkerIdx) -> bool {
+        self.pending.contains(&w)
     }
 
-    /// Returns how many workers are named in calls under way that were not known before.
-    pub fn asked_unknown(&self) -> usize {
-        self.asked.iter().filter(|w| !self.known.contains_key(w)).count()
+    /// Returns how many workers in pending calls are named for the first time.
+    pub fn pending_unknown_count(&self) -> usize {
+        self.pending.iter().filter(|w| !self.known.contains_key(w)).count()
     }
 
-    /// Tells whether the worker's ticket holds at `at`, with some time to spare.
-    pub fn holds_at(&self, w: WorkerIdx, at: Millis) -> bool {
-        self.standing(w, at) == Standing::Ticketed
+    /// Returns whether the worker's ticket is valid at `at`, with [`MIN_TICKET_REMAINING`] to
+    /// spare.
+    pub fn has_ticket_at(&self, w: WorkerIdx, at: Millis) -> bool {
+        self.advice_status(w, at) == AdviceStatus::ValidTicket
     }
 
-    /// A call that names these workers is under way.
-    pub fn asks(&mut self, workers: &[WorkerIdx]) {
-        self.asked.extend(workers);
+    /// Records a call that names these workers.
+    pub fn call_sent(&mut self, workers: &[WorkerIdx]) {
+        self.pending.extend(workers);
     }
 
-    /// A call that named these workers has failed.
-    pub fn unanswered(&mut self, workers: &[WorkerIdx]) {
+    /// Records that a call that named these workers has failed.
+    pub fn call_failed(&mut self, workers: &[WorkerIdx]) {
         for w in workers {
-            self.asked.remove(w);
+            self.pending.remove(w);
         }
     }
 
-    /// Takes in the answer of a call that named `asked`: which of them may run the step, with
-    /// tickets that hold until `until`.
-    pub fn answered(
+    /// Records the answer of a call that named `asked`. The workers in `allowed` may run the step,
+    /// with tickets that are valid until `valid_until`.
+    pub fn call_answered(
         &mut self,
         asked: &[WorkerIdx],
-        good: Vec<(WorkerIdx, Arc<str>)>,
-        until: Millis,
+        allowed: Vec<(WorkerIdx, Arc<str>)>,
+        valid_until: Millis,
     ) {
-        self.unanswered(asked);
+        self.call_failed(asked);
         for &w in asked {
             self.known.entry(w).or_insert(None);
         }
-        for (w, text) in good {
-            self.known.insert(w, Some(Ticket { text, until }));
+        for (w, text) in allowed {
+            self.known.insert(w, Some(Ticket { text, valid_until }));
         }
     }
 }
--- a/crates/hollowford-jobs/src/batch.rs
+++ b/crates/hollowford-jobs/src/batch.rs
@@ -124,10 +124,10 @@
         if rows.is_empty() {
             return None;
         }
-        self.batch_no += 1;
+        self.last_batch_number += 1;
         self.in_flight.jobs.extend(contents.jobs());
-        self.in_flight.batches.insert(self.batch_no, contents);
-        Some(Batch { number: self.batch_no, rows })
+        self.in_flight.batches.insert(self.last_batch_number, contents);
+        Some(Batch { number: self.last_batch_number, rows })
     }
 
     /// Adds the removal of jobs whose retention has ended.
@@ -137,7 +137,7 @@
         rows: &mut Vec<RowWrite>,
         contents: &mut BatchContents,
     ) {
-        let ended_before = now - self.bounds.keep_ended;
+        let ended_before = now - self.time_limits.ended_job_retention;
         let mut expired = std::mem::take(&mut self.in_flight.pending_removals);
         // A job that was submitted again under the same id has a new row.
         expired.retain(|&id| self.jobs.get(id).is_none() && self.jobs.ended(id).is_none());
@@ -176,7 +176,7 @@
         if let Some(list) = contents.workers {
             self.workers_recorded(list);
         }
-        self.dirty = true;
+        self.needs_pass = true;
     }
 
     /// Removes a batch from those in flight, and queues its jobs that have changed since.
@@ -239,7 +239,7 @@
         let address =
             |w: &Worker| WorkerAddress { life: w.life.clone(), address: w.address.clone() };
         let incarnations = self.workers.iter().map(|(_, w)| address(w));
-        let crashed = self.crashed_lives.iter().map(|l| l.address.clone());
+        let crashed = self.crashed_incarnations.iter().map(|l| l.address.clone());
         let list: Vec<_> = incarnations.chain(crashed).collect();
         rows.push(RowWrite { key: WORKERS_KEY.to_owned(), value: Some(encode_workers(&list)) });
         contents.workers = Some(list);
@@ -252,7 +252,7 @@
                 w.recorded = true;
             }
         }
-        self.recorded = list;
+        self.recorded_workers = list;
     }
 
     fn write_jobs(&mut self, now: Millis, rows: &mut Vec<RowWrite>, contents: &mut BatchContents) {
--- a/crates/hollowford-jobs/src/crashes.rs
+++ b/crates/hollowford-jobs/src/crashes.rs
@@ -82,11 +82,11 @@
         let mut runs: Vec<_> = held.map(|h| LostRun::of(h, w.last_answer, now)).collect();
         runs.extend(&w.lost_runs);
         let address = WorkerAddress { life: w.life.clone(), address: w.address.clone() };
-        self.crashed_lives.retain(|l| l.until > now);
-        self.crashed_lives
+        self.crashed_incarnations.retain(|l| l.until > now);
+        self.crashed_incarnations
             .push(CrashedIncarnation { address, until: now + CRASHED_INCARNATION_RETENTION });
         self.stats.crashes += 1;
-        if self.unsettled.contains(&idx) {
+        if self.unsettled_workers.contains(&idx) {
             self.track_unsettled_tasks();
         }
         // A suspect task that has just been started is the likely cause, so the crash is not
@@ -121,7 +121,7 @@
         let (crashes, limit_reached) =
             (crash_record.crashed_runs.len(), crash_record.reaches_crash_limit());
         let (worker, fresh) = (worker.clone(), stage == RunStage::Fresh);
-        self.notes.push(Event::WorkerCrashed { task: key, run, worker, fresh, crashes });
+        self.events.push(Event::WorkerCrashed { task: key, run, worker, fresh, crashes });
         if limit_reached {
             self.stats.crashing_jobs += 1;
             self.end_job(job, JobState::Failed, now);
@@ -224,7 +224,7 @@
         now: Millis,
     ) {
         found.open_runs.retain(|r| self.workers.find(&r.worker).is_some());
-        if self.outage_before {
+        if self.store_outage_before {
             found.open_runs.iter_mut().filter(|r| r.fresh).for_each(|r| r.uncertain = true);
         }
         for r in &found.open_runs {
@@ -235,7 +235,7 @@
             }
         }
         let (crashes, open) = (found.crashed_runs.len(), found.open_runs.len());
-        self.notes.push(Event::CrashRecordRecovered { task: key, crashes, open });
+        self.events.push(Event::CrashRecordRecovered { task: key, crashes, open });
         if let Some(task) = self.jobs.task_mut(key) {
             task.crash_record = Some(Box::new(found));
         }
--- a/crates/hollowford-jobs/src/evacuate.rs
+++ b/crates/hollowford-jobs/src/evacuate.rs
@@ -16,7 +16,7 @@
         let ends_too_late = |h: &&HeldTask| h.phase == Phase::Running && h.expected_end > leaves_at;
         let late: Vec<_> = w.held.iter().filter(ends_too_late).map(|h| h.task).collect();
         for key in late {
-            if self.jobs.step_spec(key.step).is_some_and(|s| s.checkpoints) {
+            if self.jobs.step_spec(key.step).is_some_and(|s| s.resumable) {
                 self.move_task_elsewhere(idx, key, now);
             }
         }
--- a/crates/hollowford-jobs/src/job.rs
+++ b/crates/hollowford-jobs/src/job.rs
@@ -197,7 +197,7 @@
 
     /// Returns true if all steps that `step` depends on are done.
     pub fn is_ready(&self, spec: &JobSpec, step: usize) -> bool {
-        spec.steps[step].depends.iter().all(|&d| self.steps[d as usize].is_done())
+        spec.steps[step].depends_on.iter().all(|&d| self.steps[d as usize].is_done())
     }
 }
 
--- a/crates/hollowford-jobs/src/lease.rs
+++ b/crates/hollowford-jobs/src/lease.rs
@@ -43,8 +43,8 @@
 impl Engine {
     /// Sends the looks that are due.
     pub(crate) fn send_looks(&mut self, now: Millis, out: &mut Vec<Order>) {
-        let lease = self.bounds.lease;
-        let longest = self.losses.max_look_wait();
+        let lease = self.time_limits.lease;
+        let longest = self.answer_loss.max_look_wait();
         for idx in self.workers.indexes() {
             let Some(w) = self.workers.get_mut(idx) else { continue };
             if w.look_in_flight || w.next_look_at > now {
@@ -127,7 +127,7 @@
         w.restart_suspected_since = Some(now);
         if w.unanswered_calls == MIN_SILENT_CALLS {
             let since = now.since(w.last_answer);
-            self.notes.push(Event::WorkerSilent { worker: w.life.clone(), silent: true, since });
+            self.events.push(Event::WorkerSilent { worker: w.life.clone(), silent: true, since });
         }
     }
 
@@ -161,19 +161,19 @@
         self.free_vanished(idx, &look, sent, now);
         self.check_stalled(idx, now);
         self.evacuate(idx, now);
-        self.pace_fillers(idx, &look.running, now);
+        self.pace_best_effort_tasks(idx, &look.running, now);
         self.schedule_next_look(idx, first, now);
     }
 
     /// Records that a worker has answered a call.
     pub(crate) fn record_contact(&mut self, idx: WorkerIdx, now: Millis) {
         let Some(w) = self.workers.get_mut(idx) else { return };
-        self.losses.record(w.unanswered_calls > 0);
+        self.answer_loss.record(w.unanswered_calls > 0);
         // A worker that answers again may get tasks.
-        self.dirty |= w.unanswered_calls > 0;
+        self.needs_pass |= w.unanswered_calls > 0;
         if w.unanswered_calls >= MIN_SILENT_CALLS {
             let since = now.since(w.last_answer);
-            self.notes.push(Event::WorkerSilent { worker: w.life.clone(), silent: false, since });
+            self.events.push(Event::WorkerSilent { worker: w.life.clone(), silent: false, since });
         }
         w.unanswered_calls = 0;
     }
@@ -189,14 +189,14 @@
 
     /// Records that a worker rejects the orders of earlier owners from now on.
     fn record_fenced(&mut self, idx: WorkerIdx, look: &Look, now: Millis) {
-        let earlier = self.bounds.earlier_lease;
+        let earlier = self.time_limits.previous_lease;
         let Some(w) = self.workers.get_mut(idx) else { return };
         w.fenced = true;
         w.fenced_at = now;
         // Tasks that an earlier owner started may run until then without an order of this owner.
         w.lease_until = w.lease_until.max(look.clock + earlier.0);
         let (running, ended) = (look.running.len(), look.ended.len());
-        self.notes.push(Event::WorkerClaimed { worker: w.life.clone(), running, ended });
+        self.events.push(Event::WorkerClaimed { worker: w.life.clone(), running, ended });
     }
 
     /// Processes new ends, then the running tasks.
@@ -252,8 +252,8 @@
         if let Some(w) = self.workers.get_mut(idx) {
             w.claimed = true;
         }
-        self.dirty = true;
-        self.unsettled.remove(&idx);
+        self.needs_pass = true;
+        self.unsettled_workers.remove(&idx);
     }
 
     /// Frees runs that the worker had confirmed before the look and no longer lists.
@@ -266,7 +266,7 @@
             Phase::Running => true,
             Phase::Stopping => h.stop_answered,
         };
-        let grace = self.bounds.stop_timeout;
+        let grace = self.time_limits.stop_timeout;
         let vanished =
             |h: &&HeldTask| is_confirmed(h) && h.since + grace < sent && !listed(h.task, h.run);
         let vanished: Vec<_> = w.held.iter().filter(vanished).map(|h| (h.task, h.run)).collect();
--- a/crates/hollowford-jobs/src/listing.rs
+++ b/crates/hollowford-jobs/src/listing.rs
@@ -22,12 +22,12 @@
             self.apply_listing(idx, now);
         }
         for l in listings {
-            if !self.is_known(&l.life) && !self.ended_lives.contains(&l.life) {
+            if !self.is_known(&l.life) && !self.ended_incarnations.contains(&l.life) {
                 let idx = self.workers.insert(Worker::new(l.life.clone(), l.address.clone(), now));
                 self.apply_listing(idx, now);
             }
         }
-        self.dirty = true;
+        self.needs_pass = true;
     }
 
     /// Returns true if a listed incarnation may be one that is already known.
@@ -42,7 +42,7 @@
         w.listed = listing.is_some();
         let Some(l) = listing else { return };
         if l.leaving && !w.leaving {
-            self.notes.push(Event::WorkerLeaving { worker: w.life.clone() });
+            self.events.push(Event::WorkerLeaving { worker: w.life.clone() });
         }
         w.apply_listing(l, now);
     }
--- a/crates/hollowford-jobs/src/stall.rs
+++ b/crates/hollowford-jobs/src/stall.rs
@@ -80,7 +80,7 @@
         let moved: Vec<TaskKey> = running.into_iter().filter(is_short).map(|h| h.task).collect();
         let Some(w) = self.workers.get_mut(idx) else { return };
         if !w.health.is_quarantined(now) {
-            self.notes.push(Event::WorkerStalled { worker: w.life.clone(), tasks: stalled });
+            self.events.push(Event::WorkerStalled { worker: w.life.clone(), tasks: stalled });
         }
         w.health.pause(now + STALL_PAUSE);
         for key in moved {
@@ -91,11 +91,11 @@
     /// Stops a task so that it starts elsewhere; a gang restarts as a whole. Service tasks stay,
     /// because moving them would interrupt their users.
     pub(crate) fn move_task_elsewhere(&mut self, idx: WorkerIdx, key: TaskKey, now: Millis) {
-        if self.jobs.step_spec(key.step).is_none_or(|s| s.lasting) {
+        if self.jobs.step_spec(key.step).is_none_or(|s| s.service) {
             return;
         }
         if self.is_gang(key.step) {
-            self.regroup(key.step);
+            self.restart_gang(key.step);
             return;
         }
         if let Some(task) = self.jobs.task_mut(key) {
--- a/crates/hollowford-jobs/src/starts.rs
+++ b/crates/hollowford-jobs/src/starts.rs
@@ -1,4 +1,4 @@
-//! Orders to start and stop tasks, and what workers say to them.
+//! Orders to start and stop tasks, and the workers' answers to them.
 
 use crate::engine::Engine;
 use crate::event::{Event, GiveUpCause};
@@ -11,27 +11,27 @@
 use hollowford_core::Millis;
 use std::sync::Arc;
 
-/// A worker that said it is not well gets nothing for so long.
+/// Time without new tasks for a worker that answered that it is unhealthy.
 const UNHEALTHY_PAUSE: Millis = Millis(500);
-/// A task whose start was refused waits so long, so that a refusal is not asked for at once.
+/// Delay before a task whose start was refused may start again, so that the same refusal doesn't
+/// follow at once.
 const REFUSED_PAUSE: Millis = Millis(20);
-/// A member of a gang whose start is still not answered after this part of the gang's time
-/// limit makes the gang start again, in hundredths.
-const GANG_PATIENCE_PERCENT: u64 = 60;
-
-/// A start waits so long for its row at most.
-const UNSENT_FOR: Millis = Millis(500);
+/// Time after which an unanswered start of a member makes the whole gang start again, in percent of
+/// the gang timeout.
+const GANG_RESTART_PERCENT: u64 = 60;
+/// Longest time that a start waits until its row is in the store.
+const UNSENT_START_TIMEOUT: Millis = Millis(500);
 
 impl Engine {
-    /// Places a task on a worker and orders its start.
-    pub(crate) fn start(&mut self, p: Placement, now: Millis, out: &mut Vec<Order>) {
+    /// Places a task on a worker and orders its start, at once or after its row is stored.
+    pub(crate) fn start_task(&mut self, p: Placement, now: Millis, out: &mut Vec<Order>) {
         let Placement { idx, task: key, run } = p;
         let Some(job) = self.jobs.get(key.step.job) else { return };
         let age = now.since(job.accepted_at);
         let spec = &job.spec.steps[key.step.step as usize];
         let mut held = HeldTask {
             expected_end: now + Millis(spec.estimate_ms),
-            ..HeldTask::new((key, run), job.account, spec.room(), Phase::Starting, now)
+            ..HeldTask::new((key, run), job.account, spec.allocation(), Phase::Starting, now)
         };
         if let Some(task) = self.jobs.task_mut(key) {
             task.worker = Some(idx);
@@ -41,12 +41,12 @@
         if let Some(w) = self.workers.get_mut(idx) {
             w.hold(held);
             let (worker, free) = (w.life.clone(), w.free);
-            self.notes.push(Event::TaskStarting { task: key, run, worker, free, age });
+            self.events.push(Event::TaskStarting { task: key, run, worker, free, age });
         }
-        let written_first = self.is_written_first(key);
+        let is_deferred = self.must_be_stored_first(key);
         self.record_open_run(p);
         self.stats.started += 1;
-        if written_first {
+        if is_deferred {
             if let Some(h) = self.workers.get_mut(idx).and_then(|w| w.find_mut(key, run)) {
                 h.unsent = true;
             }
@@ -55,10 +55,11 @@
         self.send_start(p, now, out);
     }
 
-    /// Tells whether a start waits for the row that tells of it: an owner that was lost in between
-    /// would leave one that the next one doesn't know of, and so one crash too many. A gang is sent as
-    /// a whole.
-    fn is_written_first(&self, key: TaskKey) -> bool {
+    /// Returns whether a start has to wait until its row is in the store. This holds for tasks with
+    /// a record of crashes: if the owner failed in between, the next owner wouldn't know of the
+    /// start, and the task could crash one worker more than allowed. The starts of a gang wait
+    /// together.
+    fn must_be_stored_first(&self, key: TaskKey) -> bool {
         if self.is_gang(key.step) {
             self.jobs.step(key.step).is_some_and(Step::has_crash_record)
         } else {
@@ -66,8 +67,8 @@
         }
     }
 
-    /// Tells whether the store has the row that tells of a start.
-    fn is_written(&self, key: TaskKey) -> bool {
+    /// Returns whether the row that records a start is in the store.
+    fn is_stored(&self, key: TaskKey) -> bool {
         if self.is_gang(key.step) {
             self.jobs.step(key.step).is_none_or(Step::is_written)
         } else {
@@ -77,14 +78,14 @@
 
     fn send_start(&mut self, p: Placement, now: Millis, out: &mut Vec<Order>) {
         let Placement { idx, task, run } = p;
-        let lease = self.bounds.lease;
+        let lease = self.time_limits.lease;
         let Some(job) = self.jobs.get(task.step.job) else { return };
         let template = job.spec.template.clone();
         let Some(step) = self.jobs.step(task.step) else { return };
         let gang = self.is_gang(task.step);
-        let own = std::slice::from_ref(&step.tasks[task.index as usize]);
-        // All members of a gang bring the same checkpoint.
-        let saved = saved_of(if gang { &step.tasks } else { own });
+        let single_task = std::slice::from_ref(&step.tasks[task.index as usize]);
+        // All members of a gang start from the same checkpoint.
+        let saved = first_checkpoint(if gang { &step.tasks } else { single_task });
         let ticket = step.advice.ticket(idx);
         let Some(w) = self.workers.get_mut(idx) else { return };
         let Some(lease_until) = w.extend_lease(now, lease) else { return };
@@ -105,8 +106,8 @@
         out.push(Order::Worker { call, limit });
     }
 
-    /// Takes in a worker's answer to a start that was sent at `sent`. Tells whether a newer owner
-    /// has claimed it.
+    /// Processes a worker's answer to a start that was sent at `sent`. Returns true if a newer
+    /// owner has claimed the worker.
     pub fn start_answered(
         &mut self,
         life: &WorkerLife,
@@ -117,7 +118,7 @@
     ) -> bool {
         let Some(idx) = self.workers.find(life) else { return false };
         match answer {
-            StartAnswer::Runs(clock) => self.note_start_heard(idx, clock, now),
+            StartAnswer::Runs(clock) => self.start_acknowledged(idx, clock, now),
             StartAnswer::Unanswered => self.record_unanswered(idx, now),
             _ => {}
         }
@@ -135,14 +136,14 @@
                 self.jobs.mark_begun(task.step.job);
             }
             StartAnswer::Unanswered => h.start_unanswered = true,
-            // Its end is listed, or was already.
+            // The end of the run is listed in a look, now or before.
             StartAnswer::Old => {
                 h.phase = Phase::Running;
                 h.since = now;
             }
             StartAnswer::OtherLife => self.mark_worker_dead(idx, now),
             StartAnswer::Fenced => return true,
-            // An earlier copy could still be carried out: only a stop makes sure.
+            // An earlier copy of the order may still be executed; only a stop prevents that.
             StartAnswer::NoRoom | StartAnswer::Unhealthy | StartAnswer::Invalid
                 if h.start_unanswered =>
             {
@@ -159,17 +160,19 @@
         false
     }
 
-    /// Takes in that a worker has answered a start, which doesn't say which life of it has.
-    fn note_start_heard(&mut self, idx: WorkerIdx, clock: u64, now: Millis) {
+    /// Processes the acknowledgement of a start. It doesn't say which incarnation of the worker has
+    /// answered, so it is not evidence of the incarnation while that is in doubt.
+    fn start_acknowledged(&mut self, idx: WorkerIdx, clock: u64, now: Millis) {
         self.record_contact(idx, now);
         if self.workers.get(idx).is_some_and(|w| w.restart_suspected_since.is_none()) {
             self.record_alive(idx, clock, now);
         }
     }
 
-    /// Takes in an answer to a start that came after it was told that there was none. Only that
-    /// the task runs is of use: a newer copy may be under way, which a refusal says nothing of.
-    /// Tells whether a newer owner has claimed the worker.
+    /// Processes an answer to a start that arrived after [`Engine::start_answered`] was called with
+    /// [`StartAnswer::Unanswered`]. Only the answer that the task runs has an effect, since a
+    /// refusal doesn't apply to newer copies of the order. Returns true if a newer owner has
+    /// claimed the worker.
     pub fn start_answered_late(
         &mut self,
         life: &WorkerLife,
@@ -180,7 +183,7 @@
     ) -> bool {
         let Some(idx) = self.workers.find(life) else { return false };
         if let StartAnswer::Runs(clock) = *answer {
-            self.note_start_heard(idx, clock, now);
+            self.start_acknowledged(idx, clock, now);
             if let Some(w) = self.workers.get_mut(idx) {
                 w.answer_times.note(now.since(sent));
                 if let Some(h) = w.find_mut(task, run) {
@@ -192,7 +195,7 @@
         *answer == StartAnswer::Fenced
     }
 
-    /// The worker has done nothing: the task waits again, or its gang starts again.
+    /// Processes a refused start: the task waits again, or its whole gang starts again.
     fn start_refused(&mut self, p: Placement, answer: &StartAnswer, now: Millis) {
         let Placement { idx, task, run } = p;
         self.stats.refused += 1;
@@ -202,18 +205,18 @@
             if answer == StartAnswer::Unhealthy {
                 w.health.pause(now + UNHEALTHY_PAUSE);
             }
-            self.notes.push(Event::StartRefused { task, run, worker, answer });
+            self.events.push(Event::StartRefused { task, run, worker, answer });
         }
         if let Some(step) = self.jobs.step_mut(task.step) {
             if *answer == StartAnswer::Ticket {
-                step.advice.drop_ticket(idx);
+                step.advice.expire_ticket(idx);
             }
             if let Some(t) = step.tasks.get_mut(task.index as usize) {
                 t.not_before = now + REFUSED_PAUSE;
             }
         }
         if self.is_gang(task.step) {
-            self.regroup(task.step);
+            self.restart_gang(task.step);
         }
     }
 
@@ -221,8 +224,8 @@
         self.jobs.step_spec(step).is_some_and(|s| s.gang)
     }
 
-    /// Stops what runs of a gang, so that it can start again whole.
-    pub(crate) fn regroup(&mut self, key: StepKey) {
+    /// Stops the placed members of a gang, so that the whole gang can start again.
+    pub(crate) fn restart_gang(&mut self, key: StepKey) {
         let Some(step) = self.jobs.step_mut(key) else { return };
         let members: Vec<_> =
             step.tasks.iter().enumerate().filter_map(|(i, t)| Some((i, t.worker?))).collect();
@@ -232,52 +235,54 @@
         }
     }
 
-    /// Sends again what got no answer, and stops what is to be stopped.
-    pub(crate) fn resend(&mut self, now: Millis, out: &mut Vec<Order>) {
+    /// Repeats unanswered starts, sends starts whose rows are stored, and stops tasks.
+    pub(crate) fn retry_orders(&mut self, now: Millis, out: &mut Vec<Order>) {
         for idx in self.workers.indexes() {
             let Some(w) = self.workers.get(idx) else { continue };
-            // An answered stop is not sent again: the end is listed, or the run never started.
-            let due =
+            // An answered stop is not repeated: the run's end is listed, or the run never started.
+            let is_due =
                 |h: &&HeldTask| !h.call_in_flight && h.phase != Phase::Running && !h.stop_answered;
             let due: Vec<_> =
-                w.held.iter().filter(due).map(|h| (h.task, h.run, h.phase, h.unsent)).collect();
+                w.held.iter().filter(is_due).map(|h| (h.task, h.run, h.phase, h.unsent)).collect();
             for (task, run, phase, unsent) in due {
                 let p = Placement { idx, task, run };
                 match phase {
                     Phase::Stopping if unsent => self.free(p, GiveUpCause::Unsent, now),
                     Phase::Stopping => self.send_stop(p, now, out),
-                    _ if unsent => self.start_written(p, now, out),
-                    _ => self.start_again(p, now, out),
+                    _ if unsent => self.send_stored_start(p, now, out),
+                    _ => self.retry_start(p, now, out),
                 }
             }
         }
     }
 
-    /// Orders a start once the store has the row that tells of it. Where that takes long the store is
-    /// away: the task gives its place back, and waits for the store.
-    fn start_written(&mut self, p: Placement, now: Millis, out: &mut Vec<Order>) {
-        let written = self.is_written(p.task);
+    /// Sends a start if its row is in the store. After [`UNSENT_START_TIMEOUT`] the store is
+    /// probably unavailable: the task releases its worker and waits for the store.
+    fn send_stored_start(&mut self, p: Placement, now: Millis, out: &mut Vec<Order>) {
+        let is_stored = self.is_stored(p.task);
         let Some(w) = self.workers.get_mut(p.idx) else { return };
-        // The worker may have less room than it had when the task was placed.
+        // The worker's capacity may have shrunk since the task was placed.
         let has_room = w.fits_capacity();
         let Some(h) = w.find_mut(p.task, p.run) else { return };
         if !has_room {
             self.free(p, GiveUpCause::Unsent, now);
-        } else if written {
+        } else if is_stored {
             h.unsent = false;
             h.since = now;
             self.send_start(p, now, out);
-        } else if now.since(h.since) >= UNSENT_FOR {
+        } else if now.since(h.since) >= UNSENT_START_TIMEOUT {
             self.free(p, GiveUpCause::Unsent, now);
         }
     }
 
-    fn start_again(&mut self, p: Placement, now: Millis, out: &mut Vec<Order>) {
+    /// Repeats an unanswered start, or restarts the gang of the task after
+    /// [`GANG_RESTART_PERCENT`].
+    fn retry_start(&mut self, p: Placement, now: Millis, out: &mut Vec<Order>) {
         let Placement { idx, task, run } = p;
-        let patience = Millis(self.bounds.gang_timeout.0 * GANG_PATIENCE_PERCENT / 100);
+        let restart_after = Millis(self.time_limits.gang_timeout.0 * GANG_RESTART_PERCENT / 100);
         let since = self.workers.get_mut(idx).and_then(|w| w.find_mut(task, run)).map(|h| h.since);
-        if self.is_gang(task.step) && since.is_some_and(|s| now.since(s) > patience) {
-            self.regroup(task.step);
+        if self.is_gang(task.step) && since.is_some_and(|s| now.since(s) > restart_after) {
+            self.restart_gang(task.step);
             return;
         }
         self.stats.resent += 1;
@@ -294,7 +299,7 @@
         out.push(Order::Worker { call: WorkerCall::Stop { worker, address, task, run }, limit });
     }
 
-    /// Takes in whether a stop was answered.
+    /// Records whether a stop was answered.
     pub fn stop_answered(
         &mut self,
         life: &WorkerLife,
@@ -312,7 +317,7 @@
     }
 }
 
-/// Returns the first checkpoint of these tasks; empty: there is none.
-fn saved_of(tasks: &[Task]) -> Arc<str> {
+/// Returns the first checkpoint of the given tasks, or an empty text if there is none.
+fn first_checkpoint(tasks: &[Task]) -> Arc<str> {
     tasks.iter().find_map(|t| t.saved.clone()).unwrap_or_else(|| "".into())
 }
--- a/crates/hollowford-jobs/src/task_ends.rs
+++ b/crates/hollowford-jobs/src/task_ends.rs
@@ -34,7 +34,7 @@
         }
         let worker = w.life.clone();
         if self.adopt(idx, r, now) {
-            self.notes.push(Event::TaskAdopted { task: r.task, run: r.run, worker });
+            self.events.push(Event::TaskAdopted { task: r.task, run: r.run, worker });
             self.record_progress(idx, r, now);
             self.record_checkpoint(r.task, &r.saved);
         } else {
@@ -63,7 +63,7 @@
             // How long it has run already is unknown; half of the estimate is assumed.
             expected_end: now + Millis(step_spec.estimate_ms / 2),
             suspect,
-            ..HeldTask::new((key, r.run), account, step_spec.room(), Phase::Running, now)
+            ..HeldTask::new((key, r.run), account, step_spec.allocation(), Phase::Running, now)
         };
         if let Some(w) = self.workers.get_mut(idx) {
             w.hold(held);
@@ -82,9 +82,9 @@
         let Some(w) = self.workers.get_mut(idx) else { return };
         // The resources of a task of an ended job are unknown, and the worker's capacity may be
         // unknown too: nothing fits beside it.
-        let room = step.map_or(Resources::ALL, StepSpec::room);
+        let room = step.map_or(Resources::ALL, StepSpec::allocation);
         w.hold(HeldTask::new((r.task, r.run), account, room, Phase::Stopping, now));
-        self.notes.push(Event::ForeignTask { task: r.task, run: r.run, worker: w.life.clone() });
+        self.events.push(Event::ForeignTask { task: r.task, run: r.run, worker: w.life.clone() });
         self.stats.foreign += 1;
     }
 
@@ -126,15 +126,15 @@
         self.record_health(idx, end, now);
         self.apply_end(idx, end, step_spec, now);
         self.jobs.mark_progress_unwritten(key.step.job);
-        self.dirty = true;
+        self.needs_pass = true;
     }
 
     /// Releases the resources of a task that has ended on a worker.
     fn release_ended(&mut self, idx: WorkerIdx, end: &End) {
         let Some(w) = self.workers.get_mut(idx) else { return };
         let held = w.find(end.task, end.run).map(|at| w.release(at));
-        self.dirty |= held.is_some();
-        self.notes.push(Event::TaskEnded {
+        self.needs_pass |= held.is_some();
+        self.events.push(Event::TaskEnded {
             task: end.task,
             run: end.run,
             worker: w.life.clone(),
@@ -147,8 +147,8 @@
     /// Applies the consequences of an end for the task and its job.
     fn apply_end(&mut self, idx: WorkerIdx, end: &End, spec: &StepSpec, now: Millis) {
         match end.kind {
-            EndKind::Done if !spec.lasting => self.task_done(end.task, spec.gang, now),
-            EndKind::Failed if !spec.lasting => self.task_failed(idx, end, spec, now),
+            EndKind::Done if !spec.service => self.task_done(end.task, spec.gang, now),
+            EndKind::Failed if !spec.service => self.task_failed(idx, end, spec, now),
             EndKind::Done | EndKind::Failed => self.service_task_ended(end.task, now),
             _ => self.stats.interrupted += 1,
         }
@@ -156,16 +156,16 @@
 
     fn record_health(&mut self, idx: WorkerIdx, end: &End, now: Millis) {
         if matches!(end.kind, EndKind::Done | EndKind::Failed) {
-            self.failures.record(end.kind == EndKind::Failed);
+            self.failure_rate.record(end.kind == EndKind::Failed);
         }
-        let quarantine_threshold = self.failures.quarantine_threshold();
+        let quarantine_threshold = self.failure_rate.quarantine_threshold();
         let Some(w) = self.workers.get_mut(idx) else { return };
         match end.kind {
             EndKind::Done => w.health.record_success(),
             EndKind::Failed
                 if w.health.record_failure(end.task.step.job, quarantine_threshold, now) =>
             {
-                self.notes.push(Event::WorkerQuarantined { worker: w.life.clone() });
+                self.events.push(Event::WorkerQuarantined { worker: w.life.clone() });
                 self.stats.put_aside += 1;
             }
             _ => {}
--- a/crates/hollowford-jobs/src/worker_removal.rs
+++ b/crates/hollowford-jobs/src/worker_removal.rs
@@ -17,7 +17,8 @@
                 continue;
             }
             let Some(w) = self.workers.get(idx) else { continue };
-            let expired = w.lease_expiry().is_some_and(|at| at + self.bounds.stop_timeout <= now);
+            let expired =
+                w.lease_expiry().is_some_and(|at| at + self.time_limits.stop_timeout <= now);
             if expired && !w.held.is_empty() {
                 self.stats.lapsed += w.held.len() as u64;
                 self.record_lost_runs(idx, now);
@@ -52,8 +53,8 @@
             self.stop_late_starts(idx, next, now);
         }
         self.free_all(idx, GiveUpCause::WorkerDead, now);
-        self.ended_lives.insert(worker.clone());
-        self.notes.push(Event::WorkerDead { worker, how, tasks });
+        self.ended_incarnations.insert(worker.clone());
+        self.events.push(Event::WorkerDead { worker, how, tasks });
         self.forget_worker(idx);
     }
 
@@ -84,9 +85,9 @@
     }
 
     fn forget_worker(&mut self, idx: WorkerIdx) {
-        self.unsettled.remove(&idx);
+        self.unsettled_workers.remove(&idx);
         self.workers.remove(idx);
-        self.dirty = true;
+        self.needs_pass = true;
     }
 
     fn free_all(&mut self, idx: WorkerIdx, cause: GiveUpCause, now: Millis) {
@@ -107,9 +108,9 @@
             && let Some(at) = w.find(task, run)
         {
             w.release(at);
-            self.notes.push(Event::TaskGivenUp { task, run, worker: w.life.clone(), cause });
+            self.events.push(Event::TaskGivenUp { task, run, worker: w.life.clone(), cause });
         }
         self.unplace(p, now);
-        self.dirty = true;
+        self.needs_pass = true;
     }
 }
--- a/crates/hollowford-jobs/src/worker_restart.rs
+++ b/crates/hollowford-jobs/src/worker_restart.rs
@@ -81,7 +81,7 @@
         let w = self.workers.get(idx)?;
         let (life, address) =
             (WorkerLife::new(w.life.id().clone(), Some(incarnation)), w.address.clone());
-        if self.ended_lives.contains(&life) {
+        if self.ended_incarnations.contains(&life) {
             return None;
         }
         let next = self
@@ -101,7 +101,7 @@
         look: &Look,
         now: Millis,
     ) {
-        let longest = self.bounds.longest_lease;
+        let longest = self.time_limits.max_lease;
         if let Some(w) = self.workers.get_mut(next) {
             // The previous incarnation's clock is unrelated, so its lease end may lie far ahead.
             // The worker shortens longer leases to this maximum.
@@ -169,7 +169,8 @@
         let job = p.task.step.job;
         let name = self.account_of(job).unwrap_or(NO_ACCOUNT).to_owned();
         let account = self.accounts.intern(&name);
-        let room = self.jobs.step_spec(p.task.step).map_or_else(Default::default, StepSpec::room);
+        let room =
+            self.jobs.step_spec(p.task.step).map_or_else(Default::default, StepSpec::allocation);
         let held = HeldTask::new((p.task, p.run), account, room, Phase::Stopping, now);
         if let Some(w) = self.workers.get_mut(p.idx) {
             w.hold(held);
--- a/crates/hollowford-jobs/tests/accounts.rs
+++ b/crates/hollowford-jobs/tests/accounts.rs
@@ -21,7 +21,7 @@
     Account {
         name: name.into(),
         policy: AccountPolicy { quota, ..AccountPolicy::default() },
-        owed_per_s: 0,
+        guaranteed_jobs_per_s: 0,
     }
 }
 
@@ -39,7 +39,7 @@
         for task in w.running.keys() {
             let spec = &cell.specs[&task.step.job].steps[task.step.step as usize];
             let account = cell.job_accounts[&task.step.job].clone();
-            *out.entry(account).or_default() += u64::from(spec.room().cpu_milli);
+            *out.entry(account).or_default() += u64::from(spec.allocation().cpu_milli);
         }
     }
     out
@@ -157,12 +157,12 @@
     cell.submit_for(BUSY, 1, QUICK, job(vec![step(1, 1_000, ms)]));
     cell.run(400);
     for _ in 0..2 {
-        assert!(cell.engine.may_touch(JobId(1), BUSY));
-        assert!(!cell.engine.may_touch(JobId(1), CALM));
-        assert!(!cell.engine.may_touch(JobId(1), NO_ACCOUNT));
+        assert!(cell.engine.may_access(JobId(1), BUSY));
+        assert!(!cell.engine.may_access(JobId(1), CALM));
+        assert!(!cell.engine.may_access(JobId(1), NO_ACCOUNT));
         let other =
             cell.engine.submit(JobId(1), CALM, QUICK, cell.specs[&JobId(1)].clone(), cell.now);
-        assert_eq!(other, SubmitAnswer::NotYours);
+        assert_eq!(other, SubmitAnswer::OtherAccount);
         cell.take_over();
         cell.run(100);
     }
@@ -173,7 +173,7 @@
     let mut cell = cell_with_quotas(1, 16);
     cell.submit(1, QUICK, job(vec![step(1, 1_000, 60_000)]));
     cell.run(100);
-    assert!(cell.engine.may_touch(JobId(1), CALM));
+    assert!(cell.engine.may_access(JobId(1), CALM));
 }
 
 #[test]
@@ -191,15 +191,15 @@
     let mut cell = cell_with_quotas(8, 40);
     cell.submit_for(BUSY, 1, QUICK, job(vec![step(3, 2_000, 60_000)]));
     cell.run(300);
-    let uses = cell.engine.account_uses();
+    let uses = cell.engine.account_usage();
     let busy = uses.iter().find(|u| &*u.name == BUSY).unwrap();
     assert_eq!((busy.used.cpu_milli, busy.quota.cpu_milli), (6_000, 40_000));
 }
 
 /// Returns a cell in which each account has `owed_per_s` guaranteed jobs per second and no quota.
-fn cell_with_guaranteed_rates(workers: usize, owed_per_s: u32) -> TestCell {
+fn cell_with_guaranteed_rates(workers: usize, guaranteed_jobs_per_s: u32) -> TestCell {
     let mut cell = TestCell::new(workers);
-    let account = |name| Account { owed_per_s, ..account(name, 0) };
+    let account = |name| Account { guaranteed_jobs_per_s, ..account(name, 0) };
     cell.engine.set_accounts(&[account(BUSY), account(CALM)]);
     cell
 }
--- a/crates/hollowford-jobs/tests/answers.rs
+++ b/crates/hollowford-jobs/tests/answers.rs
@@ -182,11 +182,11 @@
     cell.poll_and_execute();
     cell.poll_and_execute();
     assert_eq!(cell.engine.stats().started, 1, "its start should be ordered");
-    assert_eq!(cell.engine.waiting(QUICK), 1);
+    assert_eq!(cell.engine.waiting_jobs(QUICK), 1);
     assert_eq!(cell.state(1), Some(JobState::Queued));
     cell.workers[0].restart("next");
     cell.update_worker_list();
     cell.run(500);
-    assert_eq!(cell.engine.waiting(QUICK), 0);
+    assert_eq!(cell.engine.waiting_jobs(QUICK), 0);
     assert_eq!(cell.state(1), Some(JobState::Running));
 }
--- a/crates/hollowford-jobs/tests/batches.rs
+++ b/crates/hollowford-jobs/tests/batches.rs
@@ -20,7 +20,7 @@
     }
     cell.store_up = true;
     cell.run(50);
-    assert_eq!(cell.engine.is_kept(JobId(2)), Some(true));
+    assert_eq!(cell.engine.is_durable(JobId(2)), Some(true));
     // Everything is in the store, so a new owner doesn't need the ends that workers have dropped.
     cell.take_over();
     cell.run(200);
@@ -70,7 +70,7 @@
 
 /// Returns which of these jobs are durable.
 fn durable(cell: &TestCell, ids: impl Iterator<Item = u64>) -> Vec<bool> {
-    ids.map(|i| cell.engine.is_kept(JobId(scattered_id(i))) == Some(true)).collect()
+    ids.map(|i| cell.engine.is_durable(JobId(scattered_id(i))) == Some(true)).collect()
 }
 
 #[test]
@@ -190,7 +190,7 @@
             cell.run(5);
             disturb_at_random(&mut cell, &mut random);
             durable.extend(
-                (0..JOBS_PER_SEED).filter(|&id| cell.engine.is_kept(JobId(id)) == Some(true)),
+                (0..JOBS_PER_SEED).filter(|&id| cell.engine.is_durable(JobId(id)) == Some(true)),
             );
         }
         cell.store_up = true;
@@ -212,7 +212,7 @@
     cell.submit(1, LARGE, job(vec![step(1, 1_000, 20)]));
     cell.run(200);
     assert_eq!(cell.state(1), Some(JobState::Completed));
-    cell.now = cell.now + TIME_LIMITS.keep_ended + TIME_LIMITS.keep_ended;
+    cell.now = cell.now + TIME_LIMITS.ended_job_retention + TIME_LIMITS.ended_job_retention;
     assert!(cell.add_pending_batch());
     cell.refuse_pending();
     assert!(cell.rows.keys().any(|k| k.starts_with("j/")));
@@ -234,7 +234,7 @@
     }
     cell.run(2_000);
     assert_eq!(cell.rows.keys().filter(|k| k.starts_with("j/")).count(), 200);
-    cell.now = cell.now + TIME_LIMITS.keep_ended + TIME_LIMITS.keep_ended;
+    cell.now = cell.now + TIME_LIMITS.ended_job_retention + TIME_LIMITS.ended_job_retention;
     for i in 200..400 {
         cell.submit(scattered_id(i), LARGE, job(vec![step(1, 16_000, 60_000)]));
     }
--- a/crates/hollowford-jobs/tests/common/mod.rs
+++ b/crates/hollowford-jobs/tests/common/mod.rs
@@ -18,13 +18,13 @@
 pub const QUICK: &str = "quick";
 pub const LARGE: &str = "large";
 
-pub const TIME_LIMITS: Bounds = Bounds {
+pub const TIME_LIMITS: TimeLimits = TimeLimits {
     lease: Millis(3_000),
-    earlier_lease: Millis(5_100),
-    longest_lease: Millis(6_000),
+    previous_lease: Millis(5_100),
+    max_lease: Millis(6_000),
     stop_timeout: Millis(400),
     gang_timeout: Millis(3_000),
-    keep_ended: Millis(150_000),
+    ended_job_retention: Millis(150_000),
 };
 
 pub fn queue(name: &str, priority: u32, advice: Option<AdviceCost>) -> Queue {
@@ -42,7 +42,7 @@
 pub fn step(count: u32, cpu_milli: u32, ms: u64) -> RawStep {
     RawStep {
         count,
-        need: Resources::new(cpu_milli, 100, 0),
+        resources: Resources::new(cpu_milli, 100, 0),
         estimate_ms: ms,
         ..RawStep::default()
     }
@@ -57,7 +57,7 @@
 pub struct PendingAdvice {
     /// Time of arrival.
     pub at: Millis,
-    pub seat: Seat,
+    pub seat: AdviceChannel,
     pub step: StepKey,
     pub rows: WorkerTickets,
 }
@@ -130,7 +130,7 @@
 
     fn configure_engine(&mut self) {
         self.engine.set_queues(&self.queues, self.now);
-        self.engine.set_seats(&[Seat { address: "".into() }]);
+        self.engine.set_advice_channels(&[AdviceChannel { address: "".into() }]);
         self.update_worker_list();
     }
 
@@ -263,7 +263,11 @@
         match order {
             Order::Worker { call, .. } => self.call(call, fence),
             Order::Advice { seat, step, workers } => {
-                let seat = self.engine.seat(seat).expect("the engine should know the seat").clone();
+                let seat = self
+                    .engine
+                    .advice_channel(seat)
+                    .expect("the engine should know the seat")
+                    .clone();
                 if self.unresponsive_instances.contains(&*seat.address) {
                     return;
                 }
@@ -294,7 +298,7 @@
     fn advice_delay(&self, job: JobId, workers: usize) -> Millis {
         let queue = self.job_queues.get(&job).filter(|_| self.delay_advice);
         let queue = queue.and_then(|name| self.queues.iter().find(|q| q.name == *name));
-        queue.and_then(|q| q.advice).map_or(Millis(0), |cost| Millis(cost.of(workers) as u64))
+        queue.and_then(|q| q.advice).map_or(Millis(0), |cost| Millis(cost.call_ms(workers) as u64))
     }
 
     /// Passes the answers of the advice service that have arrived to the engine.
@@ -302,7 +306,7 @@
         let now = self.now;
         for due in self.pending_advice.extract_if(.., |d| d.at <= now).collect::<Vec<_>>() {
             let answer = Some((due.rows, Millis(2_000)));
-            self.engine.advised(&due.seat, due.step, answer, now);
+            self.engine.advice_answered(&due.seat, due.step, answer, now);
         }
     }
 
@@ -371,7 +375,7 @@
         self.engine = Engine::new(epoch, TIME_LIMITS, self.now);
         self.engine.set_queues(&self.queues, self.now);
         if self.store_outage_before {
-            self.engine.note_outage_before();
+            self.engine.set_store_outage_before();
         }
         let rows: Vec<_> = self.rows.iter().map(|(k, v)| (k.clone(), v.clone())).collect();
         self.engine.recover(&rows, self.now).expect("rows should be readable");
--- a/crates/hollowford-jobs/tests/common/scenario.rs
+++ b/crates/hollowford-jobs/tests/common/scenario.rs
@@ -165,13 +165,13 @@
                 (LARGE, job(vec![gang]))
             }
             7 => {
-                let last = RawStep { depends: vec![0], ..step(2, 1_000, ms) };
+                let last = RawStep { depends_on: vec![0], ..step(2, 1_000, ms) };
                 (QUICK, job(vec![step(2, 1_000, ms), last]))
             }
             8 => {
                 let tasks = rng.u32(1..3);
                 self.service_jobs.insert(id, tasks as usize);
-                (LARGE, job(vec![RawStep { lasting: true, ..step(tasks, 1_000, 0) }]))
+                (LARGE, job(vec![RawStep { service: true, ..step(tasks, 1_000, 0) }]))
             }
             _ => (QUICK, scheduled_job(at, step(1, 1_000, ms))),
         }
@@ -221,7 +221,7 @@
         self.record_ends();
         self.assert_none_stuck();
         let age = self.age();
-        for note in self.cell.engine.take_notes() {
+        for note in self.cell.engine.take_events() {
             if self.traced {
                 eprintln!("{age:>6} {note}");
             }
@@ -235,7 +235,7 @@
             if now < at || self.durable.contains(&id) {
                 continue;
             }
-            match self.cell.engine.is_kept(JobId(id)) {
+            match self.cell.engine.is_durable(JobId(id)) {
                 Some(true) => drop(self.durable.insert(id)),
                 Some(false) => {}
                 None => drop(self.cell.submit(id, queue, spec)),
--- a/crates/hollowford-jobs/tests/common/worker.rs
+++ b/crates/hollowford-jobs/tests/common/worker.rs
@@ -267,7 +267,7 @@
                 return StartAnswer::Old;
             }
             self.starts += 1;
-            let allocation = spec.room();
+            let allocation = spec.allocation();
             let ends_at = self.now + Millis(spec.estimate_ms * self.slowdown);
             self.running
                 .insert(task, Run { run, allocation, ends_at, gang: 0, started_at: self.now });
--- a/crates/hollowford-jobs/tests/crashes.rs
+++ b/crates/hollowford-jobs/tests/crashes.rs
@@ -140,7 +140,7 @@
     cell.run(2_000);
     let other =
         |n: &Event| matches!(n, Event::WorkerCrashed { task, .. } if task.step.job == JobId(2));
-    assert!(!cell.engine.take_notes().iter().any(other));
+    assert!(!cell.engine.take_events().iter().any(other));
 }
 
 #[test]
@@ -155,8 +155,8 @@
 #[test]
 fn a_later_step_and_a_service_task_fail_as_well() {
     for last in [
-        RawStep { depends: vec![0], ..step(1, 1_000, 100) },
-        RawStep { depends: vec![0], lasting: true, ..step(1, 1_000, 0) },
+        RawStep { depends_on: vec![0], ..step(1, 1_000, 100) },
+        RawStep { depends_on: vec![0], service: true, ..step(1, 1_000, 0) },
     ] {
         let mut cell = cell_with_crashing_job(8, 3_300);
         // The tasks of the first step end before they crash a worker.
@@ -201,7 +201,7 @@
     cell.crashes.crash(&mut cell.workers[at]);
     cell.run(5_000);
     let under = |n: &Event| matches!(n, Event::WorkerCrashed { .. });
-    assert_eq!(cell.engine.take_notes().iter().filter(|n| under(n)).count(), 0);
+    assert_eq!(cell.engine.take_events().iter().filter(|n| under(n)).count(), 0);
     assert_eq!(cell.engine.stats().crashes, 1);
 }
 
@@ -218,7 +218,7 @@
     cell.crashes.crash(&mut cell.workers[1]);
     cell.run(10_000);
     assert_eq!(cell.crashes.by_task.len(), 0);
-    let fresh: Vec<_> = cell.engine.take_notes().iter().filter_map(crash_freshness).collect();
+    let fresh: Vec<_> = cell.engine.take_events().iter().filter_map(crash_freshness).collect();
     assert_eq!(
         fresh,
         [false, false],
@@ -282,7 +282,7 @@
     }
     cell.run(5_000);
     assert_eq!(cell.crashes.by_task.len(), 0);
-    let fresh: Vec<_> = cell.engine.take_notes().iter().filter_map(crash_freshness).collect();
+    let fresh: Vec<_> = cell.engine.take_events().iter().filter_map(crash_freshness).collect();
     assert_eq!(fresh, [true, true]);
     assert_eq!(cell.state(2), Some(JobState::Completed));
 }
@@ -348,7 +348,7 @@
 #[test]
 fn a_service_task_does_not_fail_for_crashes_far_apart() {
     let mut cell = cell_with_crashing_job(4, 3_300);
-    let service = RawStep { lasting: true, ..step(1, 1_000, 0) };
+    let service = RawStep { service: true, ..step(1, 1_000, 0) };
     cell.workers.iter_mut().for_each(|w| w.runs_until_stopped = true);
     cell.submit(2, LARGE, job(vec![service]));
     for _ in 0..6 {
--- a/crates/hollowford-jobs/tests/gangs.rs
+++ b/crates/hollowford-jobs/tests/gangs.rs
@@ -16,15 +16,15 @@
 const ADVICE_CHANNELS: usize = 49;
 /// Duration of advice calls for relocations.
 const SLOW_ADVICE: AdviceCost =
-    AdviceCost { decide_ms: 390.0, per_worker_ms: 5.6, validity: Millis(2_000) };
+    AdviceCost { base_ms: 390.0, per_worker_ms: 5.6, ticket_validity: Millis(2_000) };
 
 /// Returns a cell in which advice accepts three of ten workers.
 fn relocation_cell() -> TestCell {
     let mut cell = TestCell::new(WORKERS);
     cell.set_queues(vec![queue(QUICK, 0, None), queue(LARGE, 1, Some(SLOW_ADVICE))]);
     let advice_channels: Vec<_> =
-        (0..ADVICE_CHANNELS).map(|i| Seat { address: format!("s{i}").into() }).collect();
-    cell.engine.set_seats(&advice_channels);
+        (0..ADVICE_CHANNELS).map(|i| AdviceChannel { address: format!("s{i}").into() }).collect();
+    cell.engine.set_advice_channels(&advice_channels);
     cell.delay_advice = true;
     let excluded_workers = (0..WORKERS).filter(|i| i % 10 >= 3);
     cell.excluded_workers = excluded_workers.map(|i| format!("w{i}").as_str().into()).collect();
--- a/crates/hollowford-jobs/tests/leaving.rs
+++ b/crates/hollowford-jobs/tests/leaving.rs
@@ -9,9 +9,9 @@
 
 /// Returns a cell in which one of two workers runs a task and then announces that it leaves, and the position
 /// of that worker.
-fn cell_with_leaving_worker(checkpoints: bool, ms: u64) -> (TestCell, usize) {
+fn cell_with_leaving_worker(resumable: bool, ms: u64) -> (TestCell, usize) {
     let mut cell = TestCell::new(2);
-    cell.submit(1, LARGE, job(vec![RawStep { checkpoints, ..step(1, 1_000, ms) }]));
+    cell.submit(1, LARGE, job(vec![RawStep { resumable, ..step(1, 1_000, ms) }]));
     cell.run(1_500);
     let at = cell.workers.iter().position(|w| w.starts == 1).expect("a worker should run the task");
     cell.workers[at].leaving = true;
--- a/crates/hollowford-jobs/tests/restarts.rs
+++ b/crates/hollowford-jobs/tests/restarts.rs
@@ -172,7 +172,7 @@
 #[test]
 fn tickets_of_the_earlier_incarnation_are_not_used_for_the_next_one() {
     let mut cell = TestCell::new(1);
-    let cost = AdviceCost { decide_ms: 5.0, per_worker_ms: 0.1, validity: Millis(60_000) };
+    let cost = AdviceCost { base_ms: 5.0, per_worker_ms: 0.1, ticket_validity: Millis(60_000) };
     cell.set_queues(vec![queue(QUICK, 0, Some(cost)), queue(LARGE, 1, None)]);
     cell.submit(1, QUICK, job(vec![step(2, 16_000, 2_000)]));
     cell.run(100);
@@ -275,7 +275,7 @@
     let row = WorkerAddress { life: unnamed(&listing.life), address: listing.address.clone() };
     cell.rows.insert("workers".into(), encode_workers(&[row]));
     cell.take_over_without_worker_list();
-    cell.engine.set_seats(&[Seat { address: "".into() }]);
+    cell.engine.set_advice_channels(&[AdviceChannel { address: "".into() }]);
     let old = WorkerListing { life: unnamed(&listing.life), ..listing };
     cell.engine.set_worker_list(&[old], cell.now);
     cell.run(500);
@@ -391,7 +391,7 @@
         Event::WorkerCrashed { task, fresh, .. } => (task.step.job == JobId(2)).then_some(*fresh),
         _ => None,
     };
-    let notes = cell.engine.take_notes();
+    let notes = cell.engine.take_events();
     assert_eq!(notes.iter().filter_map(fresh).collect::<Vec<_>>(), [true]);
 }
 
@@ -419,7 +419,7 @@
 fn is_blamed(cell: &mut TestCell, id: u64) -> bool {
     let blamed =
         |n: &Event| matches!(n, Event::WorkerCrashed { task, .. } if task.step.job == JobId(id));
-    cell.engine.take_notes().iter().any(blamed)
+    cell.engine.take_events().iter().any(blamed)
 }
 
 #[test]
@@ -457,7 +457,7 @@
 #[test]
 fn a_ticket_requested_for_the_earlier_incarnation_is_not_used_for_the_next_one() {
     let mut cell = TestCell::new(1);
-    let cost = AdviceCost { decide_ms: 1_000.0, per_worker_ms: 0.1, validity: Millis(60_000) };
+    let cost = AdviceCost { base_ms: 1_000.0, per_worker_ms: 0.1, ticket_validity: Millis(60_000) };
     cell.set_queues(vec![queue(QUICK, 0, Some(cost)), queue(LARGE, 1, None)]);
     cell.delay_advice = true;
     cell.submit(1, QUICK, job(vec![step(1, 1_000, 500)]));
@@ -480,7 +480,7 @@
         cell.run(5);
     }
     cell.take_over();
-    cell.engine.take_notes();
+    cell.engine.take_events();
     cell.run(900);
     assert!(is_blamed(&mut cell, 1));
 }
@@ -502,7 +502,7 @@
     cell.engine.look_answered_late(&row.life, answer.clone(), sent, cell.now);
     cell.engine.look_answered(&row.life, answer, cell.now, cell.now);
     cell.update_worker_list();
-    cell.engine.set_seats(&[Seat { address: "".into() }]);
+    cell.engine.set_advice_channels(&[AdviceChannel { address: "".into() }]);
     cell.run(1_000);
     assert!(is_used(&mut cell, 2));
 }
--- a/crates/hollowford-jobs/tests/sharing.rs
+++ b/crates/hollowford-jobs/tests/sharing.rs
@@ -6,12 +6,12 @@
 use hollowford_core::Millis;
 use hollowford_jobs::*;
 
-fn service_step(latency_ms: u64) -> RawStep {
-    RawStep { lasting: true, latency_ms, ..step(1, 4_000, 0) }
+fn service_step(latency_target_ms: u64) -> RawStep {
+    RawStep { service: true, latency_target_ms, ..step(1, 4_000, 0) }
 }
 
 fn best_effort_step() -> RawStep {
-    RawStep { filler: true, ..step(2, 8_000, 60_000) }
+    RawStep { best_effort: true, ..step(2, 8_000, 60_000) }
 }
 
 /// Returns a cell of one worker with a service task and two best-effort tasks, each of which adds 100 ms to the
--- a/crates/hollowford-jobs/tests/takeover.rs
+++ b/crates/hollowford-jobs/tests/takeover.rs
@@ -38,7 +38,7 @@
     let mut cell = full_cell(2, 60_000);
     cell.workers[0].reachable = false;
     cell.take_over();
-    let lease_end = cell.now + TIME_LIMITS.earlier_lease;
+    let lease_end = cell.now + TIME_LIMITS.previous_lease;
     while cell.now < lease_end {
         cell.run(100);
         cell.assert_no_duplicates();
--- a/crates/hollowford-jobs/tests/unsaved_state.rs
+++ b/crates/hollowford-jobs/tests/unsaved_state.rs
@@ -52,7 +52,7 @@
     let mut cell = cell_with_crashing_job(after);
     cell.crashes.downtime = Millis(1_000);
     submit_crashing_job(&mut cell);
-    run_until(&mut cell, |c| c.engine.is_kept(JobId(CRASHING_JOB)) == Some(true));
+    run_until(&mut cell, |c| c.engine.is_durable(JobId(CRASHING_JOB)) == Some(true));
     cell.store_up = false;
     cell.crashes.store_healthy = false;
     cell.run(outage);
@@ -160,8 +160,8 @@
     cell.workers[at].reachable = true;
     cell.take_over();
     run_until(&mut cell, |c| c.crashes.count == 2);
-    cell.engine.take_notes();
+    cell.engine.take_events();
     cell.take_over();
     let recovered = |n: &Event| matches!(n, Event::CrashRecordRecovered { open: 1, .. });
-    assert!(cell.engine.take_notes().iter().any(recovered), "its second start should be in a row");
+    assert!(cell.engine.take_events().iter().any(recovered), "its second start should be in a row");
 }
--- a/crates/hollowford-jobs/tests/work_conserving.rs
+++ b/crates/hollowford-jobs/tests/work_conserving.rs
@@ -37,8 +37,8 @@
 /// The queue of surveys.
 const SURVEY: &str = "survey";
 
-fn advice_cost(decide_ms: f64, per_worker_ms: f64) -> Option<AdviceCost> {
-    Some(AdviceCost { decide_ms, per_worker_ms, validity: Millis(2_000) })
+fn advice_cost(base_ms: f64, per_worker_ms: f64) -> Option<AdviceCost> {
+    Some(AdviceCost { base_ms, per_worker_ms, ticket_validity: Millis(2_000) })
 }
 
 fn busy_cell() -> TestCell {
@@ -54,8 +54,8 @@
         .collect();
     cell.delay_advice = true;
     let advice_channels: Vec<_> =
-        (0..ADVICE_CHANNELS).map(|i| Seat { address: format!("s{i}").into() }).collect();
-    cell.engine.set_seats(&advice_channels);
+        (0..ADVICE_CHANNELS).map(|i| AdviceChannel { address: format!("s{i}").into() }).collect();
+    cell.engine.set_advice_channels(&advice_channels);
     (cell.crashes.downtime, cell.crashes.crash_after) = (Millis(3_300), Millis(10));
     cell
 }
@@ -65,7 +65,7 @@
     let mut sized = |count: u64, cpu: u64, memory: u64, ms: u64| {
         let (count, cpu) = (jitter(rng, count).max(1) as u32, jitter(rng, cpu) as u32);
         let raw = step(count, cpu, jitter(rng, ms));
-        RawStep { need: Resources::new(cpu, jitter(rng, memory) as u32, 0), ..raw }
+        RawStep { resources: Resources::new(cpu, jitter(rng, memory) as u32, 0), ..raw }
     };
     match kind {
         0 => (QUICK, sized(2, 1_400, 5_000, 640)),
@@ -111,7 +111,7 @@
     let spec = &cell.specs[&step.job].steps[step.step as usize];
     let wanted = if spec.gang { spec.count } else { 1 };
     let places = |w: &worker::SimWorker| {
-        let (need, free) = (spec.room(), w.capacity.minus(&w.used()));
+        let (need, free) = (spec.allocation(), w.capacity.minus(&w.used()));
         (free.cpu_milli / need.cpu_milli.max(1)).min(free.memory_mib / need.memory_mib.max(1))
     };
     up().filter(|w| cell.is_eligible(step, &w.id)).map(places).sum::<u32>() >= 2 * wanted
--- a/crates/hollowford-node/src/calls.rs
+++ b/crates/hollowford-node/src/calls.rs
@@ -5,7 +5,7 @@
 use crate::wire::Advice;
 use hollowford_adapter::{Called, WorkerClient};
 use hollowford_core::Millis;
-use hollowford_jobs::{LookAnswer, Seat, StartAnswer, StepKey, WorkerCall, WorkerTickets};
+use hollowford_jobs::{AdviceChannel, LookAnswer, StartAnswer, StepKey, WorkerCall, WorkerTickets};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::timeout;
@@ -139,7 +139,7 @@
 /// Calls the advice service from the owner's process and reports the outcome to the owner.
 pub async fn request_advice_locally(
     shared: Arc<Shared>,
-    advice_channel: Seat,
+    advice_channel: AdviceChannel,
     step: StepKey,
     workers: Vec<String>,
     handle: OwnerHandle,
--- a/crates/hollowford-node/src/inbox.rs
+++ b/crates/hollowford-node/src/inbox.rs
@@ -9,7 +9,7 @@
 use crate::writer::BatchOutcome;
 use hollowford_adapter::Called;
 use hollowford_core::Millis;
-use hollowford_jobs::{Seat, StepKey, WorkerCall, WorkerListing, WorkerTickets};
+use hollowford_jobs::{AdviceChannel, StepKey, WorkerCall, WorkerListing, WorkerTickets};
 use tokio::sync::{mpsc, oneshot};
 
 /// Maximum number of messages waiting for the owner; further calls are rejected.
@@ -35,7 +35,7 @@
     /// The outcome of a call to the advice service.
     AdviceAnswered {
         /// The advice channel that the call used.
-        advice_channel: Seat,
+        advice_channel: AdviceChannel,
         /// The step that asked for advice.
         step: StepKey,
         /// The workers that may run the step and how long the tickets are valid, or `None` if the
--- a/crates/hollowford-node/src/load.rs
+++ b/crates/hollowford-node/src/load.rs
@@ -56,7 +56,7 @@
         engine.set_accounts(accounts);
     }
     if cx.shared.had_outage_within(RECENT_OUTAGE_WINDOW) {
-        engine.note_outage_before();
+        engine.set_store_outage_before();
     }
     let rows: Vec<_> = feed.rows.into_iter().map(|r| (r.key, r.value)).collect();
     match engine.recover(&rows, feed.now) {
--- a/crates/hollowford-node/src/members.rs
+++ b/crates/hollowford-node/src/members.rs
@@ -9,7 +9,7 @@
 use crate::worker_changes::WorkerChanges;
 use heartbeats::BASE_HEARTBEAT_INTERVAL;
 use hollowford_core::Millis;
-use hollowford_jobs::{Seat, StepKey};
+use hollowford_jobs::{AdviceChannel, StepKey};
 use std::cmp::Reverse;
 use std::sync::Arc;
 
@@ -168,12 +168,14 @@
 
     /// Returns the channels for advice calls, that of this process first. Each member makes the
     /// calls of one partition only, since the service accepts one call per instance at a time.
-    pub fn advice_channels(&self) -> Vec<Seat> {
-        let here = Seat { address: "".into() };
+    pub fn advice_channels(&self) -> Vec<AdviceChannel> {
+        let here = AdviceChannel { address: "".into() };
         let of_this_partition =
             |m: &&Member| advice_partition(&m.address, self.partitions) == self.owner.partition;
-        let others =
-            self.live().filter(of_this_partition).map(|m| Seat { address: m.address.clone() });
+        let others = self
+            .live()
+            .filter(of_this_partition)
+            .map(|m| AdviceChannel { address: m.address.clone() });
         std::iter::once(here).chain(others).collect()
     }
 
--- a/crates/hollowford-node/src/owner.rs
+++ b/crates/hollowford-node/src/owner.rs
@@ -136,7 +136,7 @@
     /// Runs the owner until it loses the partition or gives it up.
     pub async fn run(mut self, mut rx: mpsc::Receiver<OwnerMsg>) -> OwnerEnd {
         tokio::spawn(registry::follow(self.cx.clone(), self.handle.clone()));
-        self.engine.set_seats(&self.members.advice_channels());
+        self.engine.set_advice_channels(&self.members.advice_channels());
         while self.end.is_none() {
             if let Ok(Some(msg)) = timeout(MAX_POLL_INTERVAL, rx.recv()).await {
                 self.handle_message(msg);
@@ -176,7 +176,7 @@
                 }
             }
             OwnerMsg::AdviceAnswered { advice_channel, step, answer } => {
-                self.engine.advised(&advice_channel, step, answer, now);
+                self.engine.advice_answered(&advice_channel, step, answer, now);
             }
             OwnerMsg::BatchFinished { batch, outcome } => {
                 self.handle_batch_outcome(batch, outcome, now)
@@ -215,7 +215,7 @@
         if round_complete || (self.members_changed && update_due) {
             self.members_changed = false;
             self.members_updated_at = now;
-            self.engine.set_seats(&self.members.advice_channels());
+            self.engine.set_advice_channels(&self.members.advice_channels());
             self.delegation.set_members(self.members.delegates(), now);
         }
     }
@@ -277,7 +277,7 @@
         }
         self.orders = orders;
         self.delegation.send(now);
-        self.decisions.write(&self.engine.take_notes(), now);
+        self.decisions.write(&self.engine.take_events(), now);
         self.refuse_unsent_jobs(now);
         let all_answered = self.step_down.since().is_some() && self.waiters.is_empty();
         if !all_answered {
@@ -298,7 +298,7 @@
     fn apply_config(&mut self, now: Millis) {
         if self.settings.has_changed().unwrap_or(false) {
             let bounds = self.settings.borrow_and_update().bounds;
-            self.engine.set_bounds(bounds);
+            self.engine.set_time_limits(bounds);
         }
         let version = self.cx.shared.config_version();
         if version != self.config_version
