--- a/crates/hollowford-accounts/src/credential.rs
+++ b/crates/hollowford-accounts/src/credential.rs
@@ -24,7 +24,7 @@
     }
 
     /// Tells whether both are of one key, in a time that doesn't depend on where they differ.
-    fn is(&self, other: &Credential) -> bool {
+    fn matches(&self, other: &Credential) -> bool {
         let pairs = self.0.iter().zip(&other.0);
         pairs.fold(0, |differ, (a, b)| differ | (a ^ b)) == 0
     }
@@ -61,7 +61,7 @@
     pub fn account_of(&self, credential: &Credential) -> Option<&Arc<str>> {
         let mut found = None;
         for (known, account) in &self.list {
-            if known.is(credential) {
+            if known.matches(credential) {
                 found = Some(account);
             }
         }
--- a/crates/hollowford-accounts/tests/accounts.rs
+++ b/crates/hollowford-accounts/tests/accounts.rs
@@ -23,8 +23,8 @@
 #[test]
 fn what_is_owed_is_kept_for_a_while_and_no_longer() {
     let mut allowance = Allowance::default();
-    allowance.set(2.0);
-    let owed = |a: &mut Allowance, now| (0..100).filter(|_| a.note(Millis(now))).count();
+    allowance.set_rate(2.0);
+    let owed = |a: &mut Allowance, now| (0..100).filter(|_| a.count_job(Millis(now))).count();
     // Five seconds of it, and twenty jobs besides, however long nothing came.
     assert_eq!(owed(&mut allowance, 1_000_000), 30);
     assert_eq!(owed(&mut allowance, 1_001_000), 2);
@@ -34,7 +34,7 @@
 #[test]
 fn without_a_bound_everything_is_owed() {
     let mut allowance = Allowance::default();
-    assert!((0..1_000).all(|_| allowance.note(Millis(5))));
+    assert!((0..1_000).all(|_| allowance.count_job(Millis(5))));
 }
 
 #[test]
--- a/crates/hollowford-config/src/policy.rs
+++ b/crates/hollowford-config/src/policy.rs
@@ -28,20 +28,20 @@
     "packing_tolerance",
 ];
 
-const MINUTE: u64 = 60_000;
-const HOUR: u64 = 60 * MINUTE;
+const MINUTE_MS: u64 = 60_000;
+const HOUR_MS: u64 = 60 * MINUTE_MS;
 
 /// Reads the section `policy`: a preset, and what differs from it.
 ///
 /// # Errors
 /// The first value that is wrong.
 pub fn read_policy(s: &Section<'_>) -> Result<Policy, SettingsError> {
-    s.only(KEYS)?;
+    s.check_keys(KEYS)?;
     let p = preset(s)?;
     let ms = |key, default: Millis, max| s.number(key, default.0, 1..=max).map(Millis);
     let count = |key, default: u64, max| s.number(key, default, 1..=max);
-    let task_lease = ms("task_lease_ms", p.task_lease, HOUR)?;
-    let renew_every = ms("renew_every_ms", p.renew_every, HOUR)?;
+    let task_lease = ms("task_lease_ms", p.task_lease, HOUR_MS)?;
+    let renew_every = ms("renew_every_ms", p.renew_every, HOUR_MS)?;
     if renew_every.0 * 2 > task_lease.0 {
         let help = "at most half of task_lease_ms, so that one lost renewal ends nothing";
         return Err(s.error("renew_every_ms is too long", help));
@@ -49,24 +49,24 @@
     Ok(Policy {
         task_lease,
         renew_every,
-        renewal_bound: ms("renewal_bound_ms", p.renewal_bound, 24 * HOUR)?,
-        drift_margin: ms("drift_margin_ms", p.drift_margin, MINUTE)?,
+        renewal_bound: ms("renewal_bound_ms", p.renewal_bound, 24 * HOUR_MS)?,
+        drift_margin: ms("drift_margin_ms", p.drift_margin, MINUTE_MS)?,
         headroom: s.fraction("headroom", p.headroom, 0.0..=0.5)?,
         headroom_borrow: s.flag("headroom_borrow", p.headroom_borrow)?,
         max_attempts: count("max_attempts", p.max_attempts.into(), 100)? as u32,
-        retry_backoff: ms("retry_backoff_ms", p.retry_backoff, HOUR)?,
-        retry_backoff_max: ms("retry_backoff_max_ms", p.retry_backoff_max, HOUR)?,
+        retry_backoff: ms("retry_backoff_ms", p.retry_backoff, HOUR_MS)?,
+        retry_backoff_max: ms("retry_backoff_max_ms", p.retry_backoff_max, HOUR_MS)?,
         account_queue_bound: count("account_queue_bound", p.account_queue_bound.into(), 1_000_000)?
             as u32,
         queue_bound: count("queue_bound", p.queue_bound.into(), 1_000_000)? as u32,
-        share_half_life: ms("share_half_life_ms", p.share_half_life, 24 * HOUR)?,
-        gang_drain_after: ms("gang_drain_after_ms", p.gang_drain_after, 24 * HOUR)?,
+        share_half_life: ms("share_half_life_ms", p.share_half_life, 24 * HOUR_MS)?,
+        gang_drain_after: ms("gang_drain_after_ms", p.gang_drain_after, 24 * HOUR_MS)?,
         preempt_per_second: count("preempt_per_second", p.preempt_per_second.into(), 100_000)?
             as u32,
         aside_after: count("aside_after", p.aside_after as u64, 100)? as usize,
-        aside_for: ms("aside_for_ms", p.aside_for, HOUR)?,
+        aside_for: ms("aside_for_ms", p.aside_for, HOUR_MS)?,
         aside_share: s.fraction("aside_share", p.aside_share, 0.0..=1.0)?,
-        keep_answers: ms("keep_answers_ms", p.keep_answers, 24 * HOUR)?,
+        keep_answers: ms("keep_answers_ms", p.keep_answers, 24 * HOUR_MS)?,
         keep_answers_max: count("keep_answers_max", p.keep_answers_max as u64, 1_000_000)? as usize,
         packing_tolerance: s.fraction("packing_tolerance", p.packing_tolerance, 0.0..=0.5)?,
         ..p
--- a/crates/hollowford-config/src/reader.rs
+++ b/crates/hollowford-config/src/reader.rs
@@ -7,7 +7,7 @@
 use std::ops::RangeInclusive;
 
 /// JSON with comments and trailing commas, and no other licence.
-const OPTIONS: ParseOptions = ParseOptions {
+const PARSE_OPTIONS: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_trailing_commas: true,
     allow_loose_object_property_names: false,
@@ -70,7 +70,7 @@
         &self,
         read: impl FnOnce(&Section<'_>) -> Result<T, SettingsError>,
     ) -> Result<T, SettingsError> {
-        let parsed = parse_to_ast(self.text, &CollectOptions::default(), &OPTIONS)
+        let parsed = parse_to_ast(self.text, &CollectOptions::default(), &PARSE_OPTIONS)
             .map_err(|e| self.error(e.range().start, e.kind().to_string(), "JSON with comments"))?;
         match &parsed.value {
             Some(Value::Object(object)) => read(&Section { doc: *self, object, name: "" }),
@@ -130,7 +130,7 @@
     ///
     /// # Errors
     /// The first unknown or doubled key.
-    pub fn only(&self, known: &[&str]) -> Result<(), SettingsError> {
+    pub fn check_keys(&self, known: &[&str]) -> Result<(), SettingsError> {
         let mut seen: Vec<&str> = Vec::new();
         for p in &self.object.properties {
             let key = p.name.as_str();
--- a/crates/hollowford-config/src/settings.rs
+++ b/crates/hollowford-config/src/settings.rs
@@ -125,7 +125,7 @@
 }
 
 fn read_settings(s: &Section<'_>) -> Result<Settings, SettingsError> {
-    s.only(KEYS)?;
+    s.check_keys(KEYS)?;
     Ok(Settings {
         process: s.text("process", "an id that is unique in the cell")?.to_owned(),
         zone: s.text("zone", "the availability zone of this instance")?.to_owned(),
@@ -145,14 +145,14 @@
     })
 }
 
-fn needed<'a>(s: &Section<'a>, key: &'a str) -> Result<Section<'a>, SettingsError> {
+fn required_section<'a>(s: &Section<'a>, key: &'a str) -> Result<Section<'a>, SettingsError> {
     let missing = || s.error(&format!("{key:?} is missing"), "see examples/ for a whole file");
     s.section(key)?.ok_or_else(missing)
 }
 
 fn read_listen(s: &Section<'_>) -> Result<Listen, SettingsError> {
-    let l = needed(s, "listen")?;
-    l.only(&["callers", "peers", "admin"])?;
+    let l = required_section(s, "listen")?;
+    l.check_keys(&["callers", "peers", "admin"])?;
     Ok(Listen {
         callers: l.address("callers")?,
         peers: l.address("peers")?,
@@ -171,7 +171,7 @@
         }
         return Ok(None);
     };
-    t.only(&["certificate", "key", "client_roots"])?;
+    t.check_keys(&["certificate", "key", "client_roots"])?;
     Ok(Some(TlsSettings {
         certificate: t.text("certificate", HELP)?.into(),
         key: t.text("key", HELP)?.into(),
@@ -180,8 +180,8 @@
 }
 
 fn read_platform(s: &Section<'_>) -> Result<PlatformSettings, SettingsError> {
-    let p = needed(s, "platform")?;
-    p.only(&["address", "timeout_ms"])?;
+    let p = required_section(s, "platform")?;
+    p.check_keys(&["address", "timeout_ms"])?;
     Ok(PlatformSettings {
         address: p.address("address")?,
         timeout: Millis(p.number("timeout_ms", 1_000, 10..=60_000)?),
@@ -200,10 +200,10 @@
 }
 
 fn read_peer_key(s: &Section<'_>) -> Result<Secret, SettingsError> {
-    const SHORTEST: usize = 16;
+    const MIN_KEY_BYTES: usize = 16;
     const HELP: &str = "at least 16 characters, the same in every process of the cell";
     let key = s.text("peer_key", HELP)?;
-    if key.len() < SHORTEST {
+    if key.len() < MIN_KEY_BYTES {
         return Err(s.error("\"peer_key\" is too short", HELP));
     }
     Ok(Secret::new(key))
@@ -229,7 +229,7 @@
     let Some(l) = s.section("lease")? else {
         return Ok(DEFAULT);
     };
-    l.only(&["ownership_ms", "renew_ms", "promise_ms", "config_fresh_ms"])?;
+    l.check_keys(&["ownership_ms", "renew_ms", "promise_ms", "config_fresh_ms"])?;
     let ownership = l.number("ownership_ms", DEFAULT.ownership.0, 100..=60_000)?;
     let renew = l.number("renew_ms", DEFAULT.renew.0, 20..=30_000)?;
     if renew * 2 > ownership {
@@ -250,7 +250,7 @@
     let Some(b) = s.section("store")? else {
         return Ok(DEFAULT);
     };
-    b.only(&["writes_per_second", "snapshot_records"])?;
+    b.check_keys(&["writes_per_second", "snapshot_records"])?;
     let writes = b.number("writes_per_second", DEFAULT.writes_per_second, 1..=10_000)?;
     let records = b.number("snapshot_records", DEFAULT.snapshot_records, 100..=10_000_000)?;
     Ok(StoreBudget { writes_per_second: writes, snapshot_records: records })
--- a/crates/hollowford-jobs/src/accounts.rs
+++ b/crates/hollowford-jobs/src/accounts.rs
@@ -77,14 +77,14 @@
             let idx = self.intern(&a.name);
             let state = &mut self.list[idx as usize];
             state.policy = a.policy;
-            state.allowance.set(f64::from(a.owed_per_s));
+            state.allowance.set_rate(f64::from(a.owed_per_s));
         }
     }
 
     /// Counts a job that an account hands in. Tells whether it is owed an answer in time, or comes
     /// beyond what the account is owed.
     pub fn note_job(&mut self, idx: AccountIdx, now: Millis) -> bool {
-        self.list[idx as usize].allowance.note(now)
+        self.list[idx as usize].allowance.count_job(now)
     }
 
     pub fn name(&self, idx: AccountIdx) -> &Arc<str> {
--- a/crates/hollowford/src/dev/work.rs
+++ b/crates/hollowford/src/dev/work.rs
@@ -62,7 +62,7 @@
 /// The first thing that is wrong, with line and column.
 pub fn read(text: &str) -> Result<WorkFile, SettingsError> {
     Document::new(text).read(|s| {
-        s.only(&["entries", "partitions", "workers", "policy", "accounts", "work"])?;
+        s.check_keys(&["entries", "partitions", "workers", "policy", "accounts", "work"])?;
         let policy = match s.section("policy")? {
             Some(p) => read_policy(&p)?,
             None => Policy::default(),
@@ -86,7 +86,7 @@
     let Some(w) = s.section("workers")? else {
         return Err(s.error("\"workers\" is missing", "an object with \"count\""));
     };
-    w.only(&["count", "zones", "per_rack", "cpu_milli", "memory_mib", "accelerators"])?;
+    w.check_keys(&["count", "zones", "per_rack", "cpu_milli", "memory_mib", "accelerators"])?;
     Ok(WorkerGroup {
         count: w.number("count", 50, 1..=200)?,
         zones: w.number("zones", 1, 1..=32)?,
@@ -99,7 +99,7 @@
 
 fn read_account(node: &Node<'_>) -> Result<AccountSpec, SettingsError> {
     let a = node.section()?;
-    a.only(&["name", "token", "weight", "quota_cpu_milli"])?;
+    a.check_keys(&["name", "token", "weight", "quota_cpu_milli"])?;
     Ok(AccountSpec {
         name: a.text("name", "the client account's name")?.to_owned(),
         token: a.text("token", "the token that its callers send")?.to_owned(),
@@ -131,7 +131,7 @@
 
 fn read_item(node: &Node<'_>, accounts: &[AccountSpec]) -> Result<WorkItem, SettingsError> {
     let w = node.section()?;
-    w.only(ITEM_KEYS)?;
+    w.check_keys(ITEM_KEYS)?;
     let account = w.text("account", "one of \"accounts\"")?;
     if !accounts.iter().any(|a| a.name == account) {
         return Err(w.error(&format!("no account {account:?}"), "one of \"accounts\""));
