--- a/crates/hollowford-platform/src/lib.rs
+++ b/crates/hollowford-platform/src/lib.rs
@@ -5,5 +5,5 @@
 pub mod rows;
 mod store;
 
-pub use link::{ClaimOf, LinkError, Orders, Reports, attach};
+pub use link::{LinkError, Orders, Reports, WorkerClaim, attach};
 pub use store::{Platform, StoreError, Txn, TxnResult};
--- a/crates/hollowford-platform/src/link.rs
+++ b/crates/hollowford-platform/src/link.rs
@@ -14,7 +14,7 @@
 use tonic::transport::Endpoint;
 
 /// Orders that may wait to be sent to one worker.
-const ORDERS_BOUND: usize = 1_024;
+const MAX_QUEUED_ORDERS: usize = 1_024;
 
 /// Sends orders to one worker.
 pub type Orders = mpsc::Sender<v1::Order>;
@@ -41,7 +41,7 @@
 
 /// The claim that starts a session.
 #[derive(Clone, Copy, Debug)]
-pub struct ClaimOf<'a> {
+pub struct WorkerClaim<'a> {
     /// Where the worker takes links, as `IP:port`.
     pub addr: &'a str,
     /// The partition that claims it.
@@ -58,7 +58,7 @@
 /// `Unreachable` when that takes longer than `timeout`; `Deposed` when the worker
 /// obeys a higher epoch.
 pub async fn attach(
-    claim: ClaimOf<'_>,
+    claim: WorkerClaim<'_>,
     timeout: Duration,
 ) -> Result<(Orders, Reports, v1::Report), LinkError> {
     let opened = tokio::time::timeout(timeout, open(claim, timeout)).await;
@@ -66,7 +66,7 @@
 }
 
 async fn open(
-    claim: ClaimOf<'_>,
+    claim: WorkerClaim<'_>,
     timeout: Duration,
 ) -> Result<(Orders, Reports, v1::Report), LinkError> {
     let unreachable = |e: tonic::transport::Error| LinkError::Unreachable(e.to_string());
@@ -79,7 +79,7 @@
         .connect()
         .await
         .map_err(unreachable)?;
-    let (tx, rx) = mpsc::channel(ORDERS_BOUND);
+    let (tx, rx) = mpsc::channel(MAX_QUEUED_ORDERS);
     let claim = v1::Claim {
         partition: claim.partition.0,
         epoch: claim.epoch.0,
--- a/crates/hollowford-platform/src/rows.rs
+++ b/crates/hollowford-platform/src/rows.rs
@@ -19,7 +19,7 @@
 
 /// A row's version, 0 for "there is none".
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Check {
+pub struct RowVersion {
     /// The row's key.
     pub key: String,
     /// Its version.
--- a/crates/hollowford-platform/src/store.rs
+++ b/crates/hollowford-platform/src/store.rs
@@ -3,7 +3,7 @@
 //! There is one client of the store, that of the users' platform; this adds the table and
 //! part in which the rows lie, a time limit and a count of the calls.
 
-use crate::rows::{Check, Instance, Row, Value};
+use crate::rows::{Instance, Row, RowVersion, Value};
 use hollowford_adapter::{
     Expect, REGISTRY_TABLE, Range, StoreClient, Transaction, TxOutcome, decode_listing, next_key,
 };
@@ -14,11 +14,11 @@
 use std::time::Duration;
 
 /// Table of the rows.
-const TABLE: &str = "cell";
+const CELL_TABLE: &str = "cell";
 /// Part of the table: all rows are in one, since transactions join rows of all kinds.
 const PART: &str = "";
 /// Position of the rack in a worker's labels; its kind comes first.
-const RACK_LABEL: usize = 1;
+const RACK_LABEL_INDEX: usize = 1;
 
 /// Why a call to the store gave no answer.
 #[derive(Debug, thiserror::Error)]
@@ -33,11 +33,13 @@
 
 impl From<hollowford_adapter::StoreError> for StoreError {
     fn from(e: hollowford_adapter::StoreError) -> StoreError {
-        use hollowford_adapter::StoreError as Theirs;
+        use hollowford_adapter::StoreError as AdapterError;
         let text = e.to_string();
         match e {
             // 429 and 5xx are the store's state and not the call's fault: it is tried again.
-            Theirs::Refused(status) if status != 429 && status < 500 => StoreError::Refused(text),
+            AdapterError::Refused(status) if status != 429 && status < 500 => {
+                StoreError::Refused(text)
+            }
             _ => StoreError::Unanswered(text),
         }
     }
@@ -80,12 +82,12 @@
     /// Made; the written rows have this version.
     Committed(u64),
     /// Not made; these rows were not as expected.
-    Conflict(Vec<Check>),
+    Conflict(Vec<RowVersion>),
 }
 
 /// Calls made since the start, for the budget of the store.
 #[derive(Debug, Default)]
-struct Counts {
+struct CallCounts {
     reads: AtomicU64,
     writes: AtomicU64,
 }
@@ -95,7 +97,7 @@
 pub struct Platform {
     store: StoreClient,
     timeout: Duration,
-    counts: Arc<Counts>,
+    call_counts: Arc<CallCounts>,
 }
 
 impl Platform {
@@ -105,24 +107,24 @@
     /// # Errors
     /// `Refused` when the address can't be read or the HTTP client can't be made.
     pub fn new(addr: &str, timeout: Duration) -> Result<Platform, StoreError> {
-        let wrong = |e: &dyn std::fmt::Display| StoreError::Refused(format!("{addr}: {e}"));
-        let addr: SocketAddr = addr.parse().map_err(|e| wrong(&e))?;
-        let store = StoreClient::new(addr).map_err(|e| wrong(&e))?;
-        Ok(Platform { store, timeout, counts: Arc::default() })
+        let refused = |e: &dyn std::fmt::Display| StoreError::Refused(format!("{addr}: {e}"));
+        let addr: SocketAddr = addr.parse().map_err(|e| refused(&e))?;
+        let store = StoreClient::new(addr).map_err(|e| refused(&e))?;
+        Ok(Platform { store, timeout, call_counts: Arc::default() })
     }
 
     /// Returns the reads and writes sent since the start.
-    pub fn calls(&self) -> (u64, u64) {
-        let c = &self.counts;
+    pub fn call_counts(&self) -> (u64, u64) {
+        let c = &self.call_counts;
         (c.reads.load(Ordering::Relaxed), c.writes.load(Ordering::Relaxed))
     }
 
     fn count_read(&self) {
-        self.counts.reads.fetch_add(1, Ordering::Relaxed);
+        self.call_counts.reads.fetch_add(1, Ordering::Relaxed);
     }
 
     fn count_write(&self) {
-        self.counts.writes.fetch_add(1, Ordering::Relaxed);
+        self.call_counts.writes.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Runs a transaction.
@@ -131,9 +133,11 @@
     /// `Unanswered`: it may have been made; read back to find out. `Refused`: it was not.
     pub async fn txn(&self, txn: &Txn) -> Result<TxnResult, StoreError> {
         self.count_write();
-        Ok(match self.store.transact(TABLE, PART, &txn.tx, self.timeout).await? {
+        Ok(match self.store.transact(CELL_TABLE, PART, &txn.tx, self.timeout).await? {
             TxOutcome::Made(version) => TxnResult::Committed(version),
-            TxOutcome::Conflict(rows) => TxnResult::Conflict(differing(&txn.tx.expect, &rows)),
+            TxOutcome::Conflict(rows) => {
+                TxnResult::Conflict(unmet_expectations(&txn.tx.expect, &rows))
+            }
         })
     }
 
@@ -155,7 +159,7 @@
     /// `Unanswered` or `Refused`.
     pub async fn get(&self, key: &str) -> Result<Option<Row>, StoreError> {
         self.count_read();
-        let (row, _) = self.store.read(TABLE, PART, key, self.timeout).await?;
+        let (row, _) = self.store.read(CELL_TABLE, PART, key, self.timeout).await?;
         Ok(row.map(Row::from))
     }
 
@@ -173,7 +177,7 @@
         let from = if after < prefix { prefix.to_owned() } else { next_key(after) };
         let to = end_of_prefix(prefix);
         let range = Range { from: &from, to: &to, limit };
-        let rows = self.store.read_range(TABLE, PART, &range, self.timeout).await?;
+        let rows = self.store.read_range(CELL_TABLE, PART, &range, self.timeout).await?;
         Ok(rows.into_iter().map(Row::from).collect())
     }
 
@@ -230,11 +234,11 @@
 }
 
 /// Returns the expected rows that are not as expected, as they stand; version 0: absent.
-fn differing(expected: &[Expect], rows: &[hollowford_adapter::Row]) -> Vec<Check> {
+fn unmet_expectations(expected: &[Expect], rows: &[hollowford_adapter::Row]) -> Vec<RowVersion> {
     let version = |key: &str| rows.iter().find(|r| r.key == key).map_or(0, |r| r.version);
     let differs = |e: &&Expect| version(&e.key) != e.version;
-    let check = |e: &Expect| Check { key: e.key.clone(), version: version(&e.key) };
-    expected.iter().filter(differs).map(check).collect()
+    let row_version = |e: &Expect| RowVersion { key: e.key.clone(), version: version(&e.key) };
+    expected.iter().filter(differs).map(row_version).collect()
 }
 
 impl From<hollowford_adapter::Row> for Row {
@@ -249,7 +253,7 @@
             id: l.life.id().as_str().to_owned(),
             addr: l.address.to_string(),
             zone: l.zone.to_string(),
-            rack: l.labels.get(RACK_LABEL).map(ToString::to_string).unwrap_or_default(),
+            rack: l.labels.get(RACK_LABEL_INDEX).map(ToString::to_string).unwrap_or_default(),
             leaving: l.leaving,
         }
     }
--- a/crates/hollowford-protocol/src/checks.rs
+++ b/crates/hollowford-protocol/src/checks.rs
@@ -6,10 +6,10 @@
     Resources, Spec, Spread,
 };
 
-const MAX_ID: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 const MAX_LABELS: usize = 8;
 const MAX_ZONES: usize = 32;
-const MAX_EXCLUDED: usize = 64;
+const MAX_EXCLUDED_INSTANCES: usize = 64;
 /// Thirty days, in milliseconds.
 const MAX_TIME_MS: u64 = 30 * 24 * 3_600_000;
 
@@ -17,7 +17,7 @@
     Error::new(ErrorKind::Invalid, message)
 }
 
-fn bound(name: &str, have: usize, max: usize) -> Result<(), Error> {
+fn check_limit(name: &str, have: usize, max: usize) -> Result<(), Error> {
     if have <= max {
         return Ok(());
     }
@@ -44,7 +44,7 @@
     if s.is_empty() {
         return Err(invalid(format!("{field} is empty")));
     }
-    bound(field, s.len(), MAX_ID)?;
+    check_limit(field, s.len(), MAX_NAME_BYTES)?;
     if s.chars().any(char::is_control) {
         return Err(invalid(format!("{field} holds a control character")));
     }
@@ -101,19 +101,23 @@
         return Err(invalid("tasks is 0; a request has at least 1"));
     }
     let max = if kind == Kind::Gang { MAX_GANG_TASKS } else { MAX_TASKS };
-    bound("tasks", raw.tasks as usize, max as usize)?;
-    bound("labels", raw.labels.len(), MAX_LABELS)?;
-    bound("payload", raw.payload.len(), MAX_PAYLOAD_BYTES)?;
-    bound("run_time_ms", raw.run_time_ms as usize, MAX_TIME_MS as usize)?;
-    bound("start_within_ms", raw.start_within_ms as usize, MAX_TIME_MS as usize)
+    check_limit("tasks", raw.tasks as usize, max as usize)?;
+    check_limit("labels", raw.labels.len(), MAX_LABELS)?;
+    check_limit("payload", raw.payload.len(), MAX_PAYLOAD_BYTES)?;
+    check_limit("run_time_ms", raw.run_time_ms as usize, MAX_TIME_MS as usize)?;
+    check_limit("start_within_ms", raw.start_within_ms as usize, MAX_TIME_MS as usize)
 }
 
 fn placement_from_wire(raw: Option<&v1::Placement>, kind: Kind) -> Result<Placement, Error> {
     let Some(raw) = raw else {
         return Ok(Placement::default());
     };
-    bound("placement.zones", raw.zones.len(), MAX_ZONES)?;
-    bound("placement.exclude_instances", raw.exclude_instances.len(), MAX_EXCLUDED)?;
+    check_limit("placement.zones", raw.zones.len(), MAX_ZONES)?;
+    check_limit(
+        "placement.exclude_instances",
+        raw.exclude_instances.len(),
+        MAX_EXCLUDED_INSTANCES,
+    )?;
     for name in raw.zones.iter().chain(&raw.exclude_instances) {
         check_name("placement", name)?;
     }
--- a/crates/hollowford-protocol/src/frames.rs
+++ b/crates/hollowford-protocol/src/frames.rs
@@ -9,7 +9,7 @@
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
 /// Largest frame, in bytes; longer ones end the link.
-pub const FRAME_LIMIT: usize = 4 << 20;
+pub const MAX_FRAME_BYTES: usize = 4 << 20;
 
 /// A link that carries frames.
 pub type Frames<S> = Framed<S, LengthDelimitedCodec>;
@@ -29,8 +29,8 @@
 }
 
 /// Puts frames on a byte stream.
-pub fn frames<S: AsyncRead + AsyncWrite>(stream: S) -> Frames<S> {
-    LengthDelimitedCodec::builder().max_frame_length(FRAME_LIMIT).new_framed(stream)
+pub fn framed<S: AsyncRead + AsyncWrite>(stream: S) -> Frames<S> {
+    LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_framed(stream)
 }
 
 /// Writes one message.
--- a/crates/hollowford-protocol/src/lib.rs
+++ b/crates/hollowford-protocol/src/lib.rs
@@ -13,4 +13,4 @@
 }
 
 pub use checks::{check_label, check_request_id, spec_to_wire};
-pub use frames::{FRAME_LIMIT, FrameError, Frames, decode, frames, mac, recv, send};
+pub use frames::{FrameError, Frames, MAX_FRAME_BYTES, decode, framed, mac, recv, send};
--- a/crates/hollowford-server/src/peers/dialer.rs
+++ b/crates/hollowford-server/src/peers/dialer.rs
@@ -4,7 +4,7 @@
 use super::{FRAMES_BOUND, HEARTBEAT_EVERY, PeerMsg, SILENCE, heard, heartbeat};
 use crate::shared::Shared;
 use hollowford_protocol::peer::{Body, Call, Frame, Hello, Reply};
-use hollowford_protocol::{FrameError, Frames, frames, mac, recv, send};
+use hollowford_protocol::{FrameError, Frames, framed, mac, recv, send};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 use std::time::Duration;
@@ -100,7 +100,7 @@
 async fn open(shared: &Shared, to: &str, addr: &str) -> Result<Frames<TcpStream>, FrameError> {
     let stream = TcpStream::connect(addr).await?;
     stream.set_nodelay(true)?;
-    let mut link = frames(stream);
+    let mut link = framed(stream);
     let challenge: Frame = recv(&mut link).await?;
     let Some(Body::Challenge(challenge)) = challenge.body else {
         return Err(FrameError::Closed);
--- a/crates/hollowford-server/src/peers/listener.rs
+++ b/crates/hollowford-server/src/peers/listener.rs
@@ -8,7 +8,7 @@
 use futures::SinkExt;
 use hollowford_core::{Epoch, Error, ErrorKind, PartitionId};
 use hollowford_protocol::peer::{Body, Call, Challenge, Frame, Hello, Refused, Reply, Said};
-use hollowford_protocol::{FrameError, Frames, frames, mac, recv, send};
+use hollowford_protocol::{FrameError, Frames, framed, mac, recv, send};
 use prost::Message;
 use prost::bytes::Bytes;
 use std::net::SocketAddr;
@@ -45,7 +45,7 @@
 async fn serve(shared: Arc<Shared>, stream: TcpStream) {
     // Without it, small frames wait for each other; the link works all the same.
     let _ = stream.set_nodelay(true);
-    let mut link = frames(stream);
+    let mut link = framed(stream);
     if let Ok(Some(process)) = tokio::time::timeout(HELLO_TIMEOUT, greet(&shared, &mut link)).await
     {
         // The end of a link is no news: the other side opens it again.
--- a/crates/hollowford-server/src/shared.rs
+++ b/crates/hollowford-server/src/shared.rs
@@ -115,7 +115,7 @@
     /// Returns the reads and writes sent to the store by all duties.
     pub fn store_calls(&self) -> (u64, u64) {
         let stores = self.stores.lock().unwrap_or_else(PoisonError::into_inner);
-        let sum = |(r, w): (u64, u64), s: &Platform| (r + s.calls().0, w + s.calls().1);
+        let sum = |(r, w): (u64, u64), s: &Platform| (r + s.call_counts().0, w + s.call_counts().1);
         stores.iter().fold((0, 0), sum)
     }
 
--- a/crates/hollowford-server/src/workers/session.rs
+++ b/crates/hollowford-server/src/workers/session.rs
@@ -3,7 +3,7 @@
 use crate::decide::DecideMsg;
 use crate::shared::Shared;
 use hollowford_core::{Epoch, InstanceId, PartitionId};
-use hollowford_platform::{ClaimOf, LinkError, Orders, Reports, attach};
+use hollowford_platform::{LinkError, Orders, Reports, WorkerClaim, attach};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
@@ -50,7 +50,7 @@
     loop {
         let t = &target;
         let claim =
-            ClaimOf { addr: &t.addr, partition: t.partition, epoch: t.epoch, owner: &owner };
+            WorkerClaim { addr: &t.addr, partition: t.partition, epoch: t.epoch, owner: &owner };
         match attach(claim, CLAIM_TIMEOUT).await {
             Ok((orders, reports, claimed)) => {
                 wait = RETRY_FIRST;
