--- a/crates/hollowford-core/src/answer_times.rs
+++ b/crates/hollowford-core/src/answer_times.rs
@@ -1,23 +1,24 @@
-//! How long answers take, smoothed as RFC 6298 does it for retransmissions.
+//! Smoothed response times, computed like the round-trip time in RFC 6298.
 
 use crate::Millis;
 
-/// Weight of the newest answer in the smoothed time (RFC 6298).
+/// Weight of the newest response time in the smoothed response time (RFC 6298).
 const SMOOTHING_WEIGHT: f32 = 0.125;
-/// Weight of the newest answer in the deviation (RFC 6298).
+/// Weight of the newest deviation in the smoothed deviation (RFC 6298).
 const DEVIATION_WEIGHT: f32 = 0.25;
-/// Deviations by which an answer may be later than the smoothed time (RFC 6298).
+/// Number of smoothed deviations added to the smoothed response time (RFC 6298).
 const DEVIATION_FACTOR: f32 = 4.0;
 
-/// The answer times of one peer.
+/// Response times of one peer.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AnswerTimes {
-    /// Smoothed time and smoothed deviation from it, in milliseconds; none before an answer.
+    /// Smoothed response time and smoothed deviation, in milliseconds; `None` before the first
+    /// answer.
     times: Option<(f32, f32)>,
 }
 
 impl AnswerTimes {
-    /// Takes in how long an answer took.
+    /// Records the response time of one answer.
     pub fn record(&mut self, took: Millis) {
         let took = took.0 as f32;
         self.times = Some(match self.times {
@@ -29,8 +30,8 @@
         });
     }
 
-    /// Returns the time within which the next answer is to be expected; none before the first
-    /// one.
+    /// Returns the time within which the next answer is expected, or `None` before the first
+    /// answer.
     pub fn expected(&self) -> Option<Millis> {
         self.times
             .map(|(smoothed, deviation)| Millis((smoothed + deviation * DEVIATION_FACTOR) as u64))
--- a/crates/hollowford-core/src/error.rs
+++ b/crates/hollowford-core/src/error.rs
@@ -1,44 +1,44 @@
-//! The closed list of error kinds, with a table from kind to answer.
+//! The closed list of error kinds, with a table of how each is reported to callers.
 
-/// Whether the work behind a call ran.
+/// Whether the work of a failed call ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Execution {
-    /// It did not run.
+    /// The work did not run.
     NotRun,
-    /// The call does not tell; ask by the request id.
+    /// The error does not show whether it ran; the caller can look the request up by its id.
     Unknown,
 }
 
-/// How an error kind is answered.
+/// How an error kind is reported to callers: one row of the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ErrorInfo {
-    /// Stable name, used in answers, metrics and documents.
+    /// Stable name, used in responses, metrics and documentation.
     pub name: &'static str,
-    /// gRPC status code, as numbered by the protocol.
+    /// Numeric gRPC status code.
     pub grpc: i32,
-    /// Exit code of the command line.
+    /// Exit code of the command-line client.
     pub exit: u8,
-    /// Whether the work ran.
+    /// Whether the work of the call ran.
     pub execution: Execution,
-    /// When to come back, in milliseconds; `None`: asking again will not help.
+    /// Default delay before a retry, in milliseconds; `None` if a retry does not help.
     pub retry_after_ms: Option<u64>,
-    /// What to do about it.
+    /// Explanation for the user of the cause or the remedy.
     pub help: &'static str,
 }
 
 macro_rules! kinds {
     ($($kind:ident, $name:literal, $grpc:literal, $exit:literal, $execution:ident, $retry:expr, $help:literal;)*) => {
-        /// Every way in which a call can fail.
+        /// Kinds of errors that a call can return.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
         pub enum ErrorKind {
             $(#[doc = $help] $kind,)*
         }
 
         impl ErrorKind {
-            /// Every kind, in the order of the table.
+            /// All kinds, in the order of the table.
             pub const ALL: &'static [ErrorKind] = &[$(ErrorKind::$kind,)*];
 
-            /// Returns the row of the table.
+            /// Returns how this kind is reported to callers.
             pub fn info(self) -> ErrorInfo {
                 match self {
                     $(ErrorKind::$kind => ErrorInfo {
@@ -74,31 +74,31 @@
 }
 
 impl ErrorKind {
-    /// Finds a kind by its stable name.
+    /// Returns the kind with this stable name, or `None` if there is none.
     pub fn from_name(name: &str) -> Option<ErrorKind> {
         Self::ALL.iter().copied().find(|k| k.info().name == name)
     }
 }
 
-/// An error as users see it: a kind and what happened.
+/// An error as reported to users: its kind and a message.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}: {message}", kind.info().name)]
 pub struct Error {
-    /// The kind, which decides the answer.
+    /// Determines the gRPC status, the exit code and the default retry delay.
     pub kind: ErrorKind,
-    /// What happened, in a sentence.
+    /// Describes this failure in one sentence.
     pub message: String,
-    /// When to come back, in milliseconds, where it differs from the table.
+    /// Delay before a retry, in milliseconds; `None` if a retry does not help.
     pub retry_after_ms: Option<u64>,
 }
 
 impl Error {
-    /// Builds an error with the table's time to come back.
+    /// Creates an error with the default retry delay of its kind.
     pub fn new(kind: ErrorKind, message: impl Into<String>) -> Error {
         Error { kind, message: message.into(), retry_after_ms: kind.info().retry_after_ms }
     }
 
-    /// Sets the time to come back, in milliseconds.
+    /// Sets the delay before a retry, in milliseconds.
     pub fn retry_after(mut self, ms: u64) -> Error {
         self.retry_after_ms = Some(ms);
         self
--- a/crates/hollowford-core/src/id.rs
+++ b/crates/hollowford-core/src/id.rs
@@ -1,4 +1,4 @@
-//! Identifiers.
+//! Identifiers of client accounts, instances, partitions, requests and tasks.
 
 use std::fmt;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Returns the identifier as text.
+            /// Returns the identifier as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -31,15 +31,15 @@
 }
 
 text_id! {
-    /// Names a client account.
+    /// Name of a client account.
     AccountId
 }
 text_id! {
-    /// Names an instance: a worker, or an entry instance of the system's own.
+    /// Id of an instance, which runs either a worker or an entry process of the scheduler.
     InstanceId
 }
 
-/// Names a partition: a set of workers and the requests homed on it.
+/// Number of a partition, a set of workers together with the requests assigned to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PartitionId(pub u32);
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// Counts the owners of a partition; each takeover adds one.
+/// Number of a partition's ownership period, increased by one with each takeover.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Epoch(pub u64);
 
@@ -59,46 +59,47 @@
     }
 }
 
-/// Number of a request, unique within its partition for all time.
+/// Number of a request, unique within its partition and never reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestNo(pub u64);
 
 impl RequestNo {
+    /// Number of low bits that hold the count of requests within an epoch.
     const EPOCH_SHIFT: u32 = 36;
 
-    /// Returns the number of the `count`-th request accepted in `epoch`.
+    /// Creates the number of the `count`-th request accepted in `epoch`.
     pub fn new(epoch: Epoch, count: u64) -> RequestNo {
         RequestNo((epoch.0 << Self::EPOCH_SHIFT) | count)
     }
 }
 
-/// One attempt at one task of a request.
+/// Id of one attempt to run one task of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// The request.
+    /// Number of the request that the task belongs to.
     pub request: RequestNo,
-    /// Position in the request, from 0.
+    /// Index of the task in the request, from 0.
     pub index: u32,
     /// Number of the attempt, from 1.
     pub attempt: u32,
 }
 
-/// A request's name as its caller knows it.
+/// Identifies a request by its client account and the id chosen by the caller.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestKey {
-    /// The client account that asked.
+    /// Client account that submitted the request.
     pub account: AccountId,
-    /// The id that the account chose.
+    /// Request id chosen by the caller, unique within the account.
     pub id: Arc<str>,
 }
 
 impl RequestKey {
-    /// Joins an account and its request id.
+    /// Creates the key of the request `id` of an account.
     pub fn new(account: &AccountId, id: &str) -> RequestKey {
         RequestKey { account: account.clone(), id: id.into() }
     }
 
-    /// Returns the partition that the request is homed on, of `count`.
+    /// Returns the partition that the request is assigned to, out of `count` partitions.
     pub fn partition(&self, count: u32) -> PartitionId {
         let h = hash64(&[self.account.as_str(), &self.id]);
         PartitionId((h % u64::from(count.max(1))) as u32)
@@ -111,7 +112,10 @@
     }
 }
 
-/// Hashes texts so that no two different lists read alike.
+/// Returns the XXH3 hash of a list of strings.
+///
+/// Each string is preceded by its length, so that `["ab", "c"]` and `["a", "bc"]` are hashed as
+/// different input.
 pub fn hash64(parts: &[&str]) -> u64 {
     let mut h = xxhash_rust::xxh3::Xxh3::new();
     for part in parts {
--- a/crates/hollowford-core/src/lib.rs
+++ b/crates/hollowford-core/src/lib.rs
@@ -1,5 +1,5 @@
-//! Types that every part of hollowford shares: time, identifiers, resources,
-//! checked request specifications and the closed list of error kinds.
+//! Types shared by all crates of hollowford: time, identifiers, resources, validated request
+//! specifications and the closed list of error kinds.
 
 mod answer_times;
 mod error;
--- a/crates/hollowford-core/src/prelude.rs
+++ b/crates/hollowford-core/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The common types, for `use hollowford_core::prelude::*`.
+//! Commonly used types, for `use hollowford_core::prelude::*`.
 
 pub use crate::{
     AccountId, Clock, Epoch, Error, ErrorKind, InstanceId, Millis, PartitionId, RequestKey,
--- a/crates/hollowford-core/src/resources.rs
+++ b/crates/hollowford-core/src/resources.rs
@@ -1,6 +1,6 @@
-//! Processors, memory and accelerators.
+//! Amounts of CPU, memory and accelerators.
 
-/// What a task takes, or what an instance has.
+/// Resources that a task needs or an instance has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Resources {
     /// Thousandths of a processor core.
@@ -12,23 +12,23 @@
 }
 
 impl Resources {
-    /// More than any instance has.
+    /// The largest amount of each resource, more than any instance has.
     pub const ALL: Resources =
         Resources { cpu_milli: u32::MAX, memory_mib: u32::MAX, accelerators: u32::MAX };
 
-    /// Builds an amount from thousandths of a core, mebibytes and accelerators.
+    /// Creates an amount from thousandths of a core, mebibytes and accelerators.
     pub fn new(cpu_milli: u32, memory_mib: u32, accelerators: u32) -> Resources {
         Resources { cpu_milli, memory_mib, accelerators }
     }
 
-    /// Tells whether this amount fits into `room`.
+    /// Returns true if this amount fits into `available`.
     pub fn fits(&self, available: &Resources) -> bool {
         self.cpu_milli <= available.cpu_milli
             && self.memory_mib <= available.memory_mib
             && self.accelerators <= available.accelerators
     }
 
-    /// Returns the sum, at most the largest number.
+    /// Returns the sum of each resource, saturating at the maximum.
     pub fn plus(&self, rhs: &Resources) -> Resources {
         Resources {
             cpu_milli: self.cpu_milli.saturating_add(rhs.cpu_milli),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Returns the larger amount of each resource.
+    /// Returns the maximum of each resource.
     pub fn component_max(&self, rhs: &Resources) -> Resources {
         Resources {
             cpu_milli: self.cpu_milli.max(rhs.cpu_milli),
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Returns the difference, at least zero.
+    /// Returns the difference of each resource, saturating at zero.
     pub fn minus(&self, rhs: &Resources) -> Resources {
         Resources {
             cpu_milli: self.cpu_milli.saturating_sub(rhs.cpu_milli),
@@ -56,7 +56,7 @@
     }
 }
 
-/// Sums of resources over many tasks or instances.
+/// Sum of the resources of several tasks or instances.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Totals {
     /// Thousandths of a processor core.
@@ -68,7 +68,7 @@
 }
 
 impl Totals {
-    /// Returns `count` times an amount.
+    /// Returns `count` times the amount `r`.
     pub fn of(r: &Resources, count: u32) -> Totals {
         let count = u64::from(count);
         Totals {
@@ -78,14 +78,14 @@
         }
     }
 
-    /// Adds another sum.
+    /// Adds another sum to this one.
     pub fn plus(&mut self, rhs: &Totals) {
         self.cpu_milli += rhs.cpu_milli;
         self.memory_mib += rhs.memory_mib;
         self.accelerators += rhs.accelerators;
     }
 
-    /// Returns the smaller amount of each resource.
+    /// Returns the minimum of each resource.
     pub fn component_min(&self, rhs: &Totals) -> Totals {
         Totals {
             cpu_milli: self.cpu_milli.min(rhs.cpu_milli),
@@ -94,21 +94,22 @@
         }
     }
 
-    /// Adds one amount.
+    /// Adds the resources of one task or instance.
     pub fn add(&mut self, r: &Resources) {
         self.cpu_milli += u64::from(r.cpu_milli);
         self.memory_mib += u64::from(r.memory_mib);
         self.accelerators += u64::from(r.accelerators);
     }
 
-    /// Takes one amount away, down to zero.
+    /// Subtracts the resources of one task or instance, saturating at zero.
     pub fn sub(&mut self, r: &Resources) {
         self.cpu_milli = self.cpu_milli.saturating_sub(u64::from(r.cpu_milli));
         self.memory_mib = self.memory_mib.saturating_sub(u64::from(r.memory_mib));
         self.accelerators = self.accelerators.saturating_sub(u64::from(r.accelerators));
     }
 
-    /// Returns the largest part of `whole` that this sum takes, from 0 to 1.
+    /// Returns the largest fraction, from 0 to 1, of any resource of `whole` that this sum uses.
+    /// Resources that `whole` has none of are ignored.
     pub fn dominant_share(&self, whole: &Totals) -> f64 {
         let part = |a: u64, b: u64| if b == 0 { 0.0 } else { a as f64 / b as f64 };
         part(self.cpu_milli, whole.cpu_milli)
@@ -116,7 +117,7 @@
             .max(part(self.accelerators, whole.accelerators))
     }
 
-    /// Tells whether adding `r` stays within `limit`, where 0 is no limit.
+    /// Returns true if this sum plus `r` stays within `limit`, where 0 means unlimited.
     pub fn can_add(&self, r: &Resources, limit: &Totals) -> bool {
         let ok = |have: u64, more: u32, max: u64| max == 0 || have + u64::from(more) <= max;
         ok(self.cpu_milli, r.cpu_milli, limit.cpu_milli)
--- a/crates/hollowford-core/src/spec.rs
+++ b/crates/hollowford-core/src/spec.rs
@@ -1,33 +1,33 @@
-//! A request's specification after its checks.
+//! Validated specification of a request.
 
 use crate::{InstanceId, Resources};
 use std::sync::Arc;
 
-/// Most tasks in one request.
+/// Maximum number of tasks of a request.
 pub const MAX_TASKS: u32 = 10_000;
-/// Most tasks in one gang.
+/// Maximum number of tasks of a gang.
 pub const MAX_GANG_TASKS: u32 = 1_000;
-/// Most bytes of payload in one request.
+/// Maximum size of a request's payload.
 pub const MAX_PAYLOAD_BYTES: usize = 4_096;
 
-/// What kind of work a request is.
+/// Kind of work of a request, which determines how its tasks start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
-    /// Short and urgent.
+    /// Short and urgent work, started ahead of all other kinds.
     Check,
-    /// All tasks together or none.
+    /// All tasks start together or none does.
     Gang,
-    /// Tasks one by one.
+    /// Tasks start independently of each other.
     Batch,
-    /// Runs until cancelled.
+    /// Tasks run until the request is cancelled; lost tasks are restarted.
     Service,
 }
 
 impl Kind {
-    /// Every kind, in the order of the metrics' labels.
+    /// All kinds, in the order of the metric labels.
     pub const ALL: [Kind; 4] = [Kind::Check, Kind::Gang, Kind::Batch, Kind::Service];
 
-    /// Returns the name used in settings, metrics and output.
+    /// Returns the stable name, used in settings, metrics and output.
     pub fn name(self) -> &'static str {
         match self {
             Kind::Check => "check",
@@ -38,59 +38,60 @@
     }
 }
 
-/// Where two tasks of one request must not share a place.
+/// Anti-affinity between the tasks of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Spread {
-    /// They may share any place.
+    /// No restriction.
     #[default]
     None,
-    /// One task an instance.
+    /// At most one task per instance.
     Instance,
-    /// One task a rack.
+    /// At most one task per rack.
     Rack,
 }
 
-/// Where the tasks of a request may go.
+/// Placement constraints for the tasks of a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Placement {
-    /// Availability zones allowed; empty: any.
+    /// Allowed availability zones; empty allows all.
     pub zones: Vec<Arc<str>>,
-    /// Instances not to be used.
+    /// Instances that must not run the tasks.
     pub exclude_instances: Vec<InstanceId>,
-    /// Keeps the request's tasks apart.
+    /// Anti-affinity between the tasks.
     pub spread: Spread,
-    /// All tasks in one rack (gangs only).
+    /// Whether all tasks must run in the same rack; only for gangs.
     pub same_rack: bool,
 }
 
 impl Placement {
-    /// Tells whether tasks may go anywhere.
+    /// Returns true if there are no constraints.
     pub fn is_unrestricted(&self) -> bool {
         *self == Placement::default()
     }
 }
 
-/// What a client account asks for. Built by `TryFrom` from the schema's message.
+/// Validated specification of a request, created from the schema's message by `TryFrom`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Spec {
-    /// The kind of work.
+    /// Kind of work.
     pub kind: Kind,
     /// Number of tasks.
     pub tasks: u32,
-    /// What one task takes.
+    /// Resources that one task needs.
     pub per_task: Resources,
-    /// Declared run time of a task in milliseconds; 0: not known.
+    /// Declared run time of a task in milliseconds; 0 if unknown.
     pub run_time_ms: u64,
-    /// Whether a task may be started again after a failure.
+    /// Whether a task may be restarted after a failure.
     pub repeatable: bool,
-    /// Whether it goes ahead of others and may displace batch work.
+    /// Whether the request goes ahead of others of its kind and may preempt batch tasks.
     pub urgent: bool,
     /// Labels for cancelling by label.
     pub labels: Vec<Arc<str>>,
-    /// Where the tasks may go.
+    /// Placement constraints.
     pub placement: Placement,
-    /// Handed to the worker as it is.
+    /// Opaque data passed to the worker.
     pub payload: Vec<u8>,
-    /// Given up when not started within this many milliseconds; 0: no limit.
+    /// Time in milliseconds within which the request must start, or else it is given up; 0 means no
+    /// limit.
     pub start_within_ms: u64,
 }
