--- a/crates/hollowford-accounts/src/allowance.rs
+++ b/crates/hollowford-accounts/src/allowance.rs
@@ -1,32 +1,33 @@
-//! How many jobs an account is owed an answer in time for.
+//! Rate of jobs that an account is guaranteed a timely answer for.
 
 use hollowford_core::Millis;
 
-/// What an account is owed and has not handed in is kept for so long, in seconds: its jobs don't
-/// come evenly. The users' bounds count what is beyond a limit over this span.
+/// Time in seconds for which unused rate accumulates, since jobs do not arrive evenly. The users'
+/// service levels count the jobs beyond a limit over the same span.
 const BURST_SECONDS: f64 = 5.0;
 
-/// And so many jobs besides, by the same bounds: a small account is owed one job a second.
+/// Jobs allowed in a burst on top of the accumulated rate, by the same service levels. They matter
+/// for small accounts, which are guaranteed one job per second.
 const EXTRA_BURST_JOBS: f64 = 20.0;
 
-/// Counts the jobs of an account against what it is owed.
+/// Token bucket that counts the jobs of an account against its guaranteed rate.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Allowance {
-    /// Jobs a second that are owed; 0: all are.
+    /// Guaranteed jobs per second; 0 means that all jobs are guaranteed.
     jobs_per_second: f64,
-    /// Jobs that may come now and are owed.
+    /// Jobs that may arrive now within the guaranteed rate.
     available: f64,
-    /// When that was counted.
+    /// Time at which `available` was computed.
     updated_at: Millis,
 }
 
 impl Allowance {
-    /// Sets how many jobs a second are owed; 0: all are.
+    /// Sets the guaranteed jobs per second; 0 means that all jobs are guaranteed.
     pub fn set_rate(&mut self, jobs_per_second: f64) {
         self.jobs_per_second = jobs_per_second;
     }
 
-    /// Counts a job that comes at `now`. Tells whether it is owed.
+    /// Counts a job that arrives at `now`. Returns true if it is within the guaranteed rate.
     pub fn count_job(&mut self, now: Millis) -> bool {
         if self.jobs_per_second <= 0.0 {
             return true;
--- a/crates/hollowford-accounts/src/lib.rs
+++ b/crates/hollowford-accounts/src/lib.rs
@@ -1,5 +1,5 @@
-//! Client accounts: what the configuration grants and owes them, and how their callers prove who
-//! they are.
+//! Client accounts: their quotas, shares and guaranteed job rates, and the authentication of their
+//! callers.
 
 mod allowance;
 mod credential;
--- a/crates/hollowford-accounts/src/policy.rs
+++ b/crates/hollowford-accounts/src/policy.rs
@@ -1,15 +1,16 @@
-//! What the configuration grants to a client account.
+//! Share and limits of a client account.
 
 use hollowford_core::{Resources, Totals};
 
-/// What the configuration grants to a client account.
+/// Share and limits that the configuration grants to a client account.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AccountPolicy {
-    /// Share relative to other accounts.
+    /// Weight in fair sharing, relative to other accounts.
     pub weight: u32,
-    /// Most that its tasks hold at once; zeros: no limit.
+    /// Maximum resources that its tasks may hold at once; 0 means unlimited, for each resource.
     pub quota: Totals,
-    /// Requests that may wait at once; 0: the policy's default.
+    /// Maximum number of requests that may wait at once; 0 means the default of the scheduling
+    /// policy.
     pub max_queued: u32,
 }
 
@@ -20,12 +21,12 @@
 }
 
 impl AccountPolicy {
-    /// Tells whether the account may hold any amount of everything.
+    /// Returns true if no resource is limited by the quota.
     pub fn is_unlimited(&self) -> bool {
         self.quota == Totals::default()
     }
 
-    /// Tells whether `count` times `need` on top of `used` stays within the quota.
+    /// Returns true if `count` times `need` on top of `used` stays within the quota.
     pub fn allows(&self, used: &Totals, need: &Resources, count: u32) -> bool {
         let more = Resources::new(
             need.cpu_milli.saturating_mul(count),
--- a/crates/hollowford-accounts/tests/accounts.rs
+++ b/crates/hollowford-accounts/tests/accounts.rs
@@ -1,4 +1,4 @@
-//! What accounts are granted and owed.
+//! Quotas, guaranteed job rates and credentials of accounts.
 
 use hollowford_accounts::{AccountPolicy, Allowance, Credential, Credentials};
 use hollowford_core::{Millis, Resources, Totals};
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn a_quota_bounds_each_resource_by_itself_and_zero_is_no_limit() {
+fn a_quota_limits_each_resource_separately_and_zero_is_unlimited() {
     let quota = Totals { accelerators: 2, ..cores(10) };
     let policy = AccountPolicy { quota, ..AccountPolicy::default() };
     let need = Resources::new(2_000, 1 << 30, 0);
@@ -21,24 +21,24 @@
 }
 
 #[test]
-fn what_is_owed_is_kept_for_a_while_and_no_longer() {
+fn unused_rate_accumulates_up_to_the_burst_limit() {
     let mut allowance = Allowance::default();
     allowance.set_rate(2.0);
-    let owed = |a: &mut Allowance, now| (0..100).filter(|_| a.count_job(Millis(now))).count();
-    // Five seconds of it, and twenty jobs besides, however long nothing came.
-    assert_eq!(owed(&mut allowance, 1_000_000), 30);
-    assert_eq!(owed(&mut allowance, 1_001_000), 2);
-    assert_eq!(owed(&mut allowance, 1_061_000), 30);
+    let guaranteed = |a: &mut Allowance, now| (0..100).filter(|_| a.count_job(Millis(now))).count();
+    // Five seconds of the rate plus twenty jobs, however long the account was idle.
+    assert_eq!(guaranteed(&mut allowance, 1_000_000), 30);
+    assert_eq!(guaranteed(&mut allowance, 1_001_000), 2);
+    assert_eq!(guaranteed(&mut allowance, 1_061_000), 30);
 }
 
 #[test]
-fn without_a_bound_everything_is_owed() {
+fn without_a_rate_all_jobs_are_guaranteed() {
     let mut allowance = Allowance::default();
     assert!((0..1_000).all(|_| allowance.count_job(Millis(5))));
 }
 
 #[test]
-fn keys_that_come_later_change_nothing_for_the_others() {
+fn adding_a_key_does_not_affect_other_keys() {
     let mut known = Credentials::default();
     known.add(Credential::of("a"), "one".into());
     known.add(Credential::of("b"), "two".into());
