--- a/crates/hollowford-config/src/lib.rs
+++ b/crates/hollowford-config/src/lib.rs
@@ -1,4 +1,4 @@
-//! Settings of a process: JSON with comments, checked before use.
+//! Reads and validates the settings of a process, written as JSON with comments.
 
 mod policy;
 mod reader;
--- a/crates/hollowford-config/src/policy.rs
+++ b/crates/hollowford-config/src/policy.rs
@@ -1,4 +1,4 @@
-//! Settings of the decisions.
+//! Settings of the scheduling policy.
 
 use crate::reader::{Section, SettingsError};
 use hollowford_core::Millis;
@@ -31,10 +31,10 @@
 const MINUTE_MS: u64 = 60_000;
 const HOUR_MS: u64 = 60 * MINUTE_MS;
 
-/// Reads the section `policy`: a preset, and what differs from it.
+/// Reads the section `policy`: a preset and the values that override it.
 ///
 /// # Errors
-/// The first value that is wrong.
+/// Describes the first invalid value.
 pub fn read_policy(s: &Section<'_>) -> Result<Policy, SettingsError> {
     s.check_keys(KEYS)?;
     let p = preset(s)?;
@@ -43,7 +43,7 @@
     let task_lease = ms("task_lease_ms", p.task_lease, HOUR_MS)?;
     let renew_every = ms("renew_every_ms", p.renew_every, HOUR_MS)?;
     if renew_every.0 * 2 > task_lease.0 {
-        let help = "at most half of task_lease_ms, so that one lost renewal ends nothing";
+        let help = "at most half of task_lease_ms, so that one lost renewal stops no task";
         return Err(s.error("renew_every_ms is too long", help));
     }
     Ok(Policy {
--- a/crates/hollowford-config/src/reader.rs
+++ b/crates/hollowford-config/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads JSON with comments and says where something is wrong.
+//! Reads JSON with comments and reports errors with their line and column.
 
 use jsonc_parser::ast::{Object, Value};
 use jsonc_parser::common::Ranged;
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::ops::RangeInclusive;
 
-/// JSON with comments and trailing commas, and no other licence.
+/// Accepts JSON with comments and trailing commas, but no other extension.
 const PARSE_OPTIONS: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_trailing_commas: true,
@@ -20,16 +20,16 @@
     allow_non_finite_numbers: false,
 };
 
-/// What is wrong in a settings file, and where.
+/// An error in a settings file and its position.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct SettingsError {
-    /// Line, from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// Column, from 1.
+    /// Column number in characters, from 1.
     pub column: usize,
-    /// What is wrong.
+    /// Description of the error.
     pub message: String,
-    /// What would be right.
+    /// Description of what is valid; may be empty.
     pub help: String,
 }
 
@@ -50,11 +50,12 @@
 }
 
 impl<'a> Document<'a> {
-    /// Takes a file's text.
+    /// Creates a document from the text of a file.
     pub fn new(text: &'a str) -> Document<'a> {
         Document { text }
     }
 
+    /// Creates an error at the byte offset `at`.
     fn error(&self, at: usize, message: String, help: &str) -> SettingsError {
         let before = self.text.get(..at).unwrap_or(self.text);
         let line = before.matches('\n').count() + 1;
@@ -62,10 +63,10 @@
         SettingsError { line, column, message, help: help.to_owned() }
     }
 
-    /// Reads the file's one object with `read`.
+    /// Parses the text and reads its top-level object with `read`.
     ///
     /// # Errors
-    /// Syntax errors, and whatever `read` finds.
+    /// On syntax errors, if the top-level value is not an object, and on errors of `read`.
     pub fn read<T>(
         &self,
         read: impl FnOnce(&Section<'_>) -> Result<T, SettingsError>,
@@ -74,12 +75,16 @@
             .map_err(|e| self.error(e.range().start, e.kind().to_string(), "JSON with comments"))?;
         match &parsed.value {
             Some(Value::Object(object)) => read(&Section { doc: *self, object, name: "" }),
-            _ => Err(self.error(0, "the file holds no object".to_owned(), "start with {")),
+            _ => Err(self.error(
+                0,
+                "the top-level value is not an object".to_owned(),
+                "start with {",
+            )),
         }
     }
 }
 
-/// One object of the file.
+/// An object in the settings file.
 #[derive(Clone, Copy, Debug)]
 pub struct Section<'a> {
     doc: Document<'a>,
@@ -87,7 +92,7 @@
     name: &'a str,
 }
 
-/// One value of the file that is not read by a typed method.
+/// A value in the settings file whose type is not yet checked.
 #[derive(Clone, Copy, Debug)]
 pub struct Node<'a> {
     doc: Document<'a>,
@@ -96,21 +101,21 @@
 }
 
 impl<'a> Node<'a> {
-    /// Takes the value as text.
+    /// Returns the value as a string.
     ///
     /// # Errors
-    /// When it is something else.
+    /// If it is not a string.
     pub fn text(&self) -> Result<&'a str, SettingsError> {
         match self.value {
             Value::StringLit(s) => Ok(&s.value),
-            _ => Err(self.error("is not text", "write it in double quotes")),
+            _ => Err(self.error("is not a string", "write it in double quotes")),
         }
     }
 
-    /// Takes the value as an object.
+    /// Returns the value as an object.
     ///
     /// # Errors
-    /// When it is something else.
+    /// If it is not an object.
     pub fn section(&self) -> Result<Section<'a>, SettingsError> {
         match self.value {
             Value::Object(object) => Ok(Section { doc: self.doc, object, name: self.name }),
@@ -118,7 +123,7 @@
         }
     }
 
-    /// Makes an error that points at the value.
+    /// Creates an error at the position of the value. `what` follows the key in the message.
     pub fn error(&self, what: &str, help: &str) -> SettingsError {
         let message = format!("{:?} {what}", self.name);
         self.doc.error(self.value.range().start, message, help)
@@ -126,10 +131,10 @@
 }
 
 impl<'a> Section<'a> {
-    /// Refuses keys that are not in `known`, naming the nearest one.
+    /// Checks that all keys are in `known` and that none occurs twice.
     ///
     /// # Errors
-    /// The first unknown or doubled key.
+    /// Names the first unknown key with the most similar known one, or the first duplicate key.
     pub fn check_keys(&self, known: &[&str]) -> Result<(), SettingsError> {
         let mut seen: Vec<&str> = Vec::new();
         for p in &self.object.properties {
@@ -140,21 +145,21 @@
                 return Err(self.doc.error(p.start(), format!("{key:?} is not known"), &help));
             }
             if seen.contains(&key) {
-                let message = format!("{key:?} stands twice");
-                return Err(self.doc.error(p.start(), message, "keep one of them"));
+                let message = format!("{key:?} appears twice");
+                return Err(self.doc.error(p.start(), message, "remove one of them"));
             }
             seen.push(key);
         }
         Ok(())
     }
 
-    /// Returns a value, if it is there.
+    /// Returns the value of a key, or `None` if it is absent.
     pub fn get(&self, key: &'a str) -> Option<Node<'a>> {
         let p = self.object.properties.iter().find(|p| p.name.as_str() == key)?;
         Some(Node { doc: self.doc, value: &p.value, name: key })
     }
 
-    /// Makes an error that points at the object.
+    /// Creates an error at the position of the object.
     pub fn error(&self, message: &str, help: &str) -> SettingsError {
         let name = if self.name.is_empty() { "the settings" } else { self.name };
         self.doc.error(self.object.start(), format!("{name}: {message}"), help)
@@ -164,38 +169,38 @@
         self.get(key).ok_or_else(|| self.error(&format!("{key:?} is missing"), help))
     }
 
-    /// Reads text that must be there and not be empty.
+    /// Reads a required string that must not be empty.
     ///
     /// # Errors
-    /// When it isn't, with `help`.
+    /// If it is absent, empty or not a string. `help` describes a valid value.
     pub fn text(&self, key: &'a str, help: &str) -> Result<&'a str, SettingsError> {
         let node = self.required(key, help)?;
         let text = node.text()?;
         if text.is_empty() { Err(node.error("is empty", help)) } else { Ok(text) }
     }
 
-    /// Reads text, or takes the default.
+    /// Reads a string, or returns `default` if it is absent.
     ///
     /// # Errors
-    /// When it is something else.
+    /// If it is not a string.
     pub fn text_or(&self, key: &'a str, default: &'a str) -> Result<&'a str, SettingsError> {
         self.get(key).map_or(Ok(default), |node| node.text())
     }
 
-    /// Reads an address `IP:port`.
+    /// Reads a required address of the form `IP:port`.
     ///
     /// # Errors
-    /// When it isn't one.
+    /// If it is absent or not an address.
     pub fn address(&self, key: &'a str) -> Result<std::net::SocketAddr, SettingsError> {
         const HELP: &str = "an IP number and a port, such as \"127.0.0.1:7000\"";
         let node = self.required(key, HELP)?;
         node.text()?.parse().map_err(|_| node.error("is no address", HELP))
     }
 
-    /// Reads a whole number within bounds, or takes the default.
+    /// Reads an integer within `bounds`, or returns `default` if it is absent.
     ///
     /// # Errors
-    /// When it is something else or out of bounds.
+    /// If it is not an integer or out of bounds.
     pub fn number(
         &self,
         key: &'a str,
@@ -216,10 +221,10 @@
         }
     }
 
-    /// Reads a fraction within bounds, or takes the default.
+    /// Reads a number within `bounds`, or returns `default` if it is absent.
     ///
     /// # Errors
-    /// When it is something else or out of bounds.
+    /// If it is not a number or out of bounds.
     pub fn fraction(
         &self,
         key: &'a str,
@@ -240,38 +245,38 @@
         }
     }
 
-    /// Reads `true` or `false`, or takes the default.
+    /// Reads a boolean, or returns `default` if it is absent.
     ///
     /// # Errors
-    /// When it is something else.
+    /// If it is not a boolean.
     pub fn flag(&self, key: &'a str, default: bool) -> Result<bool, SettingsError> {
         match self.get(key) {
             None => Ok(default),
             Some(node) => match node.value {
                 Value::BooleanLit(b) => Ok(b.value),
-                _ => Err(node.error("is no flag", "true or false")),
+                _ => Err(node.error("is not a boolean", "true or false")),
             },
         }
     }
 
-    /// Reads an object inside this one, if it is there.
+    /// Reads a nested object, or returns `None` if it is absent.
     ///
     /// # Errors
-    /// When it is something else.
+    /// If it is not an object.
     pub fn section(&self, key: &'a str) -> Result<Option<Section<'a>>, SettingsError> {
         self.get(key).map(|node| node.section()).transpose()
     }
 
-    /// Reads the values of an array; none when it isn't there.
+    /// Reads the values of an array, or returns an empty list if it is absent.
     ///
     /// # Errors
-    /// When it is something else.
+    /// If it is not an array.
     pub fn list(&self, key: &'a str) -> Result<Vec<Node<'a>>, SettingsError> {
         let Some(node) = self.get(key) else {
             return Ok(Vec::new());
         };
         let Value::Array(array) = node.value else {
-            return Err(node.error("is no list", "write [ ... ]"));
+            return Err(node.error("is not an array", "write [ ... ]"));
         };
         let item = |value| Node { doc: self.doc, value, name: key };
         Ok(array.elements.iter().map(item).collect())
--- a/crates/hollowford-config/src/secret.rs
+++ b/crates/hollowford-config/src/secret.rs
@@ -1,18 +1,18 @@
-//! Values that are never printed.
+//! Secret values whose `Debug` output is redacted.
 
 use std::fmt;
 
-/// A secret of the settings. Its `Debug` output hides it.
+/// A secret string of the settings. Its `Debug` output is redacted.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Secret(String);
 
 impl Secret {
-    /// Keeps a secret.
+    /// Wraps a secret string.
     pub fn new(text: &str) -> Secret {
         Secret(text.to_owned())
     }
 
-    /// Returns the secret, to be used and not to be printed.
+    /// Returns the secret, which must not be logged.
     pub fn expose(&self) -> &str {
         &self.0
     }
--- a/crates/hollowford-config/src/settings.rs
+++ b/crates/hollowford-config/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one process.
+//! Settings of a process.
 
 use crate::policy::read_policy;
 use crate::reader::{Document, Section, SettingsError};
@@ -8,64 +8,64 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Everything that a process is told at its start.
+/// Validated settings of a process.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Id of the process, unique in the cell.
     pub process: String,
     /// Availability zone of its instance.
     pub zone: String,
-    /// Where it listens.
+    /// Addresses on which it listens.
     pub listen: Listen,
-    /// Encryption towards callers; `None`: plain text.
+    /// TLS for callers; `None` means plain text.
     pub tls: Option<TlsSettings>,
-    /// Where the platform is.
+    /// Address and timeout of the platform's services.
     pub platform: PlatformSettings,
     /// Number of partitions, the same in every process of the cell.
     pub partitions: u32,
     /// How workers are divided among the partitions.
     pub partition_by: PartitionBy,
-    /// Key shared by the processes of the cell.
+    /// Secret shared by the processes of the cell, used to authenticate each other.
     pub peer_key: Secret,
     /// SHA-256 of the operator token, in lower-case hex.
     pub operator_token_sha256: String,
-    /// Ownership of partitions.
+    /// Times of partition ownership.
     pub lease: Lease,
-    /// What the process may spend of the store.
+    /// Limits on the use of the store.
     pub store: StoreBudget,
-    /// The decisions.
+    /// Scheduling policy.
     pub policy: Policy,
 }
 
-/// Where a process listens. Port 0 lets the system choose.
+/// Addresses on which a process listens. With port 0, the operating system chooses the port.
 #[derive(Clone, Copy, Debug)]
 pub struct Listen {
-    /// Callers and operators, by gRPC.
+    /// gRPC endpoint for callers and operators.
     pub callers: SocketAddr,
-    /// Other processes of the cell.
+    /// Endpoint for the other processes of the cell.
     pub peers: SocketAddr,
-    /// Metrics, health and state, by HTTP.
+    /// HTTP endpoint for metrics, health and state.
     pub admin: SocketAddr,
 }
 
-/// Encryption towards callers. The files are read again when they change.
+/// TLS for callers. The files are reloaded when they change.
 #[derive(Clone, Debug)]
 pub struct TlsSettings {
-    /// File of the certificate chain, in PEM.
+    /// PEM file with the certificate chain.
     pub certificate: PathBuf,
-    /// File of the private key, in PEM.
+    /// PEM file with the private key.
     pub key: PathBuf,
-    /// File of the roots that callers' certificates must lead to, in PEM; `None`:
-    /// callers need none.
+    /// PEM file with the root certificates for client certificates; `None` if callers need no
+    /// certificate.
     pub client_roots: Option<PathBuf>,
 }
 
-/// Where the platform is.
+/// Address and timeout of the platform's services.
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformSettings {
-    /// The table, the objects and the instance list.
+    /// Address of the table, the object store and the instance list.
     pub address: SocketAddr,
-    /// Longest wait for an answer.
+    /// Timeout of a call.
     pub timeout: Millis,
 }
 
@@ -74,29 +74,30 @@
 pub enum PartitionBy {
     /// By a hash of the instance's id.
     Instance,
-    /// By a hash of the availability zone.
+    /// By a hash of the instance's availability zone.
     Zone,
 }
 
-/// Ownership of partitions.
+/// Times of partition ownership.
 #[derive(Clone, Copy, Debug)]
 pub struct Lease {
-    /// How long an owner decides after it last renewed its row.
+    /// Time for which an owner may make decisions after the last renewal of its row.
     pub ownership: Millis,
-    /// How often it renews.
+    /// Interval between renewals.
     pub renew: Millis,
-    /// How long a process that the store does not answer promises not to take over.
+    /// Time for which a process that gets no answer from the store promises its peers not to take
+    /// over a partition.
     pub promise: Millis,
-    /// Age at which knowledge of the configuration must be confirmed before use.
+    /// Age from which the known configuration must be confirmed before use.
     pub config_fresh: Millis,
 }
 
-/// What the process may spend of the store.
+/// Limits on a process's use of the store.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreBudget {
-    /// Ledger writes a second for each partition that it owns.
+    /// Ledger writes per second for each owned partition.
     pub writes_per_second: u64,
-    /// Ledger records after which a snapshot is taken.
+    /// Number of ledger records after which a snapshot is written.
     pub snapshot_records: u64,
 }
 
@@ -146,7 +147,7 @@
 }
 
 fn required_section<'a>(s: &Section<'a>, key: &'a str) -> Result<Section<'a>, SettingsError> {
-    let missing = || s.error(&format!("{key:?} is missing"), "see examples/ for a whole file");
+    let missing = || s.error(&format!("{key:?} is missing"), "see examples/ for a complete file");
     s.section(key)?.ok_or_else(missing)
 }
 
@@ -167,7 +168,7 @@
         let loopback = read_listen(s)?.callers.ip().is_loopback();
         if !loopback && !plain_text {
             let help = "give \"tls\", or set \"plain_text\" to true if the network is trusted";
-            return Err(s.error("callers off this machine would be served in plain text", help));
+            return Err(s.error("callers on other machines would be served in plain text", help));
         }
         return Ok(None);
     };
@@ -193,7 +194,7 @@
         "instance" => Ok(PartitionBy::Instance),
         "zone" => Ok(PartitionBy::Zone),
         other => {
-            let message = format!("partition_by {other:?} is not known");
+            let message = format!("unknown partition_by {other:?}");
             Err(s.error(&message, "\"instance\" or \"zone\""))
         }
     }
@@ -214,7 +215,7 @@
     let text = s.text(key, HELP)?;
     let hex = |c: char| c.is_ascii_digit() || ('a'..='f').contains(&c);
     if text.len() != 64 || !text.chars().all(hex) {
-        return Err(s.error(&format!("{key:?} is no SHA-256"), HELP));
+        return Err(s.error(&format!("{key:?} is not a SHA-256 digest"), HELP));
     }
     Ok(text.to_owned())
 }
