--- a/crates/hollowford-protocol/src/checks.rs
+++ b/crates/hollowford-protocol/src/checks.rs
@@ -1,4 +1,4 @@
-//! Checks that turn the schema's messages into checked types, and back.
+//! Converts the schema's messages into validated types and back.
 
 use crate::v1;
 use hollowford_core::{
@@ -6,11 +6,12 @@
     Resources, Spec, Spread,
 };
 
+/// Maximum length of request ids, labels, zones and instance ids.
 const MAX_NAME_BYTES: usize = 64;
 const MAX_LABELS: usize = 8;
 const MAX_ZONES: usize = 32;
 const MAX_EXCLUDED_INSTANCES: usize = 64;
-/// Thirty days, in milliseconds.
+/// Maximum of run times and start limits: 30 days, in milliseconds.
 const MAX_TIME_MS: u64 = 30 * 24 * 3_600_000;
 
 fn invalid(message: impl Into<String>) -> Error {
@@ -21,21 +22,21 @@
     if have <= max {
         return Ok(());
     }
-    Err(Error::new(ErrorKind::TooLarge, format!("{name}: {have} is over the bound of {max}")))
+    Err(Error::new(ErrorKind::TooLarge, format!("{name}: {have} exceeds the limit of {max}")))
 }
 
 /// Checks a request id: 1 to 64 bytes, none of them a control character.
 ///
 /// # Errors
-/// `Invalid` or `TooLarge`, naming the field.
+/// `Invalid` or `TooLarge`; the message names the field.
 pub fn check_request_id(id: &str) -> Result<(), Error> {
     check_name("request_id", id)
 }
 
-/// Checks a label by the rules of request ids.
+/// Checks a label; the same rules apply as for request ids.
 ///
 /// # Errors
-/// `Invalid` or `TooLarge`, naming the field.
+/// `Invalid` or `TooLarge`; the message names the field.
 pub fn check_label(label: &str) -> Result<(), Error> {
     check_name("label", label)
 }
@@ -46,7 +47,7 @@
     }
     check_limit(field, s.len(), MAX_NAME_BYTES)?;
     if s.chars().any(char::is_control) {
-        return Err(invalid(format!("{field} holds a control character")));
+        return Err(invalid(format!("{field} contains a control character")));
     }
     Ok(())
 }
@@ -64,12 +65,10 @@
         let per_task =
             Resources::new(per_task.cpu_milli, per_task.memory_mib, per_task.accelerators);
         if per_task.cpu_milli == 0 {
-            return Err(invalid("per_task.cpu_milli is 0; a task takes at least 1"));
+            return Err(invalid("per_task.cpu_milli is 0; it must be at least 1"));
         }
         if kind == Kind::Service && !raw.repeatable {
-            return Err(invalid(
-                "a service must be repeatable, since lost tasks are started again",
-            ));
+            return Err(invalid("a service must be repeatable, since lost tasks are restarted"));
         }
         Ok(Spec {
             kind,
@@ -92,13 +91,13 @@
         v1::Kind::Gang => Ok(Kind::Gang),
         v1::Kind::Batch => Ok(Kind::Batch),
         v1::Kind::Service => Ok(Kind::Service),
-        v1::Kind::Unspecified => Err(invalid("kind is missing or not known")),
+        v1::Kind::Unspecified => Err(invalid("kind is missing or unknown")),
     }
 }
 
 fn check_counts(raw: &v1::RequestSpec, kind: Kind) -> Result<(), Error> {
     if raw.tasks == 0 {
-        return Err(invalid("tasks is 0; a request has at least 1"));
+        return Err(invalid("tasks is 0; it must be at least 1"));
     }
     let max = if kind == Kind::Gang { MAX_GANG_TASKS } else { MAX_TASKS };
     check_limit("tasks", raw.tasks as usize, max as usize)?;
@@ -122,7 +121,7 @@
         check_name("placement", name)?;
     }
     if raw.same_rack && kind != Kind::Gang {
-        return Err(invalid("placement.same_rack is for gangs only"));
+        return Err(invalid("placement.same_rack is only allowed for gangs"));
     }
     let spread = match raw.spread() {
         v1::Spread::Unspecified => Spread::None,
@@ -130,7 +129,7 @@
         v1::Spread::Rack => Spread::Rack,
     };
     if raw.same_rack && spread == Spread::Rack {
-        return Err(invalid("placement.same_rack and spread by rack exclude each other"));
+        return Err(invalid("placement.same_rack cannot be combined with spread by rack"));
     }
     Ok(Placement {
         zones: raw.zones.iter().map(|z| z.as_str().into()).collect(),
@@ -140,7 +139,7 @@
     })
 }
 
-/// Turns a checked specification back into the schema's message.
+/// Converts a validated specification to the schema's message.
 pub fn spec_to_wire(spec: &Spec) -> v1::RequestSpec {
     let kind = match spec.kind {
         Kind::Check => v1::Kind::Check,
--- a/crates/hollowford-protocol/src/frames.rs
+++ b/crates/hollowford-protocol/src/frames.rs
@@ -1,4 +1,4 @@
-//! Frames between the system's own processes: a length, then one `prost` message.
+//! Frames on links between the scheduler's processes: a length followed by one `prost` message.
 
 use bytes::{Bytes, BytesMut};
 use futures::{SinkExt, Stream, StreamExt};
@@ -8,35 +8,35 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// Largest frame, in bytes; longer ones end the link.
+/// Maximum size of a frame in bytes; a larger one closes the link.
 pub const MAX_FRAME_BYTES: usize = 4 << 20;
 
-/// A link that carries frames.
+/// A byte stream split into length-delimited frames.
 pub type Frames<S> = Framed<S, LengthDelimitedCodec>;
 
-/// Why a frame could not be read or written.
+/// Error of reading or writing a frame.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// The link failed, or the frame was over the limit.
+    /// The link failed, or the frame exceeded [`MAX_FRAME_BYTES`].
     #[error("link: {0}")]
     Io(#[from] std::io::Error),
-    /// The frame's bytes are not the message.
+    /// The bytes of the frame are not a valid message.
     #[error("frame: {0}")]
     Decode(#[from] prost::DecodeError),
-    /// The other side closed the link.
+    /// The peer closed the link.
     #[error("closed")]
     Closed,
 }
 
-/// Puts frames on a byte stream.
+/// Adds length-delimited framing to a byte stream.
 pub fn framed<S: AsyncRead + AsyncWrite>(stream: S) -> Frames<S> {
     LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_framed(stream)
 }
 
-/// Writes one message.
+/// Sends one message in a frame.
 ///
 /// # Errors
-/// `Io` when the link failed or the message is over the limit.
+/// `Io` if the link failed or the message exceeds [`MAX_FRAME_BYTES`].
 pub async fn send<S, M>(link: &mut S, msg: &M) -> Result<(), FrameError>
 where
     S: SinkExt<Bytes, Error = std::io::Error> + Unpin,
@@ -46,10 +46,11 @@
     Ok(())
 }
 
-/// Reads one message.
+/// Receives one message.
 ///
 /// # Errors
-/// `Closed` at the end of the link, `Decode` for bytes that are not the message.
+/// `Closed` if the peer closed the link, `Io` if the link failed or the frame exceeds
+/// [`MAX_FRAME_BYTES`], `Decode` if the bytes are not a valid message.
 pub async fn recv<S, M>(link: &mut S) -> Result<M, FrameError>
 where
     S: Stream<Item = Result<BytesMut, std::io::Error>> + Unpin,
@@ -59,17 +60,18 @@
     decode(&frame)
 }
 
-/// Reads one message from a frame's bytes.
+/// Decodes a message from the bytes of a frame.
 ///
 /// # Errors
-/// `Decode` for bytes that are not the message.
+/// `Decode` if the bytes are not a valid message.
 pub fn decode<M: Message + Default>(frame: &[u8]) -> Result<M, FrameError> {
     Ok(M::decode(frame)?)
 }
 
-/// Proves knowledge of the shared key: HMAC-SHA-256 over the other side's nonce and a name.
+/// Returns the HMAC-SHA-256 of the peer's nonce and the id of a process, which proves knowledge of
+/// the shared key.
 pub fn mac(key: &[u8], nonce: &[u8], process: &str) -> Vec<u8> {
-    // HMAC takes a key of any length, so this cannot fail.
+    // HMAC accepts keys of any length, so this cannot fail.
     let Ok(mut mac) = Hmac::<Sha256>::new_from_slice(key) else {
         return Vec::new();
     };
--- a/crates/hollowford-protocol/src/ledger.rs
+++ b/crates/hollowford-protocol/src/ledger.rs
@@ -1,42 +1,42 @@
-//! Records of the ledger, as they are kept in the platform's table and objects.
+//! Records of the ledger, as stored in the platform's table and objects.
 
 use crate::v1;
 
-/// One group commit: a row of the table.
+/// One group commit, stored as a row of the table.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Batch {
     /// The partition that the records belong to.
     #[prost(uint32, tag = "1")]
     pub partition: u32,
-    /// Epoch of the owner that wrote it.
+    /// Epoch of the owner that wrote the batch.
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
-    /// Random id, by which a write with a lost reply is found again.
+    /// Random id, used to find out whether a write whose reply was lost took effect.
     #[prost(uint64, tag = "3")]
     pub id: u64,
-    /// The records, in the order in which they happened.
+    /// Records in the order of the changes.
     #[prost(message, repeated, tag = "4")]
     pub records: Vec<Record>,
 }
 
-/// One change of a partition's state.
+/// One change of the state of a partition.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Record {
     /// Number of the request, unique within the partition.
     #[prost(uint64, tag = "1")]
     pub request: u64,
-    /// Index of the task, where the change is of a task.
+    /// Index of the task, if the change affects a task.
     #[prost(uint32, tag = "2")]
     pub index: u32,
-    /// Number of the attempt, where the change is of a task.
+    /// Number of the attempt, if the change affects a task.
     #[prost(uint32, tag = "3")]
     pub attempt: u32,
-    /// What changed.
+    /// The change itself.
     #[prost(oneof = "Change", tags = "4, 5, 6, 7, 8, 9, 10")]
     pub change: Option<Change>,
 }
 
-/// What a record changes.
+/// Kinds of changes with their data.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Change {
     /// The request was accepted.
@@ -45,7 +45,7 @@
     /// The attempt is about to be sent to a worker.
     #[prost(message, tag = "5")]
     Intent(Intent),
-    /// The attempt was never started, and the task waits again.
+    /// The attempt was never started; the task is queued again.
     #[prost(message, tag = "6")]
     Withdrawn(Withdrawn),
     /// The attempt ended.
@@ -54,10 +54,10 @@
     /// The caller cancelled the request.
     #[prost(message, tag = "8")]
     Cancel(Cancel),
-    /// The request has its final answer.
+    /// The request ended with its final answer.
     #[prost(message, tag = "9")]
     Close(Close),
-    /// Snapshots only: the task waits, after the attempts counted.
+    /// The task is queued, after earlier attempts; only in snapshots.
     #[prost(message, tag = "10")]
     Queued(Queued),
 }
@@ -65,13 +65,13 @@
 /// The request was accepted.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Accept {
-    /// The client account.
+    /// Client account that submitted the request.
     #[prost(string, tag = "1")]
     pub account: String,
-    /// The id that the account chose.
+    /// Request id chosen by the caller.
     #[prost(string, tag = "2")]
     pub id: String,
-    /// What was asked.
+    /// Specification of the request.
     #[prost(message, optional, tag = "3")]
     pub spec: Option<v1::RequestSpec>,
 }
@@ -82,7 +82,7 @@
     /// Id of the worker's instance.
     #[prost(string, tag = "1")]
     pub worker: String,
-    /// The worker's incarnation that the owner had claimed.
+    /// Incarnation of the worker that the owner had claimed.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
 }
@@ -94,13 +94,13 @@
 /// The attempt ended.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Ended {
-    /// How, by the engine's numbering.
+    /// How it ended, in the numbering of the engine.
     #[prost(uint32, tag = "1")]
     pub end: u32,
-    /// Result, up to 1,024 bytes.
+    /// Result, if it has at most 1,024 bytes.
     #[prost(bytes = "vec", tag = "2")]
     pub result: Vec<u8>,
-    /// Object that holds a longer result.
+    /// Object that contains a longer result; empty if there is none.
     #[prost(string, tag = "3")]
     pub object: String,
     /// Length of the result in bytes.
@@ -109,10 +109,10 @@
     /// XXH3 hash of the result.
     #[prost(uint64, tag = "5")]
     pub xxh3: u64,
-    /// The worker's message, for failures.
+    /// Error message of the worker, for failed attempts.
     #[prost(string, tag = "6")]
     pub message: String,
-    /// Object from which a later attempt goes on.
+    /// Checkpoint object from which a later attempt resumes; empty if there is none.
     #[prost(string, tag = "7")]
     pub checkpoint: String,
 }
@@ -121,16 +121,16 @@
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Cancel {}
 
-/// The request has its final answer.
+/// The request ended with its final answer.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Close {
-    /// The outcome, by the schema's numbering.
+    /// Outcome, in the numbering of the schema.
     #[prost(int32, tag = "1")]
     pub outcome: i32,
     /// Stable name of the error kind.
     #[prost(string, tag = "2")]
     pub reason: String,
-    /// What happened.
+    /// Description of the outcome.
     #[prost(string, tag = "3")]
     pub message: String,
     /// Whether a task had started.
@@ -138,19 +138,19 @@
     pub had_begun: bool,
 }
 
-/// The task waits, after the attempts counted.
+/// The task is queued, after earlier attempts.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Queued {
-    /// Attempts that failed.
+    /// Number of failed attempts.
     #[prost(uint32, tag = "1")]
     pub failures: u32,
-    /// Object from which the next attempt goes on.
+    /// Checkpoint object from which the next attempt resumes; empty if there is none.
     #[prost(string, tag = "2")]
     pub checkpoint: String,
     /// Whether a task of the request had started.
     #[prost(bool, tag = "3")]
     pub begun: bool,
-    /// Attempts under which the worker restarted.
+    /// Number of attempts during which the worker restarted.
     #[prost(uint32, tag = "4")]
     pub crashes: u32,
 }
--- a/crates/hollowford-protocol/src/lib.rs
+++ b/crates/hollowford-protocol/src/lib.rs
@@ -1,12 +1,12 @@
-//! What crosses a process boundary: the published schema, the messages between
-//! the system's own processes, and the records of the ledger.
+//! Data formats that cross process boundaries: the published schema, the messages between the
+//! scheduler's processes and the records of the ledger.
 
 mod checks;
 mod frames;
 pub mod ledger;
 pub mod peer;
 
-/// The published schema, as generated from `proto/`.
+/// The published schema, generated from `proto/`.
 #[allow(missing_docs, clippy::all, clippy::unwrap_used)]
 pub mod v1 {
     include!("generated/hollowford.v1.rs");
--- a/crates/hollowford-protocol/src/peer.rs
+++ b/crates/hollowford-protocol/src/peer.rs
@@ -1,29 +1,29 @@
-//! Messages between the system's own processes.
+//! Messages between the scheduler's processes.
 //!
-//! Written by hand with `prost`'s derive, so that they need no generator. A link
-//! starts with a challenge and a hello; from then on frames of both sides mix.
+//! They are declared with `prost`'s derive macros, so that they need no code generator. A link
+//! starts with a challenge and a hello; after that, both sides send frames at any time.
 
 use crate::v1;
 use hollowford_core::{Error, ErrorKind};
 
-/// One frame. A reply carries the id of its call.
+/// One frame. A reply has the id of its call.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Frame {
     /// Number of the call on this link; 0 for messages without a reply.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// What the frame says.
+    /// Content of the frame.
     #[prost(oneof = "Body", tags = "2, 3, 4, 5, 6, 7, 8")]
     pub body: Option<Body>,
 }
 
-/// What a frame says.
+/// Content of a frame.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Body {
-    /// First frame of the side that was called.
+    /// First frame of the side that accepted the connection.
     #[prost(message, tag = "2")]
     Challenge(Challenge),
-    /// First frame of the side that called.
+    /// First frame of the side that opened the connection.
     #[prost(message, tag = "3")]
     Hello(Hello),
     /// Sent about twice a second in both directions.
@@ -35,63 +35,63 @@
     /// The answer to a call.
     #[prost(message, tag = "6")]
     Reply(Reply),
-    /// A partition was given up and may be taken at once.
+    /// A partition was released and may be taken over at once.
     #[prost(message, tag = "7")]
     Released(Released),
-    /// The sender has taken a partition over and decides for it.
+    /// The sender has taken a partition over and is its owner.
     #[prost(message, tag = "8")]
     Took(Took),
 }
 
-/// Asks the caller to prove that it knows the shared key.
+/// Asks the connecting process to prove that it knows the shared key.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Challenge {
-    /// Random bytes, to be used once.
+    /// Random bytes, used only once.
     #[prost(bytes = "vec", tag = "1")]
     pub nonce: Vec<u8>,
 }
 
-/// Names the calling process and proves that it knows the shared key.
+/// Names the connecting process and proves that it knows the shared key.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Hello {
-    /// Id of the calling process.
+    /// Id of the connecting process.
     #[prost(string, tag = "1")]
     pub process: String,
-    /// The proof, over the challenge's nonce.
+    /// HMAC over the nonce of the challenge and the process id.
     #[prost(bytes = "vec", tag = "2")]
     pub mac: Vec<u8>,
 }
 
-/// What a process tells its peers about itself.
+/// State that a process reports to its peers.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Heartbeat {
     /// Id of the sender.
     #[prost(string, tag = "1")]
     pub process: String,
-    /// Newest configuration change that the sender has in force.
+    /// Number of the newest configuration change applied by the sender.
     #[prost(uint64, tag = "2")]
     pub config_head: u64,
-    /// Milliseconds since the sender knew that to be the newest.
+    /// Milliseconds since the sender last confirmed that this change is the newest.
     #[prost(uint64, tag = "3")]
     pub config_age_ms: u64,
-    /// The sender is about to stop.
+    /// Whether the sender is about to stop.
     #[prost(bool, tag = "4")]
     pub leaving: bool,
-    /// Where the sender takes peer links, as `IP:port`.
+    /// Address on which the sender accepts links from peers, as `IP:port`.
     #[prost(string, tag = "5")]
     pub addr: String,
-    /// The sender's clock in milliseconds.
+    /// Reading of the sender's clock in milliseconds.
     #[prost(uint64, tag = "6")]
     pub stamp: u64,
-    /// The stamp that the sender heard last from the receiver; 0: none.
+    /// Last `stamp` that the sender received from the receiver; 0 if there is none.
     #[prost(uint64, tag = "7")]
     pub echo: u64,
-    /// The store does not answer the sender, and for so many milliseconds after it
-    /// heard `echo` it takes over no partition; 0: it does not promise that.
+    /// Time in milliseconds, counted from when the sender received `echo`, for which it promises not
+    /// to take over a partition because the store does not answer it; 0 means no promise.
     #[prost(uint64, tag = "8")]
     pub promise_ms: u64,
-    /// The partitions that the sender owns: one that has missed a takeover can't read of it
-    /// while the store is away.
+    /// Partitions that the sender owns. A peer that has missed a takeover cannot read the new owner
+    /// from the store while that is unavailable.
     #[prost(message, repeated, tag = "9")]
     pub owns: Vec<OwnedPartition>,
 }
@@ -99,29 +99,29 @@
 /// A partition that a process owns.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct OwnedPartition {
-    /// The partition.
+    /// Number of the partition.
     #[prost(uint32, tag = "1")]
     pub partition: u32,
-    /// The epoch in which it is owned.
+    /// Epoch of the ownership.
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
 }
 
-/// The owner has written the partition's row free.
+/// The owner has cleared the ownership row of a partition.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Released {
-    /// The partition.
+    /// Number of the partition.
     #[prost(uint32, tag = "1")]
     pub partition: u32,
 }
 
-/// The sender has taken a partition over and decides for it.
+/// The sender has taken a partition over and is its owner.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Took {
-    /// The partition.
+    /// Number of the partition.
     #[prost(uint32, tag = "1")]
     pub partition: u32,
-    /// The sender's epoch.
+    /// Epoch of the sender's ownership.
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
     /// Id of the sender.
@@ -129,36 +129,36 @@
     pub process: String,
 }
 
-/// A call of a client account, relayed by an entry to the owner.
+/// A call of a client account, relayed by an entry process to the owner of the partition.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Call {
-    /// The partition that the entry believes the receiver owns.
+    /// Partition that the receiver should own, as far as the entry process knows.
     #[prost(uint32, tag = "1")]
     pub partition: u32,
     /// The authenticated client account.
     #[prost(string, tag = "2")]
     pub account: String,
-    /// What is asked.
+    /// Requested operation.
     #[prost(oneof = "Op", tags = "3, 4, 5, 6, 7")]
     pub op: Option<Op>,
 }
 
-/// What a relayed call asks.
+/// Operation of a relayed call.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Op {
     /// Submit a request.
     #[prost(message, tag = "3")]
     Submit(v1::SubmitRequest),
-    /// Read a request, now or after a change.
+    /// Read a request, at once or after a change.
     #[prost(message, tag = "4")]
     Get(v1::GetRequest),
     /// Cancel a request.
     #[prost(message, tag = "5")]
     Cancel(v1::CancelRequest),
-    /// Cancel by label, in this partition.
+    /// Cancel the requests with a label in this partition.
     #[prost(message, tag = "6")]
     CancelByLabel(v1::CancelByLabelRequest),
-    /// List requests of this partition.
+    /// List the requests of this partition.
     #[prost(message, tag = "7")]
     List(v1::ListRequest),
 }
@@ -166,18 +166,18 @@
 /// The answer to a relayed call.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Reply {
-    /// What is answered.
+    /// Content of the reply.
     #[prost(oneof = "Said", tags = "1, 2, 3, 4")]
     pub said: Option<Said>,
 }
 
-/// What a reply says.
+/// Content of a reply.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Said {
-    /// A request's view.
+    /// The view of a request.
     #[prost(message, tag = "1")]
     View(ViewReply),
-    /// How many requests were cancelled.
+    /// Number of cancelled requests.
     #[prost(message, tag = "2")]
     Cancelled(v1::CancelByLabelReply),
     /// A page of requests.
@@ -188,38 +188,38 @@
     Refused(Refused),
 }
 
-/// A request's view, with the results that are kept as objects.
+/// The view of a request and references to the results stored as objects.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ViewReply {
-    /// The view, without those results.
+    /// The view, without the results stored as objects.
     #[prost(message, optional, tag = "1")]
     pub view: Option<v1::RequestView>,
-    /// Where they are.
+    /// References to these results.
     #[prost(message, repeated, tag = "2")]
     pub objects: Vec<ObjectResult>,
 }
 
-/// A result that is kept as an object.
+/// Reference to a result stored as an object.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ObjectResult {
     /// Index of the task.
     #[prost(uint32, tag = "1")]
     pub index: u32,
-    /// The object.
+    /// Key of the object.
     #[prost(string, tag = "2")]
     pub object: String,
 }
 
-/// An error on its way between processes.
+/// An error returned to another process.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Refused {
-    /// Stable name of the kind.
+    /// Stable name of the error kind.
     #[prost(string, tag = "1")]
     pub kind: String,
-    /// What happened.
+    /// Error message.
     #[prost(string, tag = "2")]
     pub message: String,
-    /// When to come back, in milliseconds.
+    /// Delay before a retry, in milliseconds.
     #[prost(uint64, optional, tag = "3")]
     pub retry_after_ms: Option<u64>,
 }
