--- a/crates/hollowford-platform/src/lib.rs
+++ b/crates/hollowford-platform/src/lib.rs
@@ -1,5 +1,5 @@
-//! The platform's side: the transactional table, the object store, the instance
-//! list and the links to workers. All of it by published protocols.
+//! Clients of the platform: the transactional table, the object store, the instance list and the
+//! links to workers. All of them use published protocols.
 
 mod link;
 pub mod rows;
--- a/crates/hollowford-platform/src/link.rs
+++ b/crates/hollowford-platform/src/link.rs
@@ -1,8 +1,7 @@
 //! The link to one worker: a session that starts with a claim.
 //!
-//! This is the narrow place where what hollowford assumes of workers is used:
-//! older epochs and ended sessions are refused, leases end on the worker's own
-//! clock, and the reply to a claim is complete.
+//! The scheduler relies on these guarantees of workers: they reject orders of older epochs and of
+//! ended sessions, leases end by the worker's own clock, and the reply to a claim is complete.
 
 use hollowford_core::{Epoch, PartitionId};
 use hollowford_protocol::v1;
@@ -13,22 +12,22 @@
 use tonic::Streaming;
 use tonic::transport::Endpoint;
 
-/// Orders that may wait to be sent to one worker.
+/// Maximum number of orders queued for one worker.
 const MAX_QUEUED_ORDERS: usize = 1_024;
 
-/// Sends orders to one worker.
+/// Sender of orders to one worker.
 pub type Orders = mpsc::Sender<v1::Order>;
 
-/// Reports of one worker.
+/// Stream of reports from one worker.
 pub type Reports = Streaming<v1::Report>;
 
-/// Why a worker could not be claimed.
+/// Reason why a worker could not be claimed.
 #[derive(Debug, thiserror::Error)]
 pub enum LinkError {
-    /// It can't be reached, or the session ended.
+    /// The worker cannot be reached, or the session ended.
     #[error("worker: {0}")]
     Unreachable(String),
-    /// It obeys a higher epoch.
+    /// The worker has been claimed by an owner with a higher epoch.
     #[error("the worker obeys a higher epoch")]
     Deposed,
 }
@@ -42,27 +41,30 @@
 /// The claim that starts a session.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerClaim<'a> {
-    /// Where the worker takes links, as `IP:port`.
+    /// Address of the worker, as `IP:port`.
     pub addr: &'a str,
-    /// The partition that claims it.
+    /// Partition that claims the worker.
     pub partition: PartitionId,
-    /// The owner's epoch.
+    /// Epoch of the partition's owner.
     pub epoch: Epoch,
     /// Id of the owner's process.
     pub owner: &'a str,
 }
 
-/// Starts a session with a worker, and claims it.
+/// Opens a session with a worker and claims it. Returns the channels of the session and the
+/// worker's reply to the claim.
 ///
 /// # Errors
-/// `Unreachable` when that takes longer than `timeout`; `Deposed` when the worker
-/// obeys a higher epoch.
+/// `Unreachable` if the connection fails or takes longer than `timeout`; `Deposed` if an owner with
+/// a higher epoch has claimed the worker.
 pub async fn attach(
     claim: WorkerClaim<'_>,
     timeout: Duration,
 ) -> Result<(Orders, Reports, v1::Report), LinkError> {
     let opened = tokio::time::timeout(timeout, open(claim, timeout)).await;
-    opened.map_err(|_| LinkError::Unreachable("no reply to the claim in time".to_owned()))?
+    opened.map_err(|_| {
+        LinkError::Unreachable("timed out waiting for the reply to the claim".to_owned())
+    })?
 }
 
 async fn open(
@@ -86,17 +88,18 @@
         owner: claim.owner.to_owned(),
     };
     let order = v1::Order { order: Some(v1::order::Order::Claim(claim)) };
-    let closed = |_| LinkError::Unreachable("closed".to_owned());
+    let closed = |_| LinkError::Unreachable("the session was closed".to_owned());
     tx.send(order).await.map_err(closed)?;
     let reply = WorkerClient::new(channel).attach(ReceiverStream::new(rx)).await?;
     let mut reports = reply.into_inner();
-    let first = reports
-        .message()
-        .await?
-        .ok_or_else(|| LinkError::Unreachable("closed before the claim".to_owned()))?;
+    let first = reports.message().await?.ok_or_else(|| {
+        LinkError::Unreachable("the session was closed before the reply to the claim".to_owned())
+    })?;
     match &first.report {
         Some(v1::report::Report::Claimed(c)) if c.accepted => Ok((tx, reports, first)),
         Some(v1::report::Report::Claimed(_)) => Err(LinkError::Deposed),
-        _ => Err(LinkError::Unreachable("the first report was no reply to the claim".to_owned())),
+        _ => {
+            Err(LinkError::Unreachable("the first report was not a reply to the claim".to_owned()))
+        }
     }
 }
--- a/crates/hollowford-platform/src/rows.rs
+++ b/crates/hollowford-platform/src/rows.rs
@@ -2,41 +2,41 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A row's value.
+/// Value of a row.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Value(pub Vec<u8>);
 
-/// A row as it stands.
+/// A row of the table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
-    /// Its key.
+    /// Key of the row.
     pub key: String,
-    /// Changes with each write; never 0.
+    /// Version, which changes with each write and is never 0.
     pub version: u64,
-    /// Its value.
+    /// Value of the row.
     pub value: Value,
 }
 
-/// A row's version, 0 for "there is none".
+/// Key of a row and its version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RowVersion {
-    /// The row's key.
+    /// Key of the row.
     pub key: String,
-    /// Its version.
+    /// Version of the row; 0 if it does not exist.
     pub version: u64,
 }
 
-/// One instance of the list.
+/// An entry of the instance list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instance {
-    /// Its id.
+    /// Id of the instance.
     pub id: String,
-    /// Where its worker takes links, as `IP:port`.
+    /// Address of its worker, as `IP:port`.
     pub addr: String,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: String,
-    /// Its rack.
+    /// Rack of the instance.
     pub rack: String,
-    /// Whether it is leaving.
+    /// Whether the instance is about to leave.
     pub leaving: bool,
 }
--- a/crates/hollowford-platform/src/store.rs
+++ b/crates/hollowford-platform/src/store.rs
@@ -1,7 +1,7 @@
-//! The table, the objects and the instance list as the processes of `serve` use them.
+//! Access to the table, the object store and the instance list for the processes of `serve`.
 //!
-//! There is one client of the store, that of the users' platform; this adds the table and
-//! part in which the rows lie, a time limit and a count of the calls.
+//! Wraps the store client of `hollowford-adapter`, and adds the names of the table and part that
+//! contain the rows, a timeout and counters of the calls.
 
 use crate::rows::{Instance, Row, RowVersion, Value};
 use hollowford_adapter::{
@@ -13,20 +13,21 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Table of the rows.
+/// Name of the table that contains the rows.
 const CELL_TABLE: &str = "cell";
-/// Part of the table: all rows are in one, since transactions join rows of all kinds.
+/// Name of the part of the table that contains all rows. There is only one, since a transaction can
+/// change rows of all kinds but of a single part.
 const PART: &str = "";
-/// Position of the rack in a worker's labels; its kind comes first.
+/// Index of the rack in a worker's labels; the first label is the worker's kind.
 const RACK_LABEL_INDEX: usize = 1;
 
-/// Why a call to the store gave no answer.
+/// Error of a call to the store.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The call failed or took too long; a write may have taken effect.
+    /// The call failed or timed out; a write may have taken effect.
     #[error("store: {0}")]
     Unanswered(String),
-    /// The store refused the call as wrong; it had no effect.
+    /// The store rejected the call as invalid; it had no effect.
     #[error("store refused: {0}")]
     Refused(String),
 }
@@ -36,7 +37,7 @@
         use hollowford_adapter::StoreError as AdapterError;
         let text = e.to_string();
         match e {
-            // 429 and 5xx are the store's state and not the call's fault: it is tried again.
+            // 429 and 5xx are caused by the state of the store, not by the call: it is retried.
             AdapterError::Refused(status) if status != 429 && status < 500 => {
                 StoreError::Refused(text)
             }
@@ -45,19 +46,19 @@
     }
 }
 
-/// A transaction being put together.
+/// Builder of a transaction.
 #[derive(Clone, Debug, Default)]
 pub struct Txn {
     tx: Transaction,
 }
 
 impl Txn {
-    /// Starts an empty transaction.
+    /// Creates an empty transaction.
     pub fn new() -> Txn {
         Txn::default()
     }
 
-    /// Requires the row to have this version; 0: to be absent.
+    /// Requires a row to have this version, where 0 means that it must not exist.
     pub fn check(mut self, key: impl Into<String>, version: u64) -> Txn {
         self.tx.expect.push(Expect { key: key.into(), version });
         self
@@ -76,23 +77,23 @@
     }
 }
 
-/// What came of a transaction.
+/// Outcome of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TxnResult {
-    /// Made; the written rows have this version.
+    /// Committed; the written rows have this version.
     Committed(u64),
-    /// Not made; these rows were not as expected.
+    /// Not committed; these rows did not have the expected versions.
     Conflict(Vec<RowVersion>),
 }
 
-/// Calls made since the start, for the budget of the store.
+/// Number of calls since the start, reported for the budget of store calls.
 #[derive(Debug, Default)]
 struct CallCounts {
     reads: AtomicU64,
     writes: AtomicU64,
 }
 
-/// Client of the platform's services. Cheap to clone.
+/// Client of the platform's services. Cheap to clone; clones share the call counters.
 #[derive(Clone, Debug)]
 pub struct Platform {
     store: StoreClient,
@@ -101,11 +102,10 @@
 }
 
 impl Platform {
-    /// Makes a client of the platform at `addr` (`IP:port`), whose calls take
-    /// `timeout` at most.
+    /// Creates a client of the platform at `addr` (`IP:port`). `timeout` applies to each call.
     ///
     /// # Errors
-    /// `Refused` when the address can't be read or the HTTP client can't be made.
+    /// `Refused` if the address is invalid or the HTTP client cannot be created.
     pub fn new(addr: &str, timeout: Duration) -> Result<Platform, StoreError> {
         let refused = |e: &dyn std::fmt::Display| StoreError::Refused(format!("{addr}: {e}"));
         let addr: SocketAddr = addr.parse().map_err(|e| refused(&e))?;
@@ -113,7 +113,7 @@
         Ok(Platform { store, timeout, call_counts: Arc::default() })
     }
 
-    /// Returns the reads and writes sent since the start.
+    /// Returns the numbers of reads and writes sent since the start.
     pub fn call_counts(&self) -> (u64, u64) {
         let c = &self.call_counts;
         (c.reads.load(Ordering::Relaxed), c.writes.load(Ordering::Relaxed))
@@ -130,7 +130,8 @@
     /// Runs a transaction.
     ///
     /// # Errors
-    /// `Unanswered`: it may have been made; read back to find out. `Refused`: it was not.
+    /// `Unanswered`: the transaction may have been committed; read its rows to find out. `Refused`:
+    /// it was not committed.
     pub async fn txn(&self, txn: &Txn) -> Result<TxnResult, StoreError> {
         self.count_write();
         Ok(match self.store.transact(CELL_TABLE, PART, &txn.tx, self.timeout).await? {
@@ -141,7 +142,7 @@
         })
     }
 
-    /// Reads rows by key, one after the other; absent ones are left out.
+    /// Reads rows by key, one after another, and omits rows that do not exist.
     ///
     /// # Errors
     /// `Unanswered` or `Refused`.
@@ -153,7 +154,7 @@
         Ok(rows)
     }
 
-    /// Reads one row.
+    /// Reads one row; returns `None` if it does not exist.
     ///
     /// # Errors
     /// `Unanswered` or `Refused`.
@@ -163,7 +164,7 @@
         Ok(row.map(Row::from))
     }
 
-    /// Reads at most `limit` rows whose keys start with `prefix` and are after `after`.
+    /// Reads the first `limit` rows whose keys start with `prefix` and sort after `after`.
     ///
     /// # Errors
     /// `Unanswered` or `Refused`.
@@ -184,13 +185,13 @@
     /// Writes an object.
     ///
     /// # Errors
-    /// `Unanswered`: it may have been written.
+    /// `Unanswered`: the object may have been written.
     pub async fn put_object(&self, key: &str, value: Vec<u8>) -> Result<(), StoreError> {
         self.count_write();
         Ok(self.store.put_object(key, value, self.timeout).await?)
     }
 
-    /// Reads an object; `None` when there is none.
+    /// Reads an object; returns `None` if it does not exist.
     ///
     /// # Errors
     /// `Unanswered`.
@@ -199,16 +200,16 @@
         Ok(self.store.get_object(key, self.timeout).await?)
     }
 
-    /// Deletes an object, if it is there.
+    /// Deletes an object if it exists.
     ///
     /// # Errors
-    /// `Unanswered`: it may have been deleted.
+    /// `Unanswered`: the object may have been deleted.
     pub async fn delete_object(&self, key: &str) -> Result<(), StoreError> {
         self.count_write();
         Ok(self.store.delete_object(key, self.timeout).await?)
     }
 
-    /// Reads the instance list.
+    /// Reads the instance list. Logs and omits entries that cannot be decoded.
     ///
     /// # Errors
     /// `Unanswered`.
@@ -224,7 +225,8 @@
     }
 }
 
-/// Returns the key after all that start with `prefix`, whose last character is in ASCII.
+/// Returns the first key after all keys that start with `prefix`, whose last character must be
+/// ASCII.
 fn end_of_prefix(prefix: &str) -> String {
     let mut chars: Vec<char> = prefix.chars().collect();
     if let Some(last) = chars.last_mut() {
@@ -233,7 +235,8 @@
     chars.into_iter().collect()
 }
 
-/// Returns the expected rows that are not as expected, as they stand; version 0: absent.
+/// Returns the rows whose versions differ from the expected ones, with their current versions, or 0
+/// if they do not exist.
 fn unmet_expectations(expected: &[Expect], rows: &[hollowford_adapter::Row]) -> Vec<RowVersion> {
     let version = |key: &str| rows.iter().find(|r| r.key == key).map_or(0, |r| r.version);
     let differs = |e: &&Expect| version(&e.key) != e.version;
