--- a/crates/hollowford-platform/src/link.rs
+++ b/crates/hollowford-platform/src/link.rs
@@ -62,9 +62,7 @@
     timeout: Duration,
 ) -> Result<(Orders, Reports, v1::Report), LinkError> {
     let opened = tokio::time::timeout(timeout, open(claim, timeout)).await;
-    opened.map_err(|_| {
-        LinkError::Unreachable("timed out waiting for the reply to the claim".to_owned())
-    })?
+    opened.map_err(|_| LinkError::Unreachable("the claim timed out".to_owned()))?
 }
 
 async fn open(
@@ -88,18 +86,17 @@
         owner: claim.owner.to_owned(),
     };
     let order = v1::Order { order: Some(v1::order::Order::Claim(claim)) };
-    let closed = |_| LinkError::Unreachable("the session was closed".to_owned());
+    let closed = |_| LinkError::Unreachable("session closed".to_owned());
     tx.send(order).await.map_err(closed)?;
     let reply = WorkerClient::new(channel).attach(ReceiverStream::new(rx)).await?;
     let mut reports = reply.into_inner();
-    let first = reports.message().await?.ok_or_else(|| {
-        LinkError::Unreachable("the session was closed before the reply to the claim".to_owned())
-    })?;
+    let first = reports
+        .message()
+        .await?
+        .ok_or_else(|| LinkError::Unreachable("closed before the claim reply".to_owned()))?;
     match &first.report {
         Some(v1::report::Report::Claimed(c)) if c.accepted => Ok((tx, reports, first)),
         Some(v1::report::Report::Claimed(_)) => Err(LinkError::Deposed),
-        _ => {
-            Err(LinkError::Unreachable("the first report was not a reply to the claim".to_owned()))
-        }
+        _ => Err(LinkError::Unreachable("the first report is not a claim reply".to_owned())),
     }
 }
