--- a/crates/hollowford-config/src/settings.rs
+++ b/crates/hollowford-config/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one process.
+//! Settings of a process.
 
 use crate::policy::read_policy;
 use crate::reader::{Document, Section, SettingsError};
@@ -8,64 +8,64 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Everything that a process is told at its start.
+/// Validated settings of a process.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Id of the process, unique in the cell.
     pub process: String,
     /// Availability zone of its instance.
     pub zone: String,
-    /// Where it listens.
+    /// Addresses on which it listens.
     pub listen: Listen,
-    /// Encryption towards callers; `None`: plain text.
+    /// TLS for callers; `None` means plain text.
     pub tls: Option<TlsSettings>,
-    /// Where the platform is.
+    /// Address and timeout of the platform's services.
     pub platform: PlatformSettings,
     /// Number of partitions, the same in every process of the cell.
     pub partitions: u32,
     /// How workers are divided among the partitions.
     pub partition_by: PartitionBy,
-    /// Key shared by the processes of the cell.
+    /// Secret shared by the processes of the cell, used to authenticate each other.
     pub peer_key: Secret,
     /// SHA-256 of the operator token, in lower-case hex.
     pub operator_token_sha256: String,
-    /// Ownership of partitions.
+    /// Times of partition ownership.
     pub lease: Lease,
-    /// What the process may spend of the store.
+    /// Limits on the use of the store.
     pub store: StoreBudget,
-    /// The decisions.
+    /// Scheduling policy.
     pub policy: Policy,
 }
 
-/// Where a process listens. Port 0 lets the system choose.
+/// Addresses on which a process listens. With port 0, the operating system chooses the port.
 #[derive(Clone, Copy, Debug)]
 pub struct Listen {
-    /// Callers and operators, by gRPC.
+    /// gRPC endpoint for callers and operators.
     pub callers: SocketAddr,
-    /// Other processes of the cell.
+    /// Endpoint for the other processes of the cell.
     pub peers: SocketAddr,
-    /// Metrics, health and state, by HTTP.
+    /// HTTP endpoint for metrics, health and state.
     pub admin: SocketAddr,
 }
 
-/// Encryption towards callers. The files are read again when they change.
+/// TLS for callers. The files are reloaded when they change.
 #[derive(Clone, Debug)]
 pub struct TlsSettings {
-    /// File of the certificate chain, in PEM.
+    /// PEM file with the certificate chain.
     pub certificate: PathBuf,
-    /// File of the private key, in PEM.
+    /// PEM file with the private key.
     pub key: PathBuf,
-    /// File of the roots that callers' certificates must lead to, in PEM; `None`:
-    /// callers need none.
+    /// PEM file with the root certificates for client certificates; `None` if callers need no
+    /// certificate.
     pub client_roots: Option<PathBuf>,
 }
 
-/// Where the platform is.
+/// Address and timeout of the platform's services.
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformSettings {
-    /// The table, the objects and the instance list.
+    /// Address of the table, the object store and the instance list.
     pub address: SocketAddr,
-    /// Longest wait for an answer.
+    /// Timeout of a call.
     pub timeout: Millis,
 }
 
@@ -74,29 +74,30 @@
 pub enum PartitionBy {
     /// By a hash of the instance's id.
     Instance,
-    /// By a hash of the availability zone.
+    /// By a hash of the instance's availability zone.
     Zone,
 }
 
-/// Ownership of partitions.
+/// Times of partition ownership.
 #[derive(Clone, Copy, Debug)]
 pub struct Lease {
-    /// How long an owner decides after it last renewed its row.
+    /// Time for which an owner may make decisions after the last renewal of its row.
     pub ownership: Millis,
-    /// How often it renews.
+    /// Interval between renewals.
     pub renew: Millis,
-    /// How long a process that the store does not answer promises not to take over.
+    /// Time for which a process that gets no answer from the store promises its peers not to take
+    /// over a partition.
     pub promise: Millis,
-    /// Age at which knowledge of the configuration must be confirmed before use.
+    /// Age from which the known configuration must be confirmed before use.
     pub config_fresh: Millis,
 }
 
-/// What the process may spend of the store.
+/// Limits on a process's use of the store.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreBudget {
-    /// Ledger writes a second for each partition that it owns.
+    /// Ledger writes per second for each owned partition.
     pub writes_per_second: u64,
-    /// Ledger records after which a snapshot is taken.
+    /// Number of ledger records after which a snapshot is written.
     pub snapshot_records: u64,
 }
 
@@ -125,7 +126,7 @@
 }
 
 fn read_settings(s: &Section<'_>) -> Result<Settings, SettingsError> {
-    s.only(KEYS)?;
+    s.check_keys(KEYS)?;
     Ok(Settings {
         process: s.text("process", "an id that is unique in the cell")?.to_owned(),
         zone: s.text("zone", "the availability zone of this instance")?.to_owned(),
@@ -145,14 +146,14 @@
     })
 }
 
-fn needed<'a>(s: &Section<'a>, key: &'a str) -> Result<Section<'a>, SettingsError> {
-    let missing = || s.error(&format!("{key:?} is missing"), "see examples/ for a whole file");
+fn required_section<'a>(s: &Section<'a>, key: &'a str) -> Result<Section<'a>, SettingsError> {
+    let missing = || s.error(&format!("{key:?} is missing"), "see examples/ for a complete file");
     s.section(key)?.ok_or_else(missing)
 }
 
 fn read_listen(s: &Section<'_>) -> Result<Listen, SettingsError> {
-    let l = needed(s, "listen")?;
-    l.only(&["callers", "peers", "admin"])?;
+    let l = required_section(s, "listen")?;
+    l.check_keys(&["callers", "peers", "admin"])?;
     Ok(Listen {
         callers: l.address("callers")?,
         peers: l.address("peers")?,
@@ -167,11 +168,11 @@
         let loopback = read_listen(s)?.callers.ip().is_loopback();
         if !loopback && !plain_text {
             let help = "give \"tls\", or set \"plain_text\" to true if the network is trusted";
-            return Err(s.error("callers off this machine would be served in plain text", help));
+            return Err(s.error("callers on other machines would be served in plain text", help));
         }
         return Ok(None);
     };
-    t.only(&["certificate", "key", "client_roots"])?;
+    t.check_keys(&["certificate", "key", "client_roots"])?;
     Ok(Some(TlsSettings {
         certificate: t.text("certificate", HELP)?.into(),
         key: t.text("key", HELP)?.into(),
@@ -180,8 +181,8 @@
 }
 
 fn read_platform(s: &Section<'_>) -> Result<PlatformSettings, SettingsError> {
-    let p = needed(s, "platform")?;
-    p.only(&["address", "timeout_ms"])?;
+    let p = required_section(s, "platform")?;
+    p.check_keys(&["address", "timeout_ms"])?;
     Ok(PlatformSettings {
         address: p.address("address")?,
         timeout: Millis(p.number("timeout_ms", 1_000, 10..=60_000)?),
@@ -193,17 +194,17 @@
         "instance" => Ok(PartitionBy::Instance),
         "zone" => Ok(PartitionBy::Zone),
         other => {
-            let message = format!("partition_by {other:?} is not known");
+            let message = format!("unknown partition_by {other:?}");
             Err(s.error(&message, "\"instance\" or \"zone\""))
         }
     }
 }
 
 fn read_peer_key(s: &Section<'_>) -> Result<Secret, SettingsError> {
-    const SHORTEST: usize = 16;
+    const MIN_KEY_BYTES: usize = 16;
     const HELP: &str = "at least 16 characters, the same in every process of the cell";
     let key = s.text("peer_key", HELP)?;
-    if key.len() < SHORTEST {
+    if key.len() < MIN_KEY_BYTES {
         return Err(s.error("\"peer_key\" is too short", HELP));
     }
     Ok(Secret::new(key))
@@ -214,7 +215,7 @@
     let text = s.text(key, HELP)?;
     let hex = |c: char| c.is_ascii_digit() || ('a'..='f').contains(&c);
     if text.len() != 64 || !text.chars().all(hex) {
-        return Err(s.error(&format!("{key:?} is no SHA-256"), HELP));
+        return Err(s.error(&format!("{key:?} is not a SHA-256 digest"), HELP));
     }
     Ok(text.to_owned())
 }
@@ -229,7 +230,7 @@
     let Some(l) = s.section("lease")? else {
         return Ok(DEFAULT);
     };
-    l.only(&["ownership_ms", "renew_ms", "promise_ms", "config_fresh_ms"])?;
+    l.check_keys(&["ownership_ms", "renew_ms", "promise_ms", "config_fresh_ms"])?;
     let ownership = l.number("ownership_ms", DEFAULT.ownership.0, 100..=60_000)?;
     let renew = l.number("renew_ms", DEFAULT.renew.0, 20..=30_000)?;
     if renew * 2 > ownership {
@@ -250,7 +251,7 @@
     let Some(b) = s.section("store")? else {
         return Ok(DEFAULT);
     };
-    b.only(&["writes_per_second", "snapshot_records"])?;
+    b.check_keys(&["writes_per_second", "snapshot_records"])?;
     let writes = b.number("writes_per_second", DEFAULT.writes_per_second, 1..=10_000)?;
     let records = b.number("snapshot_records", DEFAULT.snapshot_records, 100..=10_000_000)?;
     Ok(StoreBudget { writes_per_second: writes, snapshot_records: records })
--- a/crates/hollowford-jobs/src/accounts.rs
+++ b/crates/hollowford-jobs/src/accounts.rs
@@ -84,14 +84,14 @@
             let idx = self.intern(&a.name);
             let state = &mut self.list[idx as usize];
             state.policy = a.policy;
-            state.allowance.set(f64::from(a.guaranteed_jobs_per_s));
+            state.allowance.set_rate(f64::from(a.guaranteed_jobs_per_s));
         }
     }
 
     /// Counts a submitted job of an account. Returns whether it is within the account's guaranteed
     /// rate.
     pub fn record_job(&mut self, idx: AccountIdx, now: Millis) -> bool {
-        self.list[idx as usize].allowance.note(now)
+        self.list[idx as usize].allowance.count_job(now)
     }
 
     pub fn name(&self, idx: AccountIdx) -> &Arc<str> {
@@ -230,7 +230,10 @@
     /// tasks of each account, limited to the capacity of those workers.
     fn count_unsettled_usage(&mut self) {
         let max_capacity =
-            self.workers.iter().fold(Resources::default(), |max, (_, w)| max.most(&w.capacity));
+            self
+            .workers
+            .iter()
+            .fold(Resources::default(), |max, (_, w)| max.component_max(&w.capacity));
         let mut unclaimed_capacity = Totals::default();
         for &idx in &self.unsettled_workers {
             let capacity = self.workers.get(idx).map_or(max_capacity, |w| w.capacity);
@@ -247,7 +250,7 @@
             by_account.entry(job.account).or_default().plus(&unsettled_usage(job));
         }
         for (idx, tasks) in by_account {
-            self.accounts.add_total_usage(idx, &tasks.least(&unclaimed_capacity));
+            self.accounts.add_total_usage(idx, &tasks.component_min(&unclaimed_capacity));
         }
     }
 }
--- a/crates/hollowford-jobs/src/starts.rs
+++ b/crates/hollowford-jobs/src/starts.rs
@@ -126,7 +126,7 @@
         if answer == StartAnswer::Unanswered {
             w.record_late_start(task, run, now);
         } else {
-            w.answer_times.note(now.since(sent));
+            w.answer_times.record(now.since(sent));
         }
         let Some(h) = w.find_mut(task, run) else { return answer == StartAnswer::Fenced };
         h.call_in_flight = false;
@@ -185,7 +185,7 @@
         if let StartAnswer::Runs(clock) = *answer {
             self.start_acknowledged(idx, clock, now);
             if let Some(w) = self.workers.get_mut(idx) {
-                w.answer_times.note(now.since(sent));
+                w.answer_times.record(now.since(sent));
                 if let Some(h) = w.find_mut(task, run) {
                     h.mark_begun(now);
                 }
