--- a/crates/hollowford-jobs/src/accounts.rs
+++ b/crates/hollowford-jobs/src/accounts.rs
@@ -229,8 +229,7 @@
     /// Counts the tasks that may run on workers that this owner has not claimed: the unsettled
     /// tasks of each account, limited to the capacity of those workers.
     fn count_unsettled_usage(&mut self) {
-        let max_capacity =
-            self
+        let max_capacity = self
             .workers
             .iter()
             .fold(Resources::default(), |max, (_, w)| max.component_max(&w.capacity));
--- a/crates/hollowford-jobs/src/pass.rs
+++ b/crates/hollowford-jobs/src/pass.rs
@@ -34,7 +34,8 @@
     /// Begins a pass over the given candidates.
     pub fn new(now: Millis, may_ask_again: bool, candidates: Vec<CandidateWorker>) -> Pass {
         let positions = candidates.iter().enumerate().map(|(at, c)| (c.idx, at)).collect();
-        let max_free = candidates.iter().fold(Resources::default(), |max, c| max.component_max(&c.free));
+        let max_free =
+            candidates.iter().fold(Resources::default(), |max, c| max.component_max(&c.free));
         Pass {
             now,
             may_ask_again,
