--- a/crates/hollowford-config/src/policy.rs
+++ b/crates/hollowford-config/src/policy.rs
@@ -63,11 +63,11 @@
         gang_drain_after: ms("gang_drain_after_ms", p.gang_drain_after, 24 * HOUR)?,
         preempt_per_second: count("preempt_per_second", p.preempt_per_second.into(), 100_000)?
             as u32,
-        aside_after: count("aside_after", p.aside_after as u64, 100)? as usize,
-        aside_for: ms("aside_for_ms", p.aside_for, HOUR)?,
-        aside_share: s.fraction("aside_share", p.aside_share, 0.0..=1.0)?,
-        keep_answers: ms("keep_answers_ms", p.keep_answers, 24 * HOUR)?,
-        keep_answers_max: count("keep_answers_max", p.keep_answers_max as u64, 1_000_000)? as usize,
+        quarantine_after: count("aside_after", p.quarantine_after as u64, 100)? as usize,
+        quarantine_time: ms("aside_for_ms", p.quarantine_time, HOUR)?,
+        max_quarantined_share: s.fraction("aside_share", p.max_quarantined_share, 0.0..=1.0)?,
+        answer_retention: ms("keep_answers_ms", p.answer_retention, 24 * HOUR)?,
+        max_kept_answers: count("keep_answers_max", p.max_kept_answers as u64, 1_000_000)? as usize,
         packing_tolerance: s.fraction("packing_tolerance", p.packing_tolerance, 0.0..=0.5)?,
         ..p
     })
--- a/crates/hollowford-engine/benches/decisions.rs
+++ b/crates/hollowford-engine/benches/decisions.rs
@@ -10,7 +10,7 @@
 use hollowford_core::prelude::*;
 use hollowford_core::{Kind, Placement};
 use hollowford_engine::{
-    Action, Authority, Claim, EndReport, Engine, Listed, Policy, TaskEnd, TaskResult,
+    Action, Authority, ClaimReport, EndReport, Engine, Policy, TaskEnd, TaskResult, WorkerListing,
 };
 use std::collections::VecDeque;
 use std::time::Instant;
@@ -50,20 +50,25 @@
         let policy = Policy {
             headroom: 0.0,
             queue_bound: 1_000_000,
-            keep_answers_max: 1_000,
+            max_kept_answers: 1_000,
             ..Policy::default()
         };
         let mut engine = Engine::new(PartitionId(0), Epoch(1), policy);
         let mut out = Vec::new();
         engine.activate(Millis(0), &mut out);
         let ids: Vec<InstanceId> = (0..workers).map(|i| format!("w{i}").as_str().into()).collect();
-        let listed: Vec<Listed> = ids
+        let listed: Vec<WorkerListing> = ids
             .iter()
-            .map(|id| Listed { id: id.clone(), zone: "z".into(), rack: "r".into(), leaving: false })
+            .map(|id| WorkerListing {
+                id: id.clone(),
+                zone: "z".into(),
+                rack: "r".into(),
+                leaving: false,
+            })
             .collect();
-        engine.listed(Millis(0), &listed, &mut out);
+        engine.set_worker_list(Millis(0), &listed, &mut out);
         for id in &ids {
-            let claim = Claim {
+            let claim = ClaimReport {
                 incarnation: 1,
                 clock: 1,
                 capacity: CAPACITY,
@@ -71,7 +76,7 @@
                 running: Vec::new(),
                 ended: Vec::new(),
             };
-            engine.claimed(Millis(0), id, &claim, &mut out);
+            engine.worker_claimed(Millis(0), id, &claim, &mut out);
         }
         Bench { engine, running: VecDeque::new(), submitted: 0, now: Millis(1) }
     }
@@ -93,14 +98,14 @@
             match action {
                 Action::Append { seq, .. } => durable = seq,
                 Action::Start { worker, task, .. } => {
-                    self.engine.started(self.now, &worker, &task, &mut out);
+                    self.engine.task_started(self.now, &worker, &task, &mut out);
                     self.running.push_back((worker, task));
                 }
                 _ => {}
             }
         }
         if durable > 0 {
-            self.engine.durable(durable, &mut out);
+            self.engine.set_durable(durable, &mut out);
         }
         if !out.is_empty() {
             self.carry_out(out);
@@ -117,7 +122,7 @@
         loop {
             self.decide();
             self.decide();
-            if !self.engine.has_more(self.now) {
+            if !self.engine.needs_decide(self.now) {
                 return;
             }
         }
@@ -128,7 +133,7 @@
         let (worker, task) = self.running.pop_front().unwrap();
         let report = EndReport { task, end: TaskEnd::Done(TaskResult::default()), ran: Millis(1) };
         let mut out = Vec::new();
-        self.engine.ended(self.now, &worker, &report, &mut out);
+        self.engine.task_ended(self.now, &worker, &report, &mut out);
         self.carry_out(out);
         self.decide();
         self.decide();
--- a/crates/hollowford-engine/benches/memory.rs
+++ b/crates/hollowford-engine/benches/memory.rs
@@ -8,7 +8,7 @@
 use hollowford_core::prelude::*;
 use hollowford_core::{Kind, Placement};
 use hollowford_engine::{
-    Action, Authority, Claim, EndReport, Engine, Listed, Policy, TaskEnd, TaskResult,
+    Action, Authority, ClaimReport, EndReport, Engine, Policy, TaskEnd, TaskResult, WorkerListing,
 };
 
 const PAGE_BYTES: usize = 4_096;
@@ -39,15 +39,15 @@
     let mut out = Vec::new();
     e.activate(Millis(0), &mut out);
     let ids: Vec<InstanceId> = (0..workers).map(|i| format!("w{i}").as_str().into()).collect();
-    let listed = |id: &InstanceId| Listed {
+    let listed = |id: &InstanceId| WorkerListing {
         id: id.clone(),
         zone: "z".into(),
         rack: "r".into(),
         leaving: false,
     };
-    e.listed(Millis(0), &ids.iter().map(listed).collect::<Vec<_>>(), &mut out);
+    e.set_worker_list(Millis(0), &ids.iter().map(listed).collect::<Vec<_>>(), &mut out);
     for id in &ids {
-        let claim = Claim {
+        let claim = ClaimReport {
             incarnation: 1,
             clock: 1,
             capacity: Resources::new(cpu, 1_000_000, 0),
@@ -55,7 +55,7 @@
             running: Vec::new(),
             ended: Vec::new(),
         };
-        e.claimed(Millis(0), id, &claim, &mut out);
+        e.worker_claimed(Millis(0), id, &claim, &mut out);
     }
     e
 }
@@ -66,7 +66,7 @@
         let key = RequestKey::new(&account, &format!("request-{i}"));
         let mut out = Vec::new();
         e.submit(Millis(1), &key, &spec(tasks, cpu), &mut out).unwrap();
-        e.durable(e.last_seq(), &mut out);
+        e.set_durable(e.last_seq(), &mut out);
     }
 }
 
@@ -76,16 +76,16 @@
     loop {
         let mut out = Vec::new();
         e.decide(Millis(1), Authority::Full, &mut out);
-        e.durable(e.last_seq(), &mut out);
+        e.set_durable(e.last_seq(), &mut out);
         e.decide(Millis(1), Authority::Full, &mut out);
         let before = running.len();
         for action in out {
             if let Action::Start { worker, task, .. } = action {
-                e.started(Millis(1), &worker, &task, &mut Vec::new());
+                e.task_started(Millis(1), &worker, &task, &mut Vec::new());
                 running.push((worker, task));
             }
         }
-        if running.len() == before && !e.has_more(Millis(1)) {
+        if running.len() == before && !e.needs_decide(Millis(1)) {
             return running;
         }
     }
@@ -95,8 +95,8 @@
     for (worker, task) in running {
         let report = EndReport { task, end: TaskEnd::Done(TaskResult::default()), ran: Millis(1) };
         let mut out = Vec::new();
-        e.ended(Millis(1), &worker, &report, &mut out);
-        e.durable(e.last_seq(), &mut out);
+        e.task_ended(Millis(1), &worker, &report, &mut out);
+        e.set_durable(e.last_seq(), &mut out);
     }
 }
 
--- a/crates/hollowford-engine/src/choose.rs
+++ b/crates/hollowford-engine/src/choose.rs
@@ -54,7 +54,7 @@
                 best = Some((score, idx));
             }
             compared += 1;
-            if compared as usize >= self.policy.candidates {
+            if compared as usize >= self.policy.max_candidates {
                 break;
             }
         }
--- a/crates/hollowford-engine/src/claim.rs
+++ b/crates/hollowford-engine/src/claim.rs
@@ -1,7 +1,7 @@
 //! The platform's list, claims of workers, and what a claim settles.
 
 use crate::engine::Engine;
-use crate::event::{Action, Claim, Listed, TaskEnd};
+use crate::event::{Action, ClaimReport, TaskEnd, WorkerListing};
 use crate::request::TaskState;
 use crate::worker::{Held, WorkerIdx};
 use hollowford_core::{InstanceId, Millis, TaskId};
@@ -13,7 +13,7 @@
 
 impl Engine {
     /// Takes in the partition's part of the instance list.
-    pub fn listed(&mut self, now: Millis, list: &[Listed], out: &mut Vec<Action>) {
+    pub fn set_worker_list(&mut self, now: Millis, list: &[WorkerListing], out: &mut Vec<Action>) {
         let mut gone: BTreeSet<WorkerIdx> = self.workers.iter().map(|(idx, _)| idx).collect();
         for item in list {
             let idx = self.workers.intern(&item.id);
@@ -44,11 +44,11 @@
 
     /// Takes in a worker's reply to the claim, and settles every task that it should
     /// hold.
-    pub fn claimed(
+    pub fn worker_claimed(
         &mut self,
         now: Millis,
         worker: &InstanceId,
-        claim: &Claim,
+        claim: &ClaimReport,
         out: &mut Vec<Action>,
     ) {
         let idx = self.workers.intern(worker);
@@ -71,15 +71,27 @@
         self.dirty = true;
     }
 
-    fn settle_ended(&mut self, now: Millis, idx: WorkerIdx, claim: &Claim, out: &mut Vec<Action>) {
+    fn settle_ended(
+        &mut self,
+        now: Millis,
+        idx: WorkerIdx,
+        claim: &ClaimReport,
+        out: &mut Vec<Action>,
+    ) {
         let worker = self.workers.get(idx).id.clone();
         for report in &claim.ended {
-            self.ended(now, &worker, report, out);
+            self.task_ended(now, &worker, report, out);
         }
     }
 
     /// Settles what this owner believes the worker holds.
-    fn settle_held(&mut self, now: Millis, idx: WorkerIdx, claim: &Claim, out: &mut Vec<Action>) {
+    fn settle_held(
+        &mut self,
+        now: Millis,
+        idx: WorkerIdx,
+        claim: &ClaimReport,
+        out: &mut Vec<Action>,
+    ) {
         let running: BTreeSet<TaskId> = claim.running.iter().map(|c| c.task).collect();
         let held = self.workers.get(idx).held.clone();
         for h in held {
@@ -96,7 +108,7 @@
 
     fn found_running(&mut self, now: Millis, idx: WorkerIdx, task: &TaskId, out: &mut Vec<Action>) {
         let worker = self.workers.get(idx).id.clone();
-        self.started(now, &worker, task, out);
+        self.task_started(now, &worker, task, out);
         let Some(r) = self.requests.get(&task.request) else {
             return;
         };
@@ -141,7 +153,7 @@
 
     /// Stops tasks that run and that the ledger doesn't know. Their resources count
     /// as taken until they have stopped.
-    fn settle_foreign(&mut self, idx: WorkerIdx, claim: &Claim, out: &mut Vec<Action>) {
+    fn settle_foreign(&mut self, idx: WorkerIdx, claim: &ClaimReport, out: &mut Vec<Action>) {
         let mut foreign = BTreeMap::new();
         for c in &claim.running {
             if self.holder(&c.task) == Some(idx) {
@@ -167,7 +179,7 @@
 
     /// Notes that the session with a worker ended. It takes no new work until it is
     /// claimed again; what it runs is settled then, or when its leases have ended.
-    pub fn lost(&mut self, now: Millis, worker: &InstanceId, out: &mut Vec<Action>) {
+    pub fn session_ended(&mut self, now: Millis, worker: &InstanceId, out: &mut Vec<Action>) {
         let Some(idx) = self.workers.find(worker) else {
             return;
         };
--- a/crates/hollowford-engine/src/durable.rs
+++ b/crates/hollowford-engine/src/durable.rs
@@ -7,7 +7,7 @@
 
 impl Engine {
     /// Notes that the ledger holds every record up to `seq`.
-    pub fn durable(&mut self, seq: u64, out: &mut Vec<Action>) {
+    pub fn set_durable(&mut self, seq: u64, out: &mut Vec<Action>) {
         self.durable_seq = self.durable_seq.max(seq);
         while let Some((s, worker, task)) = self.pending_forgets.pop_front() {
             if s > self.durable_seq {
@@ -27,7 +27,7 @@
 
     /// Notes whether the ledger can be written now. While it can't, nothing new is
     /// accepted or placed.
-    pub fn set_stalled(&mut self, stalled: bool) {
+    pub fn set_ledger_stalled(&mut self, stalled: bool) {
         if self.stalled && !stalled {
             self.dirty = true;
         }
@@ -35,7 +35,7 @@
     }
 
     /// Tells whether the ledger can't be written now.
-    pub fn is_stalled(&self) -> bool {
+    pub fn is_ledger_stalled(&self) -> bool {
         self.stalled
     }
 
@@ -45,7 +45,7 @@
     }
 
     /// Returns how many records the ledger doesn't hold yet.
-    pub fn unsynced(&self) -> u64 {
+    pub fn unsynced_records(&self) -> u64 {
         self.next_seq - 1 - self.durable_seq
     }
 
--- a/crates/hollowford-engine/src/engine.rs
+++ b/crates/hollowford-engine/src/engine.rs
@@ -46,7 +46,7 @@
     /// Requests refused at submission.
     pub refused: u64,
     /// Workers put aside.
-    pub set_aside: u64,
+    pub quarantined: u64,
     /// Reports that fit no attempt that the engine knows.
     pub stale_reports: u64,
     /// Tasks found on workers that the ledger doesn't know.
--- a/crates/hollowford-engine/src/event.rs
+++ b/crates/hollowford-engine/src/event.rs
@@ -178,7 +178,7 @@
     /// A request's view has changed in a way that callers may see.
     Changed(RequestNo),
     /// A request started for the first time: a measurement.
-    Waited {
+    FirstStart {
         /// Kind of the request.
         kind: Kind,
         /// Whether it was urgent.
@@ -190,7 +190,7 @@
 
 /// What a worker's reply to a claim says.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Claim {
+pub struct ClaimReport {
     /// Changes when the worker has lost its memory of tasks.
     pub incarnation: u64,
     /// The worker's clock in milliseconds.
@@ -238,7 +238,7 @@
 
 /// One instance of the platform's list that belongs to the partition.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct WorkerListing {
     /// The instance.
     pub id: InstanceId,
     /// Its availability zone.
--- a/crates/hollowford-engine/src/health.rs
+++ b/crates/hollowford-engine/src/health.rs
@@ -38,7 +38,7 @@
         if !r.failed_on.contains(&idx) {
             r.failed_on.push(idx);
         }
-        if r.failed_on.len() >= self.policy.fault_workers {
+        if r.failed_on.len() >= self.policy.request_fault_after {
             // It fails everywhere: the fault is the request's own.
             for other in std::mem::take(&mut r.failed_on) {
                 self.workers.touch(other).fails.retain(|n| *n != no);
@@ -59,7 +59,7 @@
     /// client accounts or of one whose work ends well elsewhere.
     fn is_suspect(&self, idx: WorkerIdx) -> bool {
         let fails = &self.workers.get(idx).fails;
-        if fails.len() < self.policy.aside_after {
+        if fails.len() < self.policy.quarantine_after {
             return false;
         }
         let mut accounts: Vec<u32> =
@@ -71,13 +71,13 @@
 
     fn put_aside(&mut self, now: Millis, idx: WorkerIdx) {
         const MOST_DOUBLINGS: u32 = 5;
-        let most = (self.workers.len() as f64 * self.policy.aside_share) as u32;
+        let most = (self.workers.len() as f64 * self.policy.max_quarantined_share) as u32;
         if self.workers.get(idx).aside_until.is_some() || self.workers.aside >= most {
             return;
         }
-        let base = self.policy.aside_for.0;
+        let base = self.policy.quarantine_time.0;
         self.workers.aside += 1;
-        self.stats.set_aside += 1;
+        self.stats.quarantined += 1;
         self.workers.update(idx, |w| {
             let wait = base << w.aside_count.min(MOST_DOUBLINGS);
             w.aside_count += 1;
--- a/crates/hollowford-engine/src/lease.rs
+++ b/crates/hollowford-engine/src/lease.rs
@@ -148,8 +148,8 @@
 
     fn forget_answers(&mut self, now: Millis) {
         while let Some(&(at, no)) = self.answered.front() {
-            let old = now.since(at) >= self.policy.keep_answers;
-            let many = self.answered.len() > self.policy.keep_answers_max;
+            let old = now.since(at) >= self.policy.answer_retention;
+            let many = self.answered.len() > self.policy.max_kept_answers;
             if !old && !many {
                 return;
             }
--- a/crates/hollowford-engine/src/lib.rs
+++ b/crates/hollowford-engine/src/lib.rs
@@ -32,9 +32,9 @@
 
 pub use engine::{Authority, Engine, Stats};
 pub use event::{
-    Action, Change, Claim, ClaimedTask, EndReport, FinalAnswer, Listed, Outcome, Record, TaskEnd,
-    TaskResult, TaskUsage,
+    Action, Change, ClaimReport, ClaimedTask, EndReport, FinalAnswer, Outcome, Record, TaskEnd,
+    TaskResult, TaskUsage, WorkerListing,
 };
 pub use hollowford_accounts::AccountPolicy;
 pub use policy::Policy;
-pub use query::{AccountView, View, WorkerView};
+pub use query::{AccountView, RequestView, WorkerView};
--- a/crates/hollowford-engine/src/place.rs
+++ b/crates/hollowford-engine/src/place.rs
@@ -48,10 +48,10 @@
             self.send_starts(now, out);
         }
         let ledgered = authority == Authority::Full && !self.stalled;
-        if !ledgered && self.is_promised(now) {
+        if !ledgered && self.allows_write_behind(now) {
             self.start_pending_unledgered(now, out);
         }
-        if !self.dirty || !(ledgered || self.is_promised(now)) {
+        if !self.dirty || !(ledgered || self.allows_write_behind(now)) {
             return;
         }
         self.dirty = false;
@@ -61,18 +61,18 @@
         for &class in classes {
             self.serve_class(class, &mut pass, out);
         }
-        if pass.placed >= self.policy.pass_bound {
+        if pass.placed >= self.policy.max_placements_per_pass {
             self.dirty = true;
         }
     }
 
     /// Tells whether another call of [`Engine::decide`] would place more at once.
-    pub fn has_more(&self, now: Millis) -> bool {
-        self.dirty && (!self.stalled || self.is_promised(now))
+    pub fn needs_decide(&self, now: Millis) -> bool {
+        self.dirty && (!self.stalled || self.allows_write_behind(now))
     }
 
     fn serve_class(&mut self, class: Class, pass: &mut Pass, out: &mut Vec<Action>) {
-        while pass.placed < self.policy.pass_bound {
+        while pass.placed < self.policy.max_placements_per_pass {
             let Some(account) = self.accounts.next(class, pass.no, &self.workers.whole) else {
                 return;
             };
--- a/crates/hollowford-engine/src/policy.rs
+++ b/crates/hollowford-engine/src/policy.rs
@@ -30,7 +30,7 @@
     /// Requests of one client account that are tried in one pass.
     pub lookahead: usize,
     /// Placements in one pass, so that a pass stays short.
-    pub pass_bound: usize,
+    pub max_placements_per_pass: usize,
     /// Time after which past use counts half in the order of client accounts.
     pub share_half_life: Millis,
     /// Waiting time after which a gang's reservation takes no more backfill.
@@ -38,24 +38,24 @@
     /// Tasks that may be displaced in one second.
     pub preempt_per_second: u32,
     /// Different requests that must fail on a worker before it is put aside.
-    pub aside_after: usize,
+    pub quarantine_after: usize,
     /// Time until a worker that was put aside is tried with one task.
-    pub aside_for: Millis,
+    pub quarantine_time: Millis,
     /// Largest part of the workers that may be put aside at once, 0 to 1.
-    pub aside_share: f64,
+    pub max_quarantined_share: f64,
     /// Different workers on which a request must fail for the fault to be its own.
-    pub fault_workers: usize,
+    pub request_fault_after: usize,
     /// How long a final answer is kept.
-    pub keep_answers: Millis,
+    pub answer_retention: Millis,
     /// Final answers that are kept at most.
-    pub keep_answers_max: usize,
+    pub max_kept_answers: usize,
     /// Records that may wait for the ledger before new work is refused.
     pub unsynced_bound: u64,
     /// Difference in the order of client accounts within which the better fit goes
     /// first, as a part of the cell; 0: the order alone decides.
     pub packing_tolerance: f64,
     /// Fitting workers that are compared for one task.
-    pub candidates: usize,
+    pub max_candidates: usize,
 }
 
 impl Policy {
@@ -70,7 +70,7 @@
             headroom: 0.0,
             headroom_borrow: true,
             packing_tolerance: 0.02,
-            candidates: 32,
+            max_candidates: 32,
             ..Policy::default()
         }
     }
@@ -91,19 +91,19 @@
             account_queue_bound: 20_000,
             queue_bound: 100_000,
             lookahead: 8,
-            pass_bound: 2_000,
+            max_placements_per_pass: 2_000,
             share_half_life: Millis(600_000),
             gang_drain_after: Millis(20_000),
             preempt_per_second: 400,
-            aside_after: 3,
-            aside_for: Millis(15_000),
-            aside_share: 0.2,
-            fault_workers: 3,
-            keep_answers: Millis(600_000),
-            keep_answers_max: 50_000,
+            quarantine_after: 3,
+            quarantine_time: Millis(15_000),
+            max_quarantined_share: 0.2,
+            request_fault_after: 3,
+            answer_retention: Millis(600_000),
+            max_kept_answers: 50_000,
             unsynced_bound: 50_000,
             packing_tolerance: 0.0,
-            candidates: 16,
+            max_candidates: 16,
         }
     }
 }
--- a/crates/hollowford-engine/src/query.rs
+++ b/crates/hollowford-engine/src/query.rs
@@ -12,7 +12,7 @@
 
 /// A request as its caller may see it.
 #[derive(Clone, Debug)]
-pub struct View<'a> {
+pub struct RequestView<'a> {
     /// The caller's name for it.
     pub key: &'a RequestKey,
     /// Grows with each change.
@@ -96,7 +96,7 @@
 
     /// Tells whether a caller that waits for the end has its answer: the final one
     /// is durable, or all tasks of a service run.
-    pub fn is_settled(&self, no: RequestNo) -> bool {
+    pub fn is_wait_over(&self, no: RequestNo) -> bool {
         self.requests.get(&no).is_some_and(|r| {
             let serves = r.is_service() && !r.cancelled && r.running as usize == r.tasks.len();
             self.answer_of(r).is_some() || serves
@@ -108,7 +108,7 @@
     }
 
     /// Returns a request's view.
-    pub fn view(&self, no: RequestNo) -> Option<View<'_>> {
+    pub fn view(&self, no: RequestNo) -> Option<RequestView<'_>> {
         let r = self.requests.get(&no)?;
         let answer = self.answer_of(r);
         let results = match answer {
@@ -123,7 +123,7 @@
             workers.extend(r.placing.map(|p| p.worker));
         }
         let queued = r.waiting.len() as u32;
-        Some(View {
+        Some(RequestView {
             key: &r.key,
             version: r.version,
             queued,
--- a/crates/hollowford-engine/src/recover.rs
+++ b/crates/hollowford-engine/src/recover.rs
@@ -209,7 +209,7 @@
     }
 
     /// Returns the epoch part of the first request number that this owner gives.
-    pub fn first_request(&self) -> RequestNo {
+    pub fn first_request_number(&self) -> RequestNo {
         RequestNo::new(Epoch(self.epoch.0), 1)
     }
 }
--- a/crates/hollowford-engine/src/reports.rs
+++ b/crates/hollowford-engine/src/reports.rs
@@ -11,7 +11,7 @@
 
 impl Engine {
     /// Notes a reading of a worker's clock.
-    pub fn heard(&mut self, now: Millis, worker: &InstanceId, clock: u64) {
+    pub fn record_clock(&mut self, now: Millis, worker: &InstanceId, clock: u64) {
         if let Some(idx) = self.workers.find(worker) {
             let w = self.workers.touch(idx);
             w.clock = clock;
@@ -20,7 +20,7 @@
     }
 
     /// Notes that a task runs.
-    pub fn started(
+    pub fn task_started(
         &mut self,
         now: Millis,
         worker: &InstanceId,
@@ -47,7 +47,7 @@
         }
         if r.first_start.is_none() {
             r.first_start = Some(now);
-            out.push(Action::Waited {
+            out.push(Action::FirstStart {
                 kind: r.spec.kind,
                 urgent: r.spec.urgent,
                 waited: now.since(r.accepted_at),
@@ -57,7 +57,7 @@
     }
 
     /// Notes that a task ended.
-    pub fn ended(
+    pub fn task_ended(
         &mut self,
         now: Millis,
         worker: &InstanceId,
@@ -105,7 +105,7 @@
     }
 
     /// Notes that a worker did not and never will carry out a start.
-    pub fn refused(
+    pub fn start_refused(
         &mut self,
         now: Millis,
         worker: &InstanceId,
@@ -128,7 +128,7 @@
     }
 
     /// Notes what a worker's tasks use, and whether the instance is leaving.
-    pub fn usage(
+    pub fn usage_reported(
         &mut self,
         now: Millis,
         worker: &InstanceId,
--- a/crates/hollowford-engine/src/submit.rs
+++ b/crates/hollowford-engine/src/submit.rs
@@ -149,7 +149,7 @@
 
     /// Cancels every open request of the account that carries the label, in one
     /// pass, and returns how many there were.
-    pub fn cancel_label(
+    pub fn cancel_by_label(
         &mut self,
         now: Millis,
         account: &AccountId,
--- a/crates/hollowford-engine/src/unledgered.rs
+++ b/crates/hollowford-engine/src/unledgered.rs
@@ -18,7 +18,7 @@
 impl Engine {
     /// Notes until when every member has promised not to take over; zero when one
     /// of them has not.
-    pub fn set_promised(&mut self, until: Millis) {
+    pub fn set_no_takeover_until(&mut self, until: Millis) {
         if until > self.promised_until {
             self.dirty = true;
         }
@@ -26,14 +26,14 @@
     }
 
     /// Tells whether unledgered work may be started at `now`.
-    pub fn is_promised(&self, now: Millis) -> bool {
+    pub fn allows_write_behind(&self, now: Millis) -> bool {
         self.stalled && self.promised_until > now + self.policy.drift_margin
     }
 
     /// Tells whether a request is to go on without the ledger.
     pub(crate) fn goes_unledgered(&self, now: Millis, spec: &Spec) -> bool {
         let check = spec.kind == Kind::Check && spec.repeatable && spec.tasks == 1;
-        check && self.is_promised(now) && self.fits_promise(now, spec)
+        check && self.allows_write_behind(now) && self.fits_promise(now, spec)
     }
 
     /// Tells whether a task is expected to end before the promises do.
--- a/crates/hollowford-engine/tests/common/mod.rs
+++ b/crates/hollowford-engine/tests/common/mod.rs
@@ -8,7 +8,7 @@
 
 use hollowford_core::prelude::*;
 use hollowford_core::{Kind, Placement};
-use hollowford_engine::{Action, Authority, Engine, FinalAnswer, Listed, Policy, Record};
+use hollowford_engine::{Action, Authority, Engine, FinalAnswer, Policy, Record, WorkerListing};
 use judge::Judge;
 use std::collections::{BTreeMap, VecDeque};
 use worker::{FakeWorker, Order};
@@ -108,11 +108,11 @@
         self.workers.keys().nth(n).cloned().unwrap()
     }
 
-    fn listed(&self) -> Vec<Listed> {
+    fn listed(&self) -> Vec<WorkerListing> {
         self.workers
             .iter()
             .filter(|(_, w)| !w.unlisted)
-            .map(|(id, w)| Listed {
+            .map(|(id, w)| WorkerListing {
                 id: id.clone(),
                 zone: "zone".into(),
                 rack: w.rack.as_str().into(),
@@ -130,7 +130,7 @@
         }
         let mut out = Vec::new();
         engine.activate(self.now, &mut out);
-        engine.listed(self.now, &self.listed(), &mut out);
+        engine.set_worker_list(self.now, &self.listed(), &mut out);
         let owner = Owner {
             engine,
             epoch: self.epoch,
@@ -154,7 +154,7 @@
     pub fn promise(&mut self, ms: u64) {
         self.promised_until = self.promised_until.max(self.now + Millis(ms));
         let until = self.promised_until;
-        self.engine().set_promised(until);
+        self.engine().set_no_takeover_until(until);
     }
 
     /// The newest owner.
@@ -209,7 +209,7 @@
             return;
         }
         let mut out = Vec::new();
-        owner.engine.set_stalled(stalled);
+        owner.engine.set_ledger_stalled(stalled);
         owner.engine.tick(now, authority, &mut out);
         owner.engine.decide(now, authority, &mut out);
         self.carry_out(i, out);
@@ -231,7 +231,7 @@
             self.ledger.push(record);
         }
         let mut out = Vec::new();
-        owner.engine.durable(seq, &mut out);
+        owner.engine.set_durable(seq, &mut out);
         self.carry_out(i, out);
     }
 
@@ -241,7 +241,7 @@
             match action {
                 Action::Append { seq, record } => self.owners[i].pending.push_back((seq, record)),
                 Action::Changed(no) => self.see_answer(i, no),
-                Action::Waited { .. } => {}
+                Action::FirstStart { .. } => {}
                 order => self.send(i, order),
             }
         }
@@ -293,7 +293,7 @@
         owner.sessions.insert(id.clone(), session);
         owner.orders.insert(id.clone(), VecDeque::new());
         let mut out = Vec::new();
-        owner.engine.claimed(now, id, &claim, &mut out);
+        owner.engine.worker_claimed(now, id, &claim, &mut out);
         self.carry_out(i, out);
     }
 
@@ -306,7 +306,7 @@
         }
         owner.orders.remove(id);
         let mut out = Vec::new();
-        owner.engine.lost(now, id, &mut out);
+        owner.engine.session_ended(now, id, &mut out);
         self.carry_out(i, out);
     }
 
@@ -341,17 +341,17 @@
         let now = self.now;
         let mut out = Vec::new();
         let engine = &mut self.owners[i].engine;
-        engine.heard(now, id, reports.clock);
+        engine.record_clock(now, id, reports.clock);
         for task in &reports.started {
-            engine.started(now, id, task, &mut out);
+            engine.task_started(now, id, task, &mut out);
         }
         for end in &reports.ended {
-            engine.ended(now, id, end, &mut out);
+            engine.task_ended(now, id, end, &mut out);
         }
         for task in &reports.refused {
-            engine.refused(now, id, task, &mut out);
+            engine.start_refused(now, id, task, &mut out);
         }
-        engine.usage(now, id, reports.leaving, &[], &mut out);
+        engine.usage_reported(now, id, reports.leaving, &[], &mut out);
         if reports.leaving {
             let epoch = self.owners[i].epoch;
             self.workers.get_mut(id).unwrap().told_leaving.insert(epoch);
--- a/crates/hollowford-engine/tests/common/worker.rs
+++ b/crates/hollowford-engine/tests/common/worker.rs
@@ -2,7 +2,7 @@
 
 use super::judge::Judge;
 use hollowford_core::prelude::*;
-use hollowford_engine::{Action, Claim, ClaimedTask, EndReport, TaskEnd, TaskResult};
+use hollowford_engine::{Action, ClaimReport, ClaimedTask, EndReport, TaskEnd, TaskResult};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -136,7 +136,7 @@
         epoch: Epoch,
         session: u64,
         judge: &mut Judge,
-    ) -> Option<Claim> {
+    ) -> Option<ClaimReport> {
         if epoch < self.epoch {
             return None;
         }
@@ -148,7 +148,7 @@
             .running
             .iter()
             .map(|(task, r)| ClaimedTask { task: *task, resources: r.spec.per_task });
-        Some(Claim {
+        Some(ClaimReport {
             incarnation: self.incarnation,
             clock: self.clock(now),
             capacity: self.capacity,
--- a/crates/hollowford-engine/tests/loads/engine_run.rs
+++ b/crates/hollowford-engine/tests/loads/engine_run.rs
@@ -6,7 +6,7 @@
 use hollowford_core::Kind;
 use hollowford_core::prelude::*;
 use hollowford_engine::{
-    Action, Authority, Claim, EndReport, Engine, Listed, Policy, TaskEnd, TaskResult,
+    Action, Authority, ClaimReport, EndReport, Engine, Policy, TaskEnd, TaskResult, WorkerListing,
 };
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -65,20 +65,20 @@
     fn claim_all(&mut self) {
         let mut out = Vec::new();
         self.engine.activate(Millis(0), &mut out);
-        let listed: Vec<Listed> = self
+        let listed: Vec<WorkerListing> = self
             .ids
             .iter()
             .enumerate()
-            .map(|(i, id)| Listed {
+            .map(|(i, id)| WorkerListing {
                 id: id.clone(),
                 zone: "zone".into(),
                 rack: format!("rack-{}", i / self.load.per_rack).as_str().into(),
                 leaving: false,
             })
             .collect();
-        self.engine.listed(Millis(0), &listed, &mut out);
+        self.engine.set_worker_list(Millis(0), &listed, &mut out);
         for id in &self.ids {
-            let claim = Claim {
+            let claim = ClaimReport {
                 incarnation: 1,
                 clock: CLOCK,
                 capacity: self.load.capacity,
@@ -86,7 +86,7 @@
                 running: Vec::new(),
                 ended: Vec::new(),
             };
-            self.engine.claimed(Millis(0), id, &claim, &mut out);
+            self.engine.worker_claimed(Millis(0), id, &claim, &mut out);
         }
         self.carry_out(out);
     }
@@ -114,7 +114,7 @@
                 if let Some(w) = waves.next() {
                     let mut out = Vec::new();
                     let account = AccountId::from(w.account);
-                    self.engine.cancel_label(Millis(self.now), &account, w.label, &mut out);
+                    self.engine.cancel_by_label(Millis(self.now), &account, w.label, &mut out);
                     self.carry_out(out);
                 }
             }
@@ -157,7 +157,7 @@
 
     fn hear_all(&mut self) {
         for id in &self.ids {
-            self.engine.heard(Millis(self.now), id, CLOCK + self.now);
+            self.engine.record_clock(Millis(self.now), id, CLOCK + self.now);
         }
     }
 
@@ -166,7 +166,7 @@
             let mut out = Vec::new();
             self.engine.decide(Millis(self.now), Authority::Full, &mut out);
             self.carry_out(out);
-            if !self.engine.has_more(Millis(self.now)) {
+            if !self.engine.needs_decide(Millis(self.now)) {
                 return;
             }
         }
@@ -184,7 +184,7 @@
             };
             let mut out = Vec::new();
             match due {
-                Due::Durable(seq) => self.engine.durable(seq, &mut out),
+                Due::Durable(seq) => self.engine.set_durable(seq, &mut out),
                 Due::Finish { worker, task, failed } => {
                     // It may have been stopped before its end.
                     if self.running.remove(&task).is_some() {
@@ -205,7 +205,7 @@
 
     fn ended(&mut self, worker: usize, task: TaskId, end: TaskEnd, out: &mut Vec<Action>) {
         let report = EndReport { task, end, ran: Millis(0) };
-        self.engine.ended(Millis(self.now), &self.ids[worker], &report, out);
+        self.engine.task_ended(Millis(self.now), &self.ids[worker], &report, out);
     }
 
     fn carry_out(&mut self, actions: Vec<Action>) {
@@ -216,7 +216,7 @@
                 Action::Append { seq, .. } => durable = Some(seq),
                 Action::Start { worker, task, .. } => self.start(&worker, task, &mut more),
                 Action::Stop { worker, task, .. } => self.stop(&worker, task),
-                Action::Waited { kind, waited, .. } => self.measures.waited(kind, waited.0),
+                Action::FirstStart { kind, waited, .. } => self.measures.waited(kind, waited.0),
                 _ => {}
             }
         }
@@ -238,7 +238,7 @@
     fn start(&mut self, worker: &InstanceId, task: TaskId, out: &mut Vec<Action>) {
         let i = index_of(worker);
         self.running.insert(task, i);
-        self.engine.started(Millis(self.now), worker, &task, out);
+        self.engine.task_started(Millis(self.now), worker, &task, out);
         let failed = i < self.load.bad;
         let true_ms = self.truth[&task.request];
         if failed {
@@ -285,7 +285,7 @@
         self.measures.placed = s.placed;
         self.measures.preempted = s.preempted;
         self.measures.preempted_ms = s.preempted_ms;
-        self.measures.set_aside = s.set_aside;
+        self.measures.set_aside = s.quarantined;
         self.measures.failed = s.failed;
         self.measures.ended_at = self.now;
         self.measures
--- a/crates/hollowford-engine/tests/placing.rs
+++ b/crates/hollowford-engine/tests/placing.rs
@@ -149,7 +149,7 @@
         world.submit_as(&account, &format!("job-{i}"), &spec(Kind::Batch, 2, 1_000, 300)).unwrap();
     }
     world.run(20_000);
-    assert!(world.engine().stats().set_aside >= 1);
+    assert!(world.engine().stats().quarantined >= 1);
     let (_, open) = world.engine().requests();
     assert_eq!(open, 0);
     let failed = world.engine().stats().failed;
@@ -184,7 +184,7 @@
     world.settle();
     let now = world.now;
     let mut out = Vec::new();
-    let n = world.engine().cancel_label(now, &AccountId::from("account"), "season", &mut out);
+    let n = world.engine().cancel_by_label(now, &AccountId::from("account"), "season", &mut out);
     assert_eq!(n, 50);
     let last = world.owners.len() - 1;
     world.carry_out(last, out);
@@ -207,10 +207,10 @@
     let use_of = |task, cpu_milli, memory_mib| TaskUsage { task, cpu_milli, memory_mib };
     let mut out = Vec::new();
     let honest = [use_of(tasks[0], 1_050, 105), use_of(tasks[1], 900, 90)];
-    world.engine().usage(now, &id, false, &honest, &mut out);
+    world.engine().usage_reported(now, &id, false, &honest, &mut out);
     assert!(out.is_empty(), "{out:?}");
     let greedy = [use_of(tasks[0], 2_000, 90), use_of(tasks[1], 1_000, 200)];
-    world.engine().usage(now, &id, false, &greedy, &mut out);
+    world.engine().usage_reported(now, &id, false, &greedy, &mut out);
     assert!(matches!(out[0], Action::Throttle { cpu_milli: 1_000, .. }), "{out:?}");
     assert!(matches!(out[1], Action::Stop { .. }), "{out:?}");
     let last = world.owners.len() - 1;
@@ -275,7 +275,7 @@
     // Once the promises have ended there is nothing to do, however much waits.
     world.run(5_000);
     let now = world.now;
-    assert!(!world.engine().has_more(now));
+    assert!(!world.engine().needs_decide(now));
     world.stalled = false;
     world.run(500);
     let engine = world.engine();
--- a/crates/hollowford-engine/tests/recovery.rs
+++ b/crates/hollowford-engine/tests/recovery.rs
@@ -7,7 +7,7 @@
 use common::{World, policy, spec};
 use hollowford_core::Kind;
 use hollowford_core::prelude::*;
-use hollowford_engine::{Action, Authority, Claim, ClaimedTask, Engine, Outcome};
+use hollowford_engine::{Action, Authority, ClaimReport, ClaimedTask, Engine, Outcome};
 
 fn once(tasks: u32, run_ms: u64) -> Spec {
     let mut s = spec(Kind::Batch, tasks, 1_000, run_ms);
@@ -247,15 +247,15 @@
     let mut out = Vec::new();
     engine.activate(Millis(1), &mut out);
     let id = InstanceId::from("w");
-    let listed = hollowford_engine::Listed {
+    let listed = hollowford_engine::WorkerListing {
         id: id.clone(),
         zone: "z".into(),
         rack: "r".into(),
         leaving: false,
     };
-    engine.listed(Millis(1), &[listed], &mut out);
+    engine.set_worker_list(Millis(1), &[listed], &mut out);
     let unknown = TaskId { request: RequestNo(7), index: 0, attempt: 1 };
-    let claim = Claim {
+    let claim = ClaimReport {
         incarnation: 1,
         clock: 5,
         capacity: Resources::new(4_000, 8_000, 0),
@@ -264,7 +264,7 @@
         ended: Vec::new(),
     };
     out.clear();
-    engine.claimed(Millis(1), &id, &claim, &mut out);
+    engine.worker_claimed(Millis(1), &id, &claim, &mut out);
     let stop = Action::Stop { worker: id.clone(), task: unknown, checkpoint: false };
     assert!(out.contains(&stop), "{out:?}");
     let key = RequestKey::new(&AccountId::from("a"), "r");
@@ -277,7 +277,7 @@
         end: hollowford_engine::TaskEnd::Stopped("".into()),
         ran: Millis(1),
     };
-    engine.ended(Millis(3), &id, &end, &mut out);
+    engine.task_ended(Millis(3), &id, &end, &mut out);
     out.clear();
     engine.decide(Millis(3), Authority::Full, &mut out);
     assert!(out.iter().any(|a| matches!(a, Action::Append { .. })), "{out:?}");
@@ -361,7 +361,7 @@
     let (seq, record) = world.owners[old].pending.pop_front().unwrap();
     world.ledger.push(record);
     let mut out = Vec::new();
-    world.owners[old].engine.durable(seq, &mut out);
+    world.owners[old].engine.set_durable(seq, &mut out);
     world.carry_out(old, out);
     world.deliver(old, &id);
     world.owners[old].paused = true;
--- a/crates/hollowford-server/src/codec.rs
+++ b/crates/hollowford-server/src/codec.rs
@@ -2,7 +2,7 @@
 
 use hollowford_core::{AccountId, Error, RequestKey, RequestNo, Resources, Spec, TaskId};
 use hollowford_engine::{
-    Action, Change, Claim, ClaimedTask, EndReport, FinalAnswer, Outcome, Record, TaskEnd,
+    Action, Change, ClaimReport, ClaimedTask, EndReport, FinalAnswer, Outcome, Record, TaskEnd,
     TaskResult, TaskUsage,
 };
 use hollowford_protocol::{ledger, spec_to_wire, v1};
@@ -201,19 +201,21 @@
         Action::Throttle { task, cpu_milli, .. } => {
             Order::Throttle(v1::Throttle { task: Some(task_to_wire(task)), cpu_milli: *cpu_milli })
         }
-        Action::Append { .. } | Action::Changed(_) | Action::Waited { .. } => return None,
+        Action::Append { .. } | Action::Changed(_) | Action::FirstStart { .. } => {
+            return None;
+        }
     };
     Some(v1::Order { order: Some(order) })
 }
 
 /// Turns a worker's reply to a claim into the engine's.
-pub fn claim_from_wire(reply: &v1::ClaimReply, clock: u64) -> Claim {
+pub fn claim_from_wire(reply: &v1::ClaimReply, clock: u64) -> ClaimReport {
     let running = reply.running.iter().filter_map(|r| {
         let task = task_from_wire(r.task.as_ref()?);
         let resources = Resources::new(r.cpu_milli, r.memory_mib, r.accelerators);
         Some(ClaimedTask { task, resources })
     });
-    Claim {
+    ClaimReport {
         incarnation: reply.incarnation,
         clock,
         capacity: Resources::new(reply.cpu_milli, reply.memory_mib, reply.accelerators),
--- a/crates/hollowford-server/src/decide/calls.rs
+++ b/crates/hollowford-server/src/decide/calls.rs
@@ -75,7 +75,7 @@
     check_request_id(&req.request_id)?;
     let missing = || Error::new(ErrorKind::Invalid, "spec is missing");
     let spec = Spec::try_from(req.spec.as_ref().ok_or_else(missing)?)?;
-    if !owned.engine.is_promised(now) {
+    if !owned.engine.allows_write_behind(now) {
         check_may_change(owned, now)?;
     }
     let key = RequestKey::new(account, &req.request_id);
@@ -113,7 +113,7 @@
 fn wait(owned: &mut Owned, now: Millis, no: RequestNo, until: Until, reply: ReplyTo) {
     let expires_at = now + LONGEST_WAIT;
     owned.waiters.add(no, Waiter { until, expires_at, reply });
-    let settled = owned.engine.is_settled(no);
+    let settled = owned.engine.is_wait_over(no);
     let version = owned.engine.view(no).map_or(0, |v| v.version);
     owned.answer(no, |w| match w.until {
         Until::Above(v) => version > v,
@@ -123,7 +123,7 @@
 
 /// Answers when the ledger holds the record at `seq`.
 fn when_durable(owned: &mut Owned, seq: u64, what: Durably, reply: ReplyTo) {
-    let stalled = owned.engine.is_stalled();
+    let stalled = owned.engine.is_ledger_stalled();
     if let Durably::View(no) = what
         && (seq <= owned.ledger.durable() || (stalled && owned.engine.is_accepted(no)))
     {
@@ -170,7 +170,7 @@
         let _ = reply.send(Err(e));
         return;
     }
-    let n = owned.engine.cancel_label(now, account, &req.label, &mut owned.out);
+    let n = owned.engine.cancel_by_label(now, account, &req.label, &mut owned.out);
     let seq = owned.engine.last_seq();
     if seq <= owned.ledger.durable() {
         let _ = reply.send(Ok(Said::Cancelled(v1::CancelByLabelReply { cancelled: n })));
--- a/crates/hollowford-server/src/decide/duty.rs
+++ b/crates/hollowford-server/src/decide/duty.rs
@@ -31,7 +31,7 @@
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         let now = shared.clock.now();
-        let busy = duty.owned.values().any(|o| o.engine.has_more(now));
+        let busy = duty.owned.values().any(|o| o.engine.needs_decide(now));
         let ticked = tokio::select! {
             biased;
             _ = ticks.tick() => true,
--- a/crates/hollowford-server/src/decide/owned.rs
+++ b/crates/hollowford-server/src/decide/owned.rs
@@ -10,7 +10,7 @@
 use crate::workers::{Addressed, WorkerMsg};
 use hollowford_config::PartitionBy;
 use hollowford_core::{Error, ErrorKind, InstanceId, Millis, PartitionId, RequestNo, hash64};
-use hollowford_engine::{Action, Authority, Engine, Listed, Record, Stats};
+use hollowford_engine::{Action, Authority, Engine, Record, Stats, WorkerListing};
 use hollowford_platform::rows::Instance;
 use hollowford_protocol::peer::{Said, ViewReply};
 use hollowford_protocol::v1;
@@ -73,29 +73,29 @@
         let s = &self.shared.settings;
         let partition = self.engine.partition();
         let ours = |i: &&Instance| partition_of(i, s.partition_by, s.partitions) == partition;
-        let listed: Vec<Listed> = list
+        let listed: Vec<WorkerListing> = list
             .iter()
             .filter(ours)
-            .map(|i| Listed {
+            .map(|i| WorkerListing {
                 id: i.id.as_str().into(),
                 zone: i.zone.as_str().into(),
                 rack: i.rack.as_str().into(),
                 leaving: i.leaving,
             })
             .collect();
-        self.engine.listed(now, &listed, &mut self.out);
+        self.engine.set_worker_list(now, &listed, &mut self.out);
         self.lose_unlisted(now, &listed);
     }
 
     /// No session is held with workers that are gone from the list, so their tasks
     /// are settled when their leases have ended.
-    fn lose_unlisted(&mut self, now: Millis, listed: &[Listed]) {
+    fn lose_unlisted(&mut self, now: Millis, listed: &[WorkerListing]) {
         let ids: HashSet<&InstanceId> = listed.iter().map(|l| &l.id).collect();
         let gone: Vec<InstanceId> =
             self.sessions.keys().filter(|id| !ids.contains(id)).cloned().collect();
         for worker in gone {
             self.sessions.remove(&worker);
-            self.engine.lost(now, &worker, &mut self.out);
+            self.engine.session_ended(now, &worker, &mut self.out);
         }
     }
 
@@ -104,7 +104,7 @@
         if let Some(v1::report::Report::Claimed(reply)) = &report.report {
             let claim = codec::claim_from_wire(reply, report.clock_ms);
             self.sessions.insert(worker.clone(), session);
-            self.engine.claimed(now, &worker, &claim, &mut self.out);
+            self.engine.worker_claimed(now, &worker, &claim, &mut self.out);
         }
     }
 
@@ -114,23 +114,23 @@
         if self.sessions.get(worker) != Some(&session) {
             return;
         }
-        self.engine.heard(now, worker, r.clock_ms);
+        self.engine.record_clock(now, worker, r.clock_ms);
         let out = &mut self.out;
         match &r.report {
             Some(Report::Started(v1::Started { task: Some(task) })) => {
-                self.engine.started(now, worker, &codec::task_from_wire(task), out);
+                self.engine.task_started(now, worker, &codec::task_from_wire(task), out);
             }
             Some(Report::Ended(ended)) => {
                 if let Some(report) = codec::ended_from_wire(ended) {
-                    self.engine.ended(now, worker, &report, out);
+                    self.engine.task_ended(now, worker, &report, out);
                 }
             }
             Some(Report::Refused(v1::Refused { task: Some(task), .. })) => {
-                self.engine.refused(now, worker, &codec::task_from_wire(task), out);
+                self.engine.start_refused(now, worker, &codec::task_from_wire(task), out);
             }
             Some(Report::Usage(u)) => {
                 let tasks = codec::usage_from_wire(&u.tasks);
-                self.engine.usage(now, worker, u.leaving, &tasks, out);
+                self.engine.usage_reported(now, worker, u.leaving, &tasks, out);
             }
             _ => {}
         }
@@ -140,7 +140,7 @@
     pub fn lost(&mut self, now: Millis, worker: &InstanceId, session: u64) {
         if self.sessions.get(worker) == Some(&session) {
             self.sessions.remove(worker);
-            self.engine.lost(now, worker, &mut self.out);
+            self.engine.session_ended(now, worker, &mut self.out);
         }
     }
 
@@ -149,13 +149,13 @@
         // Without the lease nothing can be written either.
         let lapsed = self.authority(self.shared.clock.now()) != Authority::Full;
         let stalled = self.ledger.stalled() || lapsed;
-        self.engine.set_stalled(stalled);
+        self.engine.set_ledger_stalled(stalled);
         let promised = if stalled { self.shared.promised_until() } else { Millis(0) };
-        self.engine.set_promised(promised);
+        self.engine.set_no_takeover_until(promised);
         let durable = self.ledger.durable();
         if durable > self.durable {
             self.durable = durable;
-            self.engine.durable(durable, &mut self.out);
+            self.engine.set_durable(durable, &mut self.out);
             for (what, reply) in self.waiters.take_durable(durable) {
                 let said = match what {
                     Durably::View(no) => self.view(no).map(Said::View),
@@ -186,7 +186,7 @@
     pub fn tick(&mut self, now: Millis) {
         let authority = self.authority(now);
         self.engine.tick(now, authority, &mut self.out);
-        if self.engine.is_stalled() {
+        if self.engine.is_ledger_stalled() {
             self.waiters.give_up_durable(now);
         }
         for no in self.waiters.requests() {
@@ -209,7 +209,7 @@
 
     /// Answers the calls that wait for this change.
     fn answer_changed(&mut self, no: RequestNo) {
-        let settled = self.engine.is_settled(no);
+        let settled = self.engine.is_wait_over(no);
         let version = self.engine.view(no).map_or(u64::MAX, |v| v.version);
         self.answer(no, |w| match w.until {
             Until::Above(v) => version > v,
@@ -230,7 +230,7 @@
                     records.push(record);
                 }
                 Action::Changed(no) => self.answer_changed(no),
-                Action::Waited { kind, waited, .. } => {
+                Action::FirstStart { kind, waited, .. } => {
                     self.shared.metrics.waited(kind, waited);
                 }
                 order => orders.extend(self.address(&order)),
@@ -252,7 +252,9 @@
             | Action::Stop { worker, .. }
             | Action::Forget { worker, .. }
             | Action::Throttle { worker, .. } => worker,
-            Action::Append { .. } | Action::Changed(_) | Action::Waited { .. } => return None,
+            Action::Append { .. } | Action::Changed(_) | Action::FirstStart { .. } => {
+                return None;
+            }
         };
         let session = *self.sessions.get(worker)?;
         let order = codec::order_to_wire(action)?;
@@ -315,12 +317,12 @@
             "partition": e.partition().0, "epoch": e.epoch().0,
             "authority": format!("{:?}", self.authority(now)),
             "requests_kept": kept, "requests_open": open, "waiting_tasks": e.waiting_tasks(),
-            "unsynced": e.unsynced(), "stalled": self.ledger.stalled(),
+            "unsynced": e.unsynced_records(), "stalled": self.ledger.stalled(),
             "waiting_calls": self.waiters.len(),
             "whole_cpu_milli": whole.cpu_milli, "free_cpu_milli": free.cpu_milli,
             "placed": s.placed, "started": s.started, "withdrawn": s.withdrawn, "done": s.done,
             "failed": s.failed, "lost": s.lost, "preempted": s.preempted, "refused": s.refused,
-            "set_aside": s.set_aside, "stale_reports": s.stale_reports, "foreign": s.foreign,
+            "set_aside": s.quarantined, "stale_reports": s.stale_reports, "foreign": s.foreign,
             "workers": workers, "accounts": accounts,
         })
     }
--- a/crates/hollowford-server/src/views.rs
+++ b/crates/hollowford-server/src/views.rs
@@ -2,12 +2,12 @@
 
 use crate::codec::outcome_to_wire;
 use hollowford_core::ErrorKind;
-use hollowford_engine::{FinalAnswer, TaskResult, View};
+use hollowford_engine::{FinalAnswer, RequestView, TaskResult};
 use hollowford_protocol::peer::{ObjectResult, ViewReply};
 use hollowford_protocol::v1;
 
 /// Turns a request's view into the reply that an entry gets from the owner.
-pub fn view_to_wire(view: &View<'_>) -> ViewReply {
+pub fn view_to_wire(view: &RequestView<'_>) -> ViewReply {
     let mut objects = Vec::new();
     for (index, result) in &view.results {
         if !result.object.is_empty() {
@@ -31,7 +31,7 @@
     ViewReply { view: Some(wire), objects }
 }
 
-fn answer_to_wire(answer: &FinalAnswer, view: &View<'_>) -> v1::Answer {
+fn answer_to_wire(answer: &FinalAnswer, view: &RequestView<'_>) -> v1::Answer {
     let kind = ErrorKind::from_name(&answer.reason);
     let result = |(index, r): &(u32, &TaskResult)| v1::TaskResult {
         index: *index,
