--- a/crates/hollowford-server/src/codec.rs
+++ b/crates/hollowford-server/src/codec.rs
@@ -201,9 +201,7 @@
         Action::Throttle { task, cpu_milli, .. } => {
             Order::Throttle(v1::Throttle { task: Some(task_to_wire(task)), cpu_milli: *cpu_milli })
         }
-        Action::Append { .. } | Action::Changed(_) | Action::FirstStart { .. } => {
-            return None;
-        }
+        Action::Append { .. } | Action::Changed(_) | Action::FirstStart { .. } => return None,
     };
     Some(v1::Order { order: Some(order) })
 }
--- a/crates/hollowford-server/src/decide/owned.rs
+++ b/crates/hollowford-server/src/decide/owned.rs
@@ -252,9 +252,7 @@
             | Action::Stop { worker, .. }
             | Action::Forget { worker, .. }
             | Action::Throttle { worker, .. } => worker,
-            Action::Append { .. } | Action::Changed(_) | Action::FirstStart { .. } => {
-                return None;
-            }
+            Action::Append { .. } | Action::Changed(_) | Action::FirstStart { .. } => return None,
         };
         let session = *self.sessions.get(worker)?;
         let order = codec::order_to_wire(action)?;
