--- a/crates/hollowford-engine/src/account.rs
+++ b/crates/hollowford-engine/src/account.rs
@@ -1,6 +1,6 @@
 //! Client accounts as the engine sees them: configuration, use and queues.
 
-use crate::request::{Class, Lane};
+use crate::request::{PriorityClass, QueueKind};
 use hollowford_accounts::AccountPolicy;
 use hollowford_core::{AccountId, Kind, Millis, RequestNo, Resources, Spec, Totals};
 use std::collections::{HashMap, VecDeque};
@@ -18,15 +18,15 @@
     /// Requests without a final answer.
     pub open: u32,
     /// Requests with waiting tasks, oldest first.
-    pub queues: [VecDeque<RequestNo>; Lane::COUNT],
+    pub queues: [VecDeque<RequestNo>; QueueKind::COUNT],
     /// Pass in which nothing more of the class can be placed.
-    pub blocked_in: [u64; Class::COUNT],
+    pub blocked_in_pass: [u64; PriorityClass::COUNT],
     /// Attempts that ended well and badly of late.
-    ends: (u32, u32),
+    recent_ends: (u32, u32),
     /// Mean of true to declared run time, of late.
-    run_factor: f64,
+    run_time_factor: f64,
     past_share: f64,
-    past_at: Millis,
+    past_share_at: Millis,
 }
 
 impl Account {
@@ -37,50 +37,50 @@
             used: Totals::default(),
             open: 0,
             queues: Default::default(),
-            blocked_in: [0; Class::COUNT],
-            ends: (0, 0),
-            run_factor: 1.0,
+            blocked_in_pass: [0; PriorityClass::COUNT],
+            recent_ends: (0, 0),
+            run_time_factor: 1.0,
             past_share: 0.0,
-            past_at: Millis(0),
+            past_share_at: Millis(0),
         }
     }
 
     /// Folds the share held since the last call into the decayed past.
-    pub fn settle(&mut self, now: Millis, whole: &Totals, half_life: Millis) {
-        let dt = now.since(self.past_at).0 as f64;
+    pub fn update_past_share(&mut self, now: Millis, total_capacity: &Totals, half_life: Millis) {
+        let dt = now.since(self.past_share_at).0 as f64;
         if dt > 0.0 {
             let keep = 0.5_f64.powf(dt / half_life.0.max(1) as f64);
-            let held = self.used.dominant_share(whole);
+            let held = self.used.dominant_share(total_capacity);
             self.past_share = self.past_share * keep + held * (1.0 - keep);
-            self.past_at = now;
+            self.past_share_at = now;
         }
     }
 
     /// Returns the number by which accounts are ordered; the lowest goes first.
-    pub fn order(&self, whole: &Totals) -> f64 {
-        let held = self.used.dominant_share(whole);
+    pub fn share_rank(&self, total_capacity: &Totals) -> f64 {
+        let held = self.used.dominant_share(total_capacity);
         (held + self.past_share) / f64::from(self.policy.weight.max(1))
     }
 
     /// Notes how an attempt ended.
-    pub fn note_end(&mut self, well: bool) {
-        const REMEMBERED: u32 = 64;
-        if self.ends.0 + self.ends.1 >= REMEMBERED {
-            self.ends = (self.ends.0 / 2, self.ends.1 / 2);
+    pub fn record_end(&mut self, succeeded: bool) {
+        const MAX_RECENT_ENDS: u32 = 64;
+        if self.recent_ends.0 + self.recent_ends.1 >= MAX_RECENT_ENDS {
+            self.recent_ends = (self.recent_ends.0 / 2, self.recent_ends.1 / 2);
         }
-        match well {
-            true => self.ends.0 += 1,
-            false => self.ends.1 += 1,
+        match succeeded {
+            true => self.recent_ends.0 += 1,
+            false => self.recent_ends.1 += 1,
         }
     }
 
     /// Learns from a task that ran to its end how true the declared run times are.
-    pub fn note_run(&mut self, declared_ms: u64, ran: Millis) {
-        const WEIGHT: f64 = 0.05;
-        const BOUNDS: (f64, f64) = (0.1, 10.0);
+    pub fn record_run_time(&mut self, declared_ms: u64, ran: Millis) {
+        const NEW_RUN_WEIGHT: f64 = 0.05;
+        const FACTOR_RANGE: (f64, f64) = (0.1, 10.0);
         if declared_ms > 0 {
-            let seen = (ran.0 as f64 / declared_ms as f64).clamp(BOUNDS.0, BOUNDS.1);
-            self.run_factor += (seen - self.run_factor) * WEIGHT;
+            let seen = (ran.0 as f64 / declared_ms as f64).clamp(FACTOR_RANGE.0, FACTOR_RANGE.1);
+            self.run_time_factor += (seen - self.run_time_factor) * NEW_RUN_WEIGHT;
         }
     }
 
@@ -90,18 +90,18 @@
         if spec.run_time_ms == 0 || spec.kind == Kind::Service {
             return Millis::MAX;
         }
-        now + Millis((spec.run_time_ms as f64 * self.run_factor) as u64)
+        now + Millis((spec.run_time_ms as f64 * self.run_time_factor) as u64)
     }
 
     /// Tells whether most of the account's work ends well, so that a failure
     /// speaks against the worker.
-    pub fn is_credible(&self) -> bool {
-        self.ends.0 > self.ends.1
+    pub fn mostly_succeeds(&self) -> bool {
+        self.recent_ends.0 > self.recent_ends.1
     }
 
     /// Tells whether the account has anything queued in a class.
-    pub fn has_queued(&self, class: Class) -> bool {
-        class.lanes().iter().any(|lane| !self.queues[*lane as usize].is_empty())
+    pub fn has_queued(&self, class: PriorityClass) -> bool {
+        class.queue_kinds().iter().any(|queue_kind| !self.queues[*queue_kind as usize].is_empty())
     }
 
     /// Tells whether one more `r`, `count` times, stays within the quota.
@@ -119,7 +119,7 @@
 
 impl Accounts {
     /// Accounts that are compared for one placement.
-    const MOST_NEAR: usize = 8;
+    const MAX_COMPARED_ACCOUNTS: usize = 8;
 
     /// Finds an account, or adds it with the default configuration.
     pub fn intern(&mut self, id: &AccountId) -> AccountIdx {
@@ -150,35 +150,41 @@
 
     /// Returns the accounts that could be served and are at most `tolerance` behind
     /// `first` in order.
-    pub fn near(
+    pub fn close_in_rank(
         &self,
         first: AccountIdx,
         tolerance: f64,
-        class: Class,
+        class: PriorityClass,
         pass: u64,
-        whole: &Totals,
+        total_capacity: &Totals,
     ) -> impl Iterator<Item = AccountIdx> {
-        let limit = self.get(first).order(whole) + tolerance;
+        let limit = self.get(first).share_rank(total_capacity) + tolerance;
         let c = class as usize;
-        let could = move |a: &Account| a.blocked_in[c] != pass && a.has_queued(class);
-        let near = self.list.iter().enumerate();
-        near.filter(move |(_, a)| could(a) && a.order(whole) <= limit)
+        let is_servable = move |a: &Account| a.blocked_in_pass[c] != pass && a.has_queued(class);
+        let close_in_rank = self.list.iter().enumerate();
+        close_in_rank
+            .filter(move |(_, a)| is_servable(a) && a.share_rank(total_capacity) <= limit)
             .map(|(i, _)| i as AccountIdx)
-            .take(Self::MOST_NEAR)
+            .take(Self::MAX_COMPARED_ACCOUNTS)
     }
 
     /// Returns the account to serve next in a class: the lowest in order with a
     /// queue that is not blocked in this pass.
-    pub fn next(&self, class: Class, pass: u64, whole: &Totals) -> Option<AccountIdx> {
+    pub fn next(
+        &self,
+        class: PriorityClass,
+        pass: u64,
+        total_capacity: &Totals,
+    ) -> Option<AccountIdx> {
         let c = class as usize;
         let mut best: Option<(f64, AccountIdx)> = None;
         for (i, a) in self.list.iter().enumerate() {
-            if a.blocked_in[c] == pass || !a.has_queued(class) {
+            if a.blocked_in_pass[c] == pass || !a.has_queued(class) {
                 continue;
             }
-            let order = a.order(whole);
-            if best.is_none_or(|(low, _)| order < low) {
-                best = Some((order, i as AccountIdx));
+            let share_rank = a.share_rank(total_capacity);
+            if best.is_none_or(|(low, _)| share_rank < low) {
+                best = Some((share_rank, i as AccountIdx));
             }
         }
         best.map(|(_, idx)| idx)
--- a/crates/hollowford-engine/src/claim.rs
+++ b/crates/hollowford-engine/src/claim.rs
@@ -3,13 +3,13 @@
 use crate::engine::Engine;
 use crate::event::{Action, ClaimReport, TaskEnd, WorkerListing};
 use crate::request::TaskState;
-use crate::worker::{Held, WorkerIdx};
+use crate::worker::{HeldTask, WorkerIdx};
 use hollowford_core::{InstanceId, Millis, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A worker that restarts within this time of a start, its own time to come back included, may have
 /// crashed by it; later, a task that runs for hours must not be ended for restarts that are days apart.
-const CRASHES_WITHIN: Millis = Millis(20_000);
+const CRASH_WINDOW: Millis = Millis(20_000);
 
 impl Engine {
     /// Takes in the partition's part of the instance list.
@@ -31,9 +31,9 @@
                 w.leaving |= item.leaving;
             });
             if item.leaving && !was_leaving {
-                self.move_services(now, idx, out);
+                self.stop_services(now, idx, out);
             }
-            self.dirty = true;
+            self.needs_pass = true;
         }
         for idx in gone {
             if self.workers.get(idx).listed {
@@ -58,20 +58,20 @@
             w.capacity = claim.capacity;
             w.leaving |= claim.leaving;
             w.clock = claim.clock;
-            w.clock_at = now;
+            w.clock_read_at = now;
             w.renewed_at = Millis(0);
             w.foreign.clear();
         });
-        self.settle_ended(now, idx, claim, out);
-        self.settle_held(now, idx, claim, out);
-        self.settle_foreign(idx, claim, out);
+        self.reconcile_ended(now, idx, claim, out);
+        self.reconcile_held(now, idx, claim, out);
+        self.reconcile_foreign(idx, claim, out);
         if claim.leaving {
-            self.move_services(now, idx, out);
+            self.stop_services(now, idx, out);
         }
-        self.dirty = true;
+        self.needs_pass = true;
     }
 
-    fn settle_ended(
+    fn reconcile_ended(
         &mut self,
         now: Millis,
         idx: WorkerIdx,
@@ -85,7 +85,7 @@
     }
 
     /// Settles what this owner believes the worker holds.
-    fn settle_held(
+    fn reconcile_held(
         &mut self,
         now: Millis,
         idx: WorkerIdx,
@@ -95,24 +95,24 @@
         let running: BTreeSet<TaskId> = claim.running.iter().map(|c| c.task).collect();
         let held = self.workers.get(idx).held.clone();
         for h in held {
-            if self.holder(&h.task) != Some(idx) {
+            if self.worker_of(&h.task) != Some(idx) {
                 continue;
             }
             if running.contains(&h.task) {
-                self.found_running(now, idx, &h.task, out);
+                self.task_found(now, idx, &h.task, out);
             } else {
-                self.found_absent(now, idx, &h, claim.incarnation, out);
+                self.task_missing(now, idx, &h, claim.incarnation, out);
             }
         }
     }
 
-    fn found_running(&mut self, now: Millis, idx: WorkerIdx, task: &TaskId, out: &mut Vec<Action>) {
+    fn task_found(&mut self, now: Millis, idx: WorkerIdx, task: &TaskId, out: &mut Vec<Action>) {
         let worker = self.workers.get(idx).id.clone();
         self.task_started(now, &worker, task, out);
         let Some(r) = self.requests.get(&task.request) else {
             return;
         };
-        let unwanted = r.cancelled || r.regroup || r.answer.is_some();
+        let unwanted = r.cancelled || r.restarting || r.answer.is_some();
         let state = r.state_of(task.index);
         if state == TaskState::Stopping(idx) {
             out.push(Action::Stop { worker, task: *task, checkpoint: r.is_preemptible() });
@@ -123,11 +123,11 @@
 
     /// A task is not on its worker. With the incarnation that the intent names, it
     /// was never started; after a restart of the worker it may have run.
-    fn found_absent(
+    fn task_missing(
         &mut self,
         now: Millis,
         idx: WorkerIdx,
-        held: &Held,
+        held: &HeldTask,
         incarnation: u64,
         out: &mut Vec<Action>,
     ) {
@@ -136,36 +136,36 @@
         };
         let state = r.state_of(held.task.index);
         let unsent = state == TaskState::Placed(idx);
-        let same = held.incarnation == incarnation;
+        let same_incarnation = held.incarnation == incarnation;
         let ran = state == TaskState::Running(idx);
-        if unsent && same {
+        if unsent && same_incarnation {
             return;
         }
-        if unsent || (same && !ran) {
+        if unsent || (same_incarnation && !ran) {
             self.withdraw(now, &held.task, out);
         } else {
             let started = r.tasks[held.task.index as usize].since;
-            let soon = !same && now.since(started) < CRASHES_WITHIN;
-            let end = if soon { TaskEnd::Crashed } else { TaskEnd::Lost };
+            let is_crash = !same_incarnation && now.since(started) < CRASH_WINDOW;
+            let end = if is_crash { TaskEnd::Crashed } else { TaskEnd::Lost };
             self.end_attempt(now, &held.task, end, out);
         }
     }
 
     /// Stops tasks that run and that the ledger doesn't know. Their resources count
     /// as taken until they have stopped.
-    fn settle_foreign(&mut self, idx: WorkerIdx, claim: &ClaimReport, out: &mut Vec<Action>) {
+    fn reconcile_foreign(&mut self, idx: WorkerIdx, claim: &ClaimReport, out: &mut Vec<Action>) {
         let mut foreign = BTreeMap::new();
         for c in &claim.running {
-            if self.holder(&c.task) == Some(idx) {
+            if self.worker_of(&c.task) == Some(idx) {
                 continue;
             }
-            let held = Held {
+            let held = HeldTask {
                 task: c.task,
                 resources: c.resources,
                 incarnation: claim.incarnation,
                 preemptible: false,
-                since: Millis(0),
-                ends: Millis::MAX,
+                placed_at: Millis(0),
+                expected_end: Millis::MAX,
             };
             foreign.insert(c.task, held);
         }
--- a/crates/hollowford-engine/src/durable.rs
+++ b/crates/hollowford-engine/src/durability.rs
@@ -21,22 +21,22 @@
                 self.pending_changes.push_front((s, no));
                 break;
             }
-            self.changed(no, out);
+            self.mark_changed(no, out);
         }
     }
 
     /// Notes whether the ledger can be written now. While it can't, nothing new is
     /// accepted or placed.
     pub fn set_ledger_stalled(&mut self, stalled: bool) {
-        if self.stalled && !stalled {
-            self.dirty = true;
+        if self.ledger_stalled && !stalled {
+            self.needs_pass = true;
         }
-        self.stalled = stalled;
+        self.ledger_stalled = stalled;
     }
 
     /// Tells whether the ledger can't be written now.
     pub fn is_ledger_stalled(&self) -> bool {
-        self.stalled
+        self.ledger_stalled
     }
 
     /// Returns the position of the newest record.
@@ -63,26 +63,26 @@
     pub(crate) fn send_start(&mut self, now: Millis, start: &PendingStart, out: &mut Vec<Action>) {
         let task = &start.task;
         let state = self.requests.get(&task.request).map(|r| r.state_of(task.index));
-        let stands = self.holder(task) == Some(start.worker)
+        let is_current = self.worker_of(task) == Some(start.worker)
             && state == Some(TaskState::Placed(start.worker));
-        if !stands {
+        if !is_current {
             return;
         }
         let w = self.workers.get(start.worker);
         let held = w.held.iter().find(|h| h.task == *task);
-        let same = held.is_some_and(|h| h.incarnation == w.incarnation);
-        if !w.claimed || w.leaving || !same {
+        let same_incarnation = held.is_some_and(|h| h.incarnation == w.incarnation);
+        if !w.claimed || w.leaving || !same_incarnation {
             self.withdraw(now, task, out);
             return;
         }
-        let Some((spec, checkpoint)) = self.start_of(start) else {
+        let Some((spec, checkpoint)) = self.start_payload(start) else {
             return;
         };
         // An intent that is in no ledger: the start goes by the promises.
         let fixed_lease = start.seq == 0;
         let lease_until = match fixed_lease {
-            true => self.fixed_lease(start.worker),
-            false => self.lease(start.worker),
+            true => self.grant_fixed_lease(start.worker),
+            false => self.grant_lease(start.worker),
         };
         let worker = self.workers.get(start.worker).id.clone();
         if let Some(r) = self.requests.get_mut(&task.request) {
--- a/crates/hollowford-engine/src/engine.rs
+++ b/crates/hollowford-engine/src/engine.rs
@@ -4,7 +4,7 @@
 use crate::event::{Action, Change, Record};
 use crate::gang::Reservation;
 use crate::policy::Policy;
-use crate::preempt::PreemptBudget;
+use crate::preemption::PreemptionState;
 use crate::request::Requests;
 use crate::worker::{WorkerIdx, Workers};
 use hollowford_accounts::AccountPolicy;
@@ -75,25 +75,25 @@
     pub(crate) next_no: u64,
     pub(crate) next_seq: u64,
     pub(crate) durable_seq: u64,
-    pub(crate) stalled: bool,
+    pub(crate) ledger_stalled: bool,
     /// Until when no one takes over, while the ledger stalls; zero: that is not known.
-    pub(crate) promised_until: Millis,
+    pub(crate) no_takeover_until: Millis,
     pub(crate) pending_starts: VecDeque<PendingStart>,
     pub(crate) pending_forgets: VecDeque<(u64, InstanceId, TaskId)>,
     pub(crate) pending_changes: VecDeque<(u64, RequestNo)>,
     /// Final answers by the time at which they were given, oldest first.
-    pub(crate) answered: VecDeque<(Millis, RequestNo)>,
+    pub(crate) kept_answers: VecDeque<(Millis, RequestNo)>,
     /// Requests that are given up at a time unless they have begun.
-    pub(crate) start_by: BTreeSet<(Millis, RequestNo)>,
+    pub(crate) start_deadlines: BTreeSet<(Millis, RequestNo)>,
     /// Times at which a waiting request may be tried again.
-    pub(crate) wakes: BTreeSet<(Millis, RequestNo)>,
+    pub(crate) retry_times: BTreeSet<(Millis, RequestNo)>,
     pub(crate) reservations: BTreeMap<RequestNo, Reservation>,
-    pub(crate) preempt: PreemptBudget,
+    pub(crate) preemption: PreemptionState,
     /// Something may be placeable that was not at the last pass.
-    pub(crate) dirty: bool,
-    pub(crate) pass: u64,
+    pub(crate) needs_pass: bool,
+    pub(crate) pass_no: u64,
     pub(crate) open: u32,
-    pub(crate) feasible_checked: Millis,
+    pub(crate) feasibility_checked_at: Millis,
     pub(crate) stats: Stats,
 }
 
@@ -114,20 +114,20 @@
             next_no: 1,
             next_seq: 1,
             durable_seq: 0,
-            stalled: false,
-            promised_until: Millis(0),
+            ledger_stalled: false,
+            no_takeover_until: Millis(0),
             pending_starts: VecDeque::new(),
             pending_forgets: VecDeque::new(),
             pending_changes: VecDeque::new(),
-            answered: VecDeque::new(),
-            start_by: BTreeSet::new(),
-            wakes: BTreeSet::new(),
+            kept_answers: VecDeque::new(),
+            start_deadlines: BTreeSet::new(),
+            retry_times: BTreeSet::new(),
             reservations: BTreeMap::new(),
-            preempt: PreemptBudget::default(),
-            dirty: false,
-            pass: 0,
+            preemption: PreemptionState::default(),
+            needs_pass: false,
+            pass_no: 0,
             open: 0,
-            feasible_checked: Millis(0),
+            feasibility_checked_at: Millis(0),
             stats: Stats::default(),
         }
     }
@@ -156,7 +156,7 @@
     pub fn set_account(&mut self, id: &AccountId, policy: AccountPolicy) {
         let idx = self.accounts.intern(id);
         self.accounts.get_mut(idx).policy = policy;
-        self.dirty = true;
+        self.needs_pass = true;
     }
 
     /// Appends a record to the ledger and returns its position.
@@ -173,7 +173,7 @@
     }
 
     /// Marks a request as changed, now.
-    pub(crate) fn changed(&mut self, no: RequestNo, out: &mut Vec<Action>) {
+    pub(crate) fn mark_changed(&mut self, no: RequestNo, out: &mut Vec<Action>) {
         if let Some(r) = self.requests.get_mut(&no) {
             r.version += 1;
             out.push(Action::Changed(no));
@@ -181,7 +181,7 @@
     }
 
     /// Marks a request as changed once the ledger has the record at `seq`.
-    pub(crate) fn changed_when_durable(&mut self, no: RequestNo, seq: u64) {
+    pub(crate) fn mark_changed_when_durable(&mut self, no: RequestNo, seq: u64) {
         self.pending_changes.push_back((seq, no));
     }
 
@@ -194,12 +194,12 @@
             return;
         }
         r.in_queue = true;
-        let queue = &mut self.accounts.get_mut(r.account).queues[r.lane as usize];
+        let queue = &mut self.accounts.get_mut(r.account).queues[r.queue_kind as usize];
         if front {
             queue.push_front(no);
         } else {
             queue.push_back(no);
         }
-        self.dirty = true;
+        self.needs_pass = true;
     }
 }
--- a/crates/hollowford-engine/src/feasible.rs
+++ b/crates/hollowford-engine/src/feasibility.rs
@@ -8,15 +8,15 @@
 impl Engine {
     /// Refuses work that no instance could ever run. Without every listed worker
     /// claimed the question is open, and the work waits.
-    pub(crate) fn check_possible(&self, spec: &Spec) -> Result<(), Error> {
+    pub(crate) fn check_feasible(&self, spec: &Spec) -> Result<(), Error> {
         let unknown = |w: &Worker| w.listed && !w.leaving && !w.claimed;
         if self.workers.len() == 0 || self.workers.iter().any(|(_, w)| unknown(w)) {
             return Ok(());
         }
         let possible = if spec.placement.is_free() {
-            self.most_at_once(spec) >= u64::from(tasks_at_once(spec))
+            self.max_concurrent_tasks(spec) >= u64::from(min_concurrent_tasks(spec))
         } else {
-            self.most_at_once_constrained(spec) >= u64::from(tasks_at_once(spec))
+            self.max_concurrent_tasks_constrained(spec) >= u64::from(min_concurrent_tasks(spec))
         };
         if possible {
             return Ok(());
@@ -24,18 +24,18 @@
         Err(Error::new(ErrorKind::Impossible, self.impossible_message(spec)))
     }
 
-    fn most_at_once(&self, spec: &Spec) -> u64 {
-        let caps = self.workers.capacities().iter();
-        caps.map(|(cap, n)| u64::from(times(&spec.per_task, cap)) * u64::from(*n)).sum()
+    fn max_concurrent_tasks(&self, spec: &Spec) -> u64 {
+        let caps = self.workers.capacity_counts().iter();
+        caps.map(|(cap, n)| u64::from(fit_count(&spec.per_task, cap)) * u64::from(*n)).sum()
     }
 
-    fn most_at_once_constrained(&self, spec: &Spec) -> u64 {
+    fn max_concurrent_tasks_constrained(&self, spec: &Spec) -> u64 {
         let mut per_rack: BTreeMap<&str, u64> = BTreeMap::new();
         let mut fitting = 0;
         let mut racks = BTreeSet::new();
         for (_, w) in self.workers.iter() {
-            let n = times(&spec.per_task, &w.capacity);
-            if !w.claimed || !w.listed || w.leaving || n == 0 || !zone_allows(spec, w) {
+            let n = fit_count(&spec.per_task, &w.capacity);
+            if !w.claimed || !w.listed || w.leaving || n == 0 || !placement_allows(spec, w) {
                 continue;
             }
             racks.insert(&*w.rack);
@@ -50,7 +50,7 @@
     }
 
     fn impossible_message(&self, spec: &Spec) -> String {
-        let caps = self.workers.capacities().iter().filter(|(_, n)| **n > 0);
+        let caps = self.workers.capacity_counts().iter().filter(|(_, n)| **n > 0);
         let Some((cap, _)) = caps.max_by_key(|(c, _)| (c.accelerators, c.cpu_milli)) else {
             return "the partition has no usable instance".to_owned();
         };
@@ -58,25 +58,25 @@
             "{} tasks of {} mcpu, {} MiB, {} accelerators fit nowhere at once; \
              the largest instance has {} mcpu, {} MiB, {} accelerators, and {} such tasks fit \
              where the placement allows",
-            tasks_at_once(spec),
+            min_concurrent_tasks(spec),
             spec.per_task.cpu_milli,
             spec.per_task.memory_mib,
             spec.per_task.accelerators,
             cap.cpu_milli,
             cap.memory_mib,
             cap.accelerators,
-            self.most_at_once_constrained(spec)
+            self.max_concurrent_tasks_constrained(spec)
         )
     }
 }
 
 /// Returns how many tasks of a request must have room at the same time.
-fn tasks_at_once(spec: &Spec) -> u32 {
+fn min_concurrent_tasks(spec: &Spec) -> u32 {
     if spec.kind == Kind::Gang { spec.tasks } else { 1 }
 }
 
 /// Returns how many times `need` goes into `room`.
-pub(crate) fn times(need: &Resources, room: &Resources) -> u32 {
+pub(crate) fn fit_count(need: &Resources, room: &Resources) -> u32 {
     let part = |n: u32, r: u32| r.checked_div(n).unwrap_or(u32::MAX);
     part(need.cpu_milli, room.cpu_milli)
         .min(part(need.memory_mib, room.memory_mib))
@@ -84,7 +84,7 @@
 }
 
 /// Tells whether the request's placement names this worker's zone and doesn't exclude it.
-pub(crate) fn zone_allows(spec: &Spec, w: &Worker) -> bool {
+pub(crate) fn placement_allows(spec: &Spec, w: &Worker) -> bool {
     let p = &spec.placement;
     (p.zones.is_empty() || p.zones.contains(&w.zone)) && !p.exclude_instances.contains(&w.id)
 }
--- a/crates/hollowford-engine/src/gang.rs
+++ b/crates/hollowford-engine/src/gang.rs
@@ -8,9 +8,9 @@
 
 use crate::engine::Engine;
 use crate::event::{Action, Change};
-use crate::feasible::{times, zone_allows};
-use crate::place::{Pass, Tried};
-use crate::request::{Class, Placing, Request, Task, TaskState, Wait};
+use crate::feasibility::{fit_count, placement_allows};
+use crate::placement::{Pass, TryOutcome};
+use crate::request::{PlacementChoice, PriorityClass, Request, Task, TaskState, WaitCause};
 use crate::worker::{Worker, WorkerIdx};
 use hollowford_core::{Kind, Millis, RequestNo, Resources, Spread};
 use std::cmp::Reverse;
@@ -18,9 +18,9 @@
 use std::sync::Arc;
 
 /// Largest part of the workers that are reserved at once.
-const RESERVED_PART: usize = 2;
+const RESERVED_SHARE_DIVISOR: usize = 2;
 /// Wait before a gang without a reservation is looked at again.
-const RESERVE_AGAIN: Millis = Millis(1_000);
+const RESERVATION_RETRY_INTERVAL: Millis = Millis(1_000);
 
 /// Workers kept for one gang.
 #[derive(Debug)]
@@ -29,11 +29,11 @@
     /// When the gang is expected to fit.
     pub ready_at: Millis,
     /// When the gang was accepted.
-    pub waits_since: Millis,
+    pub accepted_at: Millis,
 }
 
 /// How many tasks of a gang go to one worker.
-type Slots = (WorkerIdx, u32);
+type WorkerSlots = (WorkerIdx, u32);
 
 impl Engine {
     /// Places a whole gang, or reserves workers for it.
@@ -42,27 +42,27 @@
         no: RequestNo,
         pass: &mut Pass,
         out: &mut Vec<Action>,
-    ) -> Tried {
+    ) -> TryOutcome {
         let Some(r) = self.requests.get(&no) else {
-            return Tried::Waits(Wait::Fresh);
+            return TryOutcome::Waits(WaitCause::AwaitingTurn);
         };
-        match self.gang_slots(r, pass.now) {
+        match self.find_gang_slots(r, pass.now) {
             Some(slots) => {
                 self.place_gang(no, &slots, pass, out);
-                Tried::Placed
+                TryOutcome::Placed
             }
             None => self.reserve(no, pass.now, out),
         }
     }
 
     /// Finds room for every waiting task now, in as few racks as possible.
-    fn gang_slots(&self, r: &Request, now: Millis) -> Option<Vec<Slots>> {
+    fn find_gang_slots(&self, r: &Request, now: Millis) -> Option<Vec<WorkerSlots>> {
         let need = r.waiting.len() as u32;
-        let allowed = |idx: &WorkerIdx| self.allows(r, self.workers.get(*idx), *idx, now);
-        let mut racks: BTreeMap<Arc<str>, Vec<Slots>> = BTreeMap::new();
+        let allowed = |idx: &WorkerIdx| self.is_eligible(r, self.workers.get(*idx), *idx, now);
+        let mut racks: BTreeMap<Arc<str>, Vec<WorkerSlots>> = BTreeMap::new();
         for idx in self.workers.with_room(&r.spec.per_task).filter(allowed) {
             let w = self.workers.get(idx);
-            let n = slots_of(r, w, &w.free);
+            let n = slot_count(r, w, &w.free);
             racks.entry(w.rack.clone()).or_default().push((idx, n));
         }
         pick_slots(r, racks.into_values().collect(), need)
@@ -71,7 +71,7 @@
     fn place_gang(
         &mut self,
         no: RequestNo,
-        slots: &[Slots],
+        slots: &[WorkerSlots],
         pass: &mut Pass,
         out: &mut Vec<Action>,
     ) {
@@ -89,56 +89,56 @@
         }
         // Every start waits for the last intent: the gang starts whole.
         for &(index, worker) in &placed {
-            self.expect_start(no, index, worker, last_seq);
+            self.queue_start(no, index, worker, last_seq);
         }
         if let Some(&(_, worker)) = placed.first() {
             let compared = slots.len() as u32;
-            self.note_placing(no, Placing { worker, compared, runner_up: None });
+            self.record_placement_choice(no, PlacementChoice { worker, compared, runner_up: None });
         }
         self.drop_reservation(no);
         Engine::count_placed(pass, placed.len());
     }
 
-    fn reserve(&mut self, no: RequestNo, now: Millis, out: &mut Vec<Action>) -> Tried {
+    fn reserve(&mut self, no: RequestNo, now: Millis, out: &mut Vec<Action>) -> TryOutcome {
         if let Some(v) = self.reservations.get(&no) {
             // A reservation stands while its workers do: they drain, and choosing
             // again would begin anew.
-            if v.workers.iter().all(|&w| self.workers.get(w).usable()) {
-                return Tried::Waits(Wait::GangReservation);
+            if v.workers.iter().all(|&w| self.workers.get(w).is_usable()) {
+                return TryOutcome::Waits(WaitCause::GangReservation);
             }
             self.drop_reservation(no);
         }
         let Some(r) = self.requests.get(&no) else {
-            return Tried::Waits(Wait::Fresh);
+            return TryOutcome::Waits(WaitCause::AwaitingTurn);
         };
-        self.wakes.insert((now + RESERVE_AGAIN, no));
-        let Some((ready_at, workers)) = self.earliest_room(r, now) else {
-            return Tried::Waits(Wait::NoRoom);
+        self.retry_times.insert((now + RESERVATION_RETRY_INTERVAL, no));
+        let Some((ready_at, workers)) = self.earliest_fit(r, now) else {
+            return TryOutcome::Waits(WaitCause::NoRoom);
         };
         let reserved: usize = self.reservations.values().map(|v| v.workers.len()).sum();
         let first = self.reservations.is_empty();
-        if !first && (reserved + workers.len()) * RESERVED_PART > self.workers.len() {
-            return Tried::Waits(Wait::NoRoom);
+        if !first && (reserved + workers.len()) * RESERVED_SHARE_DIVISOR > self.workers.len() {
+            return TryOutcome::Waits(WaitCause::NoRoom);
         }
-        let urgent = r.class == Class::Urgent;
-        let waits_since = r.accepted_at;
+        let urgent = r.class == PriorityClass::Urgent;
+        let accepted_at = r.accepted_at;
         for &idx in &workers {
-            self.workers.touch(idx).reserved_for = Some(no);
+            self.workers.get_mut_unindexed(idx).reserved_for = Some(no);
         }
         if urgent {
-            self.displace_from(&workers, now, out);
+            self.preempt_on(&workers, now, out);
         }
-        self.reservations.insert(no, Reservation { workers, ready_at, waits_since });
-        Tried::Waits(Wait::GangReservation)
+        self.reservations.insert(no, Reservation { workers, ready_at, accepted_at });
+        TryOutcome::Waits(WaitCause::GangReservation)
     }
 
     /// Gives a reservation's workers back to all.
     pub(crate) fn drop_reservation(&mut self, no: RequestNo) {
         if let Some(v) = self.reservations.remove(&no) {
             for idx in v.workers {
-                self.workers.touch(idx).reserved_for = None;
+                self.workers.get_mut_unindexed(idx).reserved_for = None;
             }
-            self.dirty = true;
+            self.needs_pass = true;
         }
     }
 
@@ -147,68 +147,70 @@
         let Some(holder) = w.reserved_for else {
             return true;
         };
-        if holder == r.no || r.class == Class::Urgent {
+        if holder == r.no || r.class == PriorityClass::Urgent {
             return true;
         }
         let Some(v) = self.reservations.get(&holder) else {
             return true;
         };
-        if self.goes_before(r, holder) {
+        if self.ranks_before(r, holder) {
             return true;
         }
         let bounded = r.spec.run_time_ms > 0 && r.spec.kind == Kind::Batch;
-        let drains = now.since(v.waits_since) >= self.policy.gang_drain_after;
-        bounded && !drains && self.expected_end(r, now) <= v.ready_at
+        let is_draining = now.since(v.accepted_at) >= self.policy.gang_drain_after;
+        bounded && !is_draining && self.expected_end(r, now) <= v.ready_at
     }
 
     /// Tells whether the request's account is further behind in the order than that of
     /// a reservation's holder. Such work goes first, as it would without the
     /// reservation; or else gangs that keep coming would starve it.
-    fn goes_before(&self, r: &Request, holder: RequestNo) -> bool {
-        let order = |idx| self.accounts.get(idx).order(&self.workers.whole);
+    fn ranks_before(&self, r: &Request, holder: RequestNo) -> bool {
+        let share_rank = |idx| self.accounts.get(idx).share_rank(&self.workers.total_capacity);
         let holder = self.requests.get(&holder).map(|h| h.account);
-        holder.is_some_and(|account| account != r.account && order(r.account) < order(account))
+        holder.is_some_and(|account| {
+            account != r.account && share_rank(r.account) < share_rank(account)
+        })
     }
 
     /// Finds the earliest time at which the gang fits, by the declared run times,
     /// and the workers that have the room then.
-    fn earliest_room(&self, r: &Request, now: Millis) -> Option<(Millis, Vec<WorkerIdx>)> {
+    fn earliest_fit(&self, r: &Request, now: Millis) -> Option<(Millis, Vec<WorkerIdx>)> {
         let usable: Vec<WorkerIdx> = self
             .workers
             .usable()
             .filter(|&idx| {
                 let w = self.workers.get(idx);
-                zone_allows(&r.spec, w) && w.reserved_for.is_none_or(|holder| holder == r.no)
+                placement_allows(&r.spec, w) && w.reserved_for.is_none_or(|holder| holder == r.no)
             })
             .collect();
         let mut ends: Vec<Millis> = usable
             .iter()
-            .flat_map(|&idx| self.workers.get(idx).held.iter().map(|h| h.ends_by(now)))
+            .flat_map(|&idx| self.workers.get(idx).held.iter().map(|h| h.estimated_end(now)))
             .collect();
         ends.push(now);
         ends.sort_unstable();
         ends.dedup();
-        let fits = |t: &Millis| self.room_at(r, &usable, now, *t).is_some();
+        let fits = |t: &Millis| self.slots_at(r, &usable, now, *t).is_some();
         let at = ends.partition_point(|t| !fits(t));
         let t = *ends.get(at)?;
-        let slots = self.room_at(r, &usable, now, t)?;
+        let slots = self.slots_at(r, &usable, now, t)?;
         Some((t.max(now), slots.into_iter().map(|(idx, _)| idx).collect()))
     }
 
     /// Returns where the gang would fit at `t`, when all that ends by then has ended.
-    fn room_at(
+    fn slots_at(
         &self,
         r: &Request,
         usable: &[WorkerIdx],
         now: Millis,
         t: Millis,
-    ) -> Option<Vec<Slots>> {
-        let mut racks: BTreeMap<Arc<str>, Vec<Slots>> = BTreeMap::new();
+    ) -> Option<Vec<WorkerSlots>> {
+        let mut racks: BTreeMap<Arc<str>, Vec<WorkerSlots>> = BTreeMap::new();
         for &idx in usable {
             let w = self.workers.get(idx);
-            let ended = w.held.iter().filter(|h| h.ends_by(now) <= t);
+            let ended = w.held.iter().filter(|h| h.estimated_end(now) <= t);
             let free = ended.fold(w.free, |a, h| a.plus(&h.resources));
-            let n = slots_of(r, w, &free);
+            let n = slot_count(r, w, &free);
             if n > 0 {
                 racks.entry(w.rack.clone()).or_default().push((idx, n));
             }
@@ -217,29 +219,34 @@
     }
 
     /// Stops all tasks of a gang, since one of them won't go on.
-    pub(crate) fn regroup(&mut self, now: Millis, no: RequestNo, out: &mut Vec<Action>) {
+    pub(crate) fn restart_gang(&mut self, now: Millis, no: RequestNo, out: &mut Vec<Action>) {
         if let Some(r) = self.requests.get_mut(&no) {
-            r.regroup = true;
+            r.restarting = true;
         }
         self.stop_all(now, no, false, out);
     }
 
     /// Once all tasks of a stopped gang have ended: lets it wait again as a whole,
     /// or fails it.
-    pub(crate) fn finish_regroup(&mut self, now: Millis, no: RequestNo, out: &mut Vec<Action>) {
+    pub(crate) fn finish_gang_restart(
+        &mut self,
+        now: Millis,
+        no: RequestNo,
+        out: &mut Vec<Action>,
+    ) {
         let Some(r) = self.requests.get_mut(&no) else {
             return;
         };
-        if !r.regroup || r.active > 0 {
+        if !r.restarting || r.active > 0 {
             return;
         }
-        r.regroup = false;
+        r.restarting = false;
         if !r.spec.repeatable && r.done > 0 {
             // Part of it has run to its end and must not run again.
             r.failed += 1;
             r.message = "a task of the gang did not start, and another had ended".into();
         }
-        if r.failed > 0 || r.unsure > 0 || r.cancelled {
+        if r.failed > 0 || r.uncertain > 0 || r.cancelled {
             self.drop_waiting(no);
             self.close_if_ended(now, no, out);
             return;
@@ -248,11 +255,11 @@
             .filter(|&i| r.tasks[i as usize].state == TaskState::Ended)
             .collect();
         for index in ended {
-            self.requeue_done(no, index, out);
+            self.requeue_ended(no, index, out);
         }
     }
 
-    fn requeue_done(&mut self, no: RequestNo, index: u32, out: &mut Vec<Action>) {
+    fn requeue_ended(&mut self, no: RequestNo, index: u32, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get(&no) else {
             return;
         };
@@ -276,8 +283,8 @@
 }
 
 /// Returns how many of the request's tasks a worker can take into `room`.
-fn slots_of(r: &Request, w: &Worker, room: &Resources) -> u32 {
-    let n = times(&r.spec.per_task, room);
+fn slot_count(r: &Request, w: &Worker, room: &Resources) -> u32 {
+    let n = fit_count(&r.spec.per_task, room);
     match r.spec.placement.spread {
         Spread::Instance | Spread::Rack => n.min(1),
         Spread::None if w.probing => n.min(1),
@@ -287,15 +294,19 @@
 
 /// Takes `need` slots from as few racks as possible, or from one if the request
 /// asks for it. Returns `None` when there are too few.
-fn pick_slots(r: &Request, mut racks: Vec<Vec<Slots>>, need: u32) -> Option<Vec<Slots>> {
-    let total = |rack: &Vec<Slots>| rack.iter().map(|(_, n)| u64::from(*n)).sum::<u64>();
+fn pick_slots(
+    r: &Request,
+    mut racks: Vec<Vec<WorkerSlots>>,
+    need: u32,
+) -> Option<Vec<WorkerSlots>> {
+    let total = |rack: &Vec<WorkerSlots>| rack.iter().map(|(_, n)| u64::from(*n)).sum::<u64>();
     let need = u64::from(need);
     if r.spec.placement.spread == Spread::Rack {
         racks.iter_mut().for_each(|rack| rack.truncate(1));
     }
     // The smallest rack that holds the whole gang leaves the larger ones free.
-    let whole = racks.iter().filter(|rack| total(rack) >= need).min_by_key(|rack| total(rack));
-    let from: Vec<Slots> = match whole {
+    let one_rack = racks.iter().filter(|rack| total(rack) >= need).min_by_key(|rack| total(rack));
+    let from: Vec<WorkerSlots> = match one_rack {
         Some(rack) => rack.clone(),
         None if r.spec.placement.same_rack => return None,
         None => {
@@ -306,7 +317,7 @@
     take_slots(from, need)
 }
 
-fn take_slots(from: Vec<Slots>, need: u64) -> Option<Vec<Slots>> {
+fn take_slots(from: Vec<WorkerSlots>, need: u64) -> Option<Vec<WorkerSlots>> {
     let mut left = need;
     let mut taken = Vec::new();
     for (idx, n) in from {
--- a/crates/hollowford-engine/src/lib.rs
+++ b/crates/hollowford-engine/src/lib.rs
@@ -9,26 +9,26 @@
 //! therefore knows of every task that any worker may be running.
 
 mod account;
-mod choose;
 mod claim;
-mod durable;
+mod durability;
 mod engine;
 mod event;
-mod feasible;
+mod feasibility;
 mod gang;
 mod health;
-mod lease;
-mod place;
+mod placement;
 mod policy;
-mod preempt;
+mod preemption;
 mod query;
 mod recover;
 mod reports;
 mod request;
-mod settle;
 mod submit;
-mod unledgered;
+mod task_ends;
+mod tick;
 mod worker;
+mod worker_choice;
+mod write_behind;
 
 pub use engine::{Authority, Engine, Stats};
 pub use event::{
--- a/crates/hollowford-engine/src/place.rs
+++ b/crates/hollowford-engine/src/placement.rs
@@ -3,8 +3,8 @@
 use crate::account::AccountIdx;
 use crate::engine::{Authority, Engine, PendingStart};
 use crate::event::{Action, Change};
-use crate::request::{Class, Lane, Placing, Request, TaskState, Wait};
-use crate::worker::{Held, WorkerIdx};
+use crate::request::{PlacementChoice, PriorityClass, QueueKind, Request, TaskState, WaitCause};
+use crate::worker::{HeldTask, WorkerIdx};
 use hollowford_core::{Millis, RequestNo, Resources, Spec};
 use std::sync::Arc;
 
@@ -14,30 +14,30 @@
     pub no: u64,
     placed: usize,
     /// Whether the ledger can be written; if not, only unledgered requests are served.
-    ledgered: bool,
+    ledger_available: bool,
     /// Shapes of free placement that fitted nowhere, by class.
-    full: Vec<(Class, Resources)>,
+    unplaceable: Vec<(PriorityClass, Resources)>,
 }
 
 impl Pass {
     /// Tells whether a shape at most this large has failed in the pass.
-    pub fn is_full(&self, class: Class, shape: &Resources) -> bool {
-        self.full.iter().any(|(c, s)| *c == class && s.fits(shape))
+    pub fn is_unplaceable(&self, class: PriorityClass, shape: &Resources) -> bool {
+        self.unplaceable.iter().any(|(c, s)| *c == class && s.fits(shape))
     }
 }
 
 /// What came of serving one client account.
 #[derive(PartialEq, Eq)]
-enum Served {
+enum ServeOutcome {
     Placed,
     Blocked,
 }
 
 /// What came of trying one request.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Tried {
+pub(crate) enum TryOutcome {
     Placed,
-    Waits(Wait),
+    Waits(WaitCause),
 }
 
 impl Engine {
@@ -47,38 +47,41 @@
         if authority == Authority::Full {
             self.send_starts(now, out);
         }
-        let ledgered = authority == Authority::Full && !self.stalled;
-        if !ledgered && self.allows_write_behind(now) {
-            self.start_pending_unledgered(now, out);
+        let ledger_available = authority == Authority::Full && !self.ledger_stalled;
+        if !ledger_available && self.allows_write_behind(now) {
+            self.start_pending_write_behind(now, out);
         }
-        if !self.dirty || !(ledgered || self.allows_write_behind(now)) {
+        if !self.needs_pass || !(ledger_available || self.allows_write_behind(now)) {
             return;
         }
-        self.dirty = false;
-        self.pass += 1;
-        let mut pass = Pass { now, no: self.pass, placed: 0, full: Vec::new(), ledgered };
-        let classes = if ledgered { &Class::ALL[..] } else { &[Class::Urgent] };
+        self.needs_pass = false;
+        self.pass_no += 1;
+        let mut pass =
+            Pass { now, no: self.pass_no, placed: 0, unplaceable: Vec::new(), ledger_available };
+        let classes =
+            if ledger_available { &PriorityClass::ALL[..] } else { &[PriorityClass::Urgent] };
         for &class in classes {
             self.serve_class(class, &mut pass, out);
         }
         if pass.placed >= self.policy.max_placements_per_pass {
-            self.dirty = true;
+            self.needs_pass = true;
         }
     }
 
     /// Tells whether another call of [`Engine::decide`] would place more at once.
     pub fn needs_decide(&self, now: Millis) -> bool {
-        self.dirty && (!self.stalled || self.allows_write_behind(now))
+        self.needs_pass && (!self.ledger_stalled || self.allows_write_behind(now))
     }
 
-    fn serve_class(&mut self, class: Class, pass: &mut Pass, out: &mut Vec<Action>) {
+    fn serve_class(&mut self, class: PriorityClass, pass: &mut Pass, out: &mut Vec<Action>) {
         while pass.placed < self.policy.max_placements_per_pass {
-            let Some(account) = self.accounts.next(class, pass.no, &self.workers.whole) else {
+            let Some(account) = self.accounts.next(class, pass.no, &self.workers.total_capacity)
+            else {
                 return;
             };
-            let account = self.fills_best(account, class, pass);
-            if self.serve_account(account, class, pass, out) == Served::Blocked {
-                self.accounts.get_mut(account).blocked_in[class as usize] = pass.no;
+            let account = self.best_fitting_account(account, class, pass);
+            if self.serve_account(account, class, pass, out) == ServeOutcome::Blocked {
+                self.accounts.get_mut(account).blocked_in_pass[class as usize] = pass.no;
             }
         }
     }
@@ -87,64 +90,70 @@
     fn serve_account(
         &mut self,
         account: AccountIdx,
-        class: Class,
+        class: PriorityClass,
         pass: &mut Pass,
         out: &mut Vec<Action>,
-    ) -> Served {
-        let served = |lane: &Lane| self.serve_lane(account, *lane, pass, out) == Served::Placed;
-        if class.lanes().iter().any(served) { Served::Placed } else { Served::Blocked }
+    ) -> ServeOutcome {
+        let served = |queue_kind: &QueueKind| {
+            self.serve_queue(account, *queue_kind, pass, out) == ServeOutcome::Placed
+        };
+        if class.queue_kinds().iter().any(served) {
+            ServeOutcome::Placed
+        } else {
+            ServeOutcome::Blocked
+        }
     }
 
-    fn serve_lane(
+    fn serve_queue(
         &mut self,
         account: AccountIdx,
-        lane: Lane,
+        queue_kind: QueueKind,
         pass: &mut Pass,
         out: &mut Vec<Action>,
-    ) -> Served {
+    ) -> ServeOutcome {
         let mut at = 0;
         while at < self.policy.lookahead {
-            let queue = &self.accounts.get(account).queues[lane as usize];
+            let queue = &self.accounts.get(account).queues[queue_kind as usize];
             let Some(&no) = queue.get(at) else {
                 break;
             };
-            if self.surely_full(no, pass) {
+            if self.is_known_unplaceable(no, pass) {
                 at += 1;
                 continue;
             }
-            if !self.still_waits(no) {
-                self.accounts.get_mut(account).queues[lane as usize].remove(at);
+            if !self.update_in_queue(no) {
+                self.accounts.get_mut(account).queues[queue_kind as usize].remove(at);
                 continue;
             }
             match self.try_request(no, pass, out) {
-                Tried::Placed => return Served::Placed,
-                Tried::Waits(why) => self.note_wait(no, why),
+                TryOutcome::Placed => return ServeOutcome::Placed,
+                TryOutcome::Waits(why) => self.record_wait_cause(no, why),
             }
             at += 1;
         }
-        Served::Blocked
+        ServeOutcome::Blocked
     }
 
     /// Tells whether a request waits that the pass has shown to fit nowhere. Most
     /// requests of a full cell are passed over by this one look.
-    fn surely_full(&self, no: RequestNo, pass: &Pass) -> bool {
-        let waits = |r: &&Request| r.wait == Wait::NoRoom && !r.waiting.is_empty();
+    fn is_known_unplaceable(&self, no: RequestNo, pass: &Pass) -> bool {
+        let waits = |r: &&Request| r.wait_cause == WaitCause::NoRoom && !r.waiting.is_empty();
         let Some(r) = self.requests.get(&no).filter(waits) else {
             return false;
         };
-        self.speaks_for_others(r)
+        self.depends_on_shape_only(r)
             && self.reservations.is_empty()
-            && pass.is_full(r.class, &r.spec.per_task)
+            && pass.is_unplaceable(r.class, &r.spec.per_task)
     }
 
     /// Tells whether the request's failure to fit holds for others of its shape:
     /// constraints and earlier failures narrow the choice of this one alone.
-    fn speaks_for_others(&self, r: &Request) -> bool {
-        !r.is_gang() && r.spec.placement.is_free() && r.failed_on.is_empty()
+    fn depends_on_shape_only(&self, r: &Request) -> bool {
+        !r.is_gang() && r.spec.placement.is_free() && r.failed_workers.is_empty()
     }
 
     /// Tells whether a queued request has tasks to place; if not, it leaves the queue.
-    fn still_waits(&mut self, no: RequestNo) -> bool {
+    fn update_in_queue(&mut self, no: RequestNo) -> bool {
         let Some(r) = self.requests.get_mut(&no) else {
             return false;
         };
@@ -152,28 +161,28 @@
         r.in_queue
     }
 
-    fn note_wait(&mut self, no: RequestNo, why: Wait) {
+    fn record_wait_cause(&mut self, no: RequestNo, why: WaitCause) {
         if let Some(r) = self.requests.get_mut(&no) {
-            r.wait = why;
+            r.wait_cause = why;
         }
     }
 
-    fn try_request(&mut self, no: RequestNo, pass: &mut Pass, out: &mut Vec<Action>) -> Tried {
+    fn try_request(&mut self, no: RequestNo, pass: &mut Pass, out: &mut Vec<Action>) -> TryOutcome {
         let Some(r) = self.requests.get(&no) else {
-            return Tried::Waits(Wait::Fresh);
+            return TryOutcome::Waits(WaitCause::AwaitingTurn);
         };
-        if r.not_before > pass.now || r.regroup {
-            return Tried::Waits(Wait::Backoff);
+        if r.not_before > pass.now || r.restarting {
+            return TryOutcome::Waits(WaitCause::Backoff);
         }
-        if !pass.ledgered && !self.goes_unledgered(pass.now, &r.spec) {
-            return Tried::Waits(Wait::Ledger);
+        if !pass.ledger_available && !self.may_write_behind(pass.now, &r.spec) {
+            return TryOutcome::Waits(WaitCause::LedgerStalled);
         }
-        let at_once = if r.is_gang() { r.waiting.len() as u32 } else { 1 };
-        if !self.accounts.get(r.account).allows(&r.spec.per_task, at_once) {
-            return Tried::Waits(Wait::Quota);
+        let concurrent_tasks = if r.is_gang() { r.waiting.len() as u32 } else { 1 };
+        if !self.accounts.get(r.account).allows(&r.spec.per_task, concurrent_tasks) {
+            return TryOutcome::Waits(WaitCause::Quota);
         }
-        if !self.headroom_allows(r, at_once, pass.now) {
-            return Tried::Waits(Wait::Headroom);
+        if !self.headroom_allows(r, concurrent_tasks, pass.now) {
+            return TryOutcome::Waits(WaitCause::Headroom);
         }
         if r.is_gang() {
             return self.try_gang(no, pass, out);
@@ -183,8 +192,8 @@
 
     /// Tells whether the work leaves the headroom free, or may borrow it. The
     /// headroom delays work; it never makes it impossible.
-    fn headroom_allows(&self, r: &Request, at_once: u32, now: Millis) -> bool {
-        if r.class == Class::Urgent || self.policy.headroom <= 0.0 {
+    fn headroom_allows(&self, r: &Request, concurrent_tasks: u32, now: Millis) -> bool {
+        if r.class == PriorityClass::Urgent || self.policy.headroom <= 0.0 {
             return true;
         }
         if self.policy.headroom_borrow && r.is_preemptible() {
@@ -194,52 +203,56 @@
         if r.is_gang() && waited >= self.policy.gang_drain_after {
             return true;
         }
-        let whole = self.workers.whole.cpu_milli as f64;
-        let takes = f64::from(r.spec.per_task.cpu_milli) * f64::from(at_once);
-        let kept = (whole * self.policy.headroom).min(whole - takes);
+        let total_capacity = self.workers.total_capacity.cpu_milli as f64;
+        let takes = f64::from(r.spec.per_task.cpu_milli) * f64::from(concurrent_tasks);
+        let kept = (total_capacity * self.policy.headroom).min(total_capacity - takes);
         self.workers.free.cpu_milli as f64 - takes >= kept
     }
 
-    fn try_task(&mut self, no: RequestNo, pass: &mut Pass, out: &mut Vec<Action>) -> Tried {
+    fn try_task(&mut self, no: RequestNo, pass: &mut Pass, out: &mut Vec<Action>) -> TryOutcome {
         let Some(r) = self.requests.get(&no) else {
-            return Tried::Waits(Wait::Fresh);
+            return TryOutcome::Waits(WaitCause::AwaitingTurn);
         };
         let (class, shape) = (r.class, r.spec.per_task);
-        let plain = self.speaks_for_others(r);
-        if plain && self.reservations.is_empty() && pass.is_full(class, &shape) {
-            return Tried::Waits(Wait::NoRoom);
+        let shape_only = self.depends_on_shape_only(r);
+        if shape_only && self.reservations.is_empty() && pass.is_unplaceable(class, &shape) {
+            return TryOutcome::Waits(WaitCause::NoRoom);
         }
         let found = self.find_worker(r, pass.now).or_else(|| {
             // What is withdrawn to make room leaves it at once, and the urgent
             // request must have it before any other takes it back.
-            let may = class == Class::Urgent && pass.ledgered;
-            let made = may && self.preempt_for(no, pass.now, out);
-            let r = self.requests.get(&no).filter(|_| made)?;
+            let may_preempt = class == PriorityClass::Urgent && pass.ledger_available;
+            let preempted = may_preempt && self.preempt_for(no, pass.now, out);
+            let r = self.requests.get(&no).filter(|_| preempted)?;
             self.find_worker(r, pass.now)
         });
-        let Some(placing) = found else {
-            if plain {
-                pass.full.push((class, shape));
+        let Some(placement_choice) = found else {
+            if shape_only {
+                pass.unplaceable.push((class, shape));
             }
-            return Tried::Waits(Wait::NoRoom);
+            return TryOutcome::Waits(WaitCause::NoRoom);
         };
         let Some(index) = self.requests.get_mut(&no).and_then(|r| r.waiting.pop_front()) else {
-            return Tried::Waits(Wait::Fresh);
+            return TryOutcome::Waits(WaitCause::AwaitingTurn);
         };
-        let seq = self.place(no, index, placing.worker, pass.now, out);
-        match pass.ledgered {
-            true => self.expect_start(no, index, placing.worker, seq),
-            false => self.start_unledgered(no, index, placing.worker, pass.now, out),
+        let seq = self.place(no, index, placement_choice.worker, pass.now, out);
+        match pass.ledger_available {
+            true => self.queue_start(no, index, placement_choice.worker, seq),
+            false => self.start_write_behind(no, index, placement_choice.worker, pass.now, out),
         }
-        self.note_placing(no, placing);
+        self.record_placement_choice(no, placement_choice);
         pass.placed += 1;
-        Tried::Placed
+        TryOutcome::Placed
     }
 
-    pub(crate) fn note_placing(&mut self, no: RequestNo, placing: Placing) {
+    pub(crate) fn record_placement_choice(
+        &mut self,
+        no: RequestNo,
+        placement_choice: PlacementChoice,
+    ) {
         if let Some(r) = self.requests.get_mut(&no) {
-            r.placing = Some(placing);
-            r.wait = Wait::Fresh;
+            r.placement_choice = Some(placement_choice);
+            r.wait_cause = WaitCause::AwaitingTurn;
         }
     }
 
@@ -270,23 +283,23 @@
         t.state = TaskState::Placed(worker);
         t.since = now;
         r.active += 1;
-        let ends = self.accounts.get(r.account).expected_end(&r.spec, now);
-        let held = held(r, index, now, ends, self.workers.get(worker).incarnation);
+        let expected_end = self.accounts.get(r.account).expected_end(&r.spec, now);
+        let held = held_task(r, index, now, expected_end, self.workers.get(worker).incarnation);
         let change = Change::Intent {
             task: held.task,
             worker: self.workers.get(worker).id.clone(),
             incarnation: held.incarnation,
         };
         let account = self.accounts.get_mut(r.account);
-        account.settle(now, &self.workers.whole, self.policy.share_half_life);
+        account.update_past_share(now, &self.workers.total_capacity, self.policy.share_half_life);
         account.used.add(&held.resources);
-        self.workers.hold(worker, held);
+        self.workers.assign(worker, held);
         self.stats.placed += 1;
         self.append(no, change, out)
     }
 
     /// Remembers to send the start once the ledger has the record at `seq`.
-    pub(crate) fn expect_start(&mut self, no: RequestNo, index: u32, worker: WorkerIdx, seq: u64) {
+    pub(crate) fn queue_start(&mut self, no: RequestNo, index: u32, worker: WorkerIdx, seq: u64) {
         if let Some(r) = self.requests.get(&no) {
             let task = r.task_id(index);
             self.pending_starts.push_back(PendingStart { seq, task, worker });
@@ -294,7 +307,7 @@
     }
 
     /// Returns the start's payload.
-    pub(crate) fn start_of(&self, start: &PendingStart) -> Option<(Arc<Spec>, Arc<str>)> {
+    pub(crate) fn start_payload(&self, start: &PendingStart) -> Option<(Arc<Spec>, Arc<str>)> {
         let r = self.requests.get(&start.task.request)?;
         let checkpoint = r.tasks[start.task.index as usize].checkpoint.clone();
         Some((r.spec.clone(), checkpoint.unwrap_or_else(|| "".into())))
@@ -302,13 +315,19 @@
 }
 
 /// Describes a task on its worker.
-pub(crate) fn held(r: &Request, index: u32, now: Millis, ends: Millis, incarnation: u64) -> Held {
-    Held {
+pub(crate) fn held_task(
+    r: &Request,
+    index: u32,
+    now: Millis,
+    expected_end: Millis,
+    incarnation: u64,
+) -> HeldTask {
+    HeldTask {
         task: r.task_id(index),
         resources: r.spec.per_task,
         incarnation,
         preemptible: r.is_preemptible(),
-        since: now,
-        ends,
+        placed_at: now,
+        expected_end,
     }
 }
--- a/crates/hollowford-engine/src/query.rs
+++ b/crates/hollowford-engine/src/query.rs
@@ -2,13 +2,13 @@
 
 use crate::engine::Engine;
 use crate::event::{FinalAnswer, TaskResult};
-use crate::request::{Request, Wait};
+use crate::request::{Request, WaitCause};
 use hollowford_core::{
     AccountId, Epoch, Millis, PartitionId, RequestKey, RequestNo, Resources, Totals,
 };
 
 /// Most instances that a view names.
-const MAX_INSTANCES: usize = 16;
+const MAX_VIEW_INSTANCES: usize = 16;
 
 /// A request as its caller may see it.
 #[derive(Clone, Debug)]
@@ -53,7 +53,7 @@
     /// Whether it is leaving.
     pub leaving: bool,
     /// Whether it is put aside.
-    pub aside: bool,
+    pub quarantined: bool,
     /// What it has.
     pub capacity: Resources,
     /// What is free.
@@ -90,8 +90,8 @@
 
     /// Tells whether the acceptance is durable, or may be told without that.
     pub fn is_accepted(&self, no: RequestNo) -> bool {
-        let told = |r: &Request| r.unledgered || r.accepted_seq <= self.durable_seq;
-        self.requests.get(&no).is_some_and(told)
+        let may_report = |r: &Request| r.write_behind || r.accepted_seq <= self.durable_seq;
+        self.requests.get(&no).is_some_and(may_report)
     }
 
     /// Tells whether a caller that waits for the end has its answer: the final one
@@ -99,18 +99,18 @@
     pub fn is_wait_over(&self, no: RequestNo) -> bool {
         self.requests.get(&no).is_some_and(|r| {
             let serves = r.is_service() && !r.cancelled && r.running as usize == r.tasks.len();
-            self.answer_of(r).is_some() || serves
+            self.visible_answer(r).is_some() || serves
         })
     }
 
-    fn answer_of<'a>(&self, r: &'a Request) -> Option<&'a FinalAnswer> {
-        r.answer.as_ref().filter(|_| r.unledgered || r.answer_seq <= self.durable_seq)
+    fn visible_answer<'a>(&self, r: &'a Request) -> Option<&'a FinalAnswer> {
+        r.answer.as_ref().filter(|_| r.write_behind || r.answer_seq <= self.durable_seq)
     }
 
     /// Returns a request's view.
     pub fn view(&self, no: RequestNo) -> Option<RequestView<'_>> {
         let r = self.requests.get(&no)?;
-        let answer = self.answer_of(r);
+        let answer = self.visible_answer(r);
         let results = match answer {
             Some(_) => r.results.iter().collect(),
             None => Vec::new(),
@@ -118,9 +118,9 @@
         let mut workers: Vec<u32> = r.workers().collect();
         workers.sort_unstable();
         workers.dedup();
-        workers.truncate(MAX_INSTANCES);
+        workers.truncate(MAX_VIEW_INSTANCES);
         if workers.is_empty() {
-            workers.extend(r.placing.map(|p| p.worker));
+            workers.extend(r.placement_choice.map(|p| p.worker));
         }
         let queued = r.waiting.len() as u32;
         Some(RequestView {
@@ -145,16 +145,16 @@
         if r.answer.is_some() {
             return String::new();
         }
-        if r.regroup {
+        if r.restarting {
             return "its tasks are being stopped, to start again together".to_owned();
         }
         if !r.waiting.is_empty() {
-            if self.stalled {
+            if self.ledger_stalled {
                 return "waits: the ledger can't be written now".to_owned();
             }
             return self.why_waits(r);
         }
-        let Some(p) = r.placing else {
+        let Some(p) = r.placement_choice else {
             return "held by the workers that an earlier owner chose".to_owned();
         };
         let best = self.workers.get(p.worker).id.as_str();
@@ -169,14 +169,14 @@
     }
 
     fn why_waits(&self, r: &Request) -> String {
-        let ahead = self.accounts.get(r.account).queues[r.lane as usize]
+        let ahead = self.accounts.get(r.account).queues[r.queue_kind as usize]
             .iter()
             .position(|no| *no == r.no)
             .unwrap_or(0);
-        if r.wait == Wait::Fresh && ahead > 0 {
+        if r.wait_cause == WaitCause::AwaitingTurn && ahead > 0 {
             return format!("waits behind {ahead} older requests of the same client account");
         }
-        r.wait.text().to_owned()
+        r.wait_cause.text().to_owned()
     }
 
     /// Lists an account's requests after `after`, in the order of their ids.
@@ -194,7 +194,7 @@
             id: w.id.as_str(),
             claimed: w.claimed,
             leaving: w.leaving,
-            aside: w.aside_until.is_some(),
+            quarantined: w.quarantined_until.is_some(),
             capacity: w.capacity,
             free: w.free,
             held: w.held.len(),
@@ -204,7 +204,7 @@
 
     /// Returns the sums of what usable workers have and of what is free on them.
     pub fn totals(&self) -> (Totals, Totals) {
-        (self.workers.whole, self.workers.free)
+        (self.workers.total_capacity, self.workers.free)
     }
 
     /// Returns the client accounts.
--- a/crates/hollowford-engine/src/recover.rs
+++ b/crates/hollowford-engine/src/recover.rs
@@ -2,7 +2,7 @@
 
 use crate::engine::Engine;
 use crate::event::{Action, Change, FinalAnswer, Record, TaskEnd};
-use crate::place::held;
+use crate::placement::held_task;
 use crate::request::{Request, TaskState};
 use hollowford_core::{Epoch, InstanceId, Millis, RequestNo, TaskId};
 use std::sync::Arc;
@@ -17,7 +17,7 @@
                 self.replay_intent(now, &task, &worker, incarnation);
             }
             Change::Withdrawn { task } => {
-                if self.detach(now, &task).is_some() {
+                if self.remove_from_worker(now, &task).is_some() {
                     self.replay_requeue(task);
                 }
             }
@@ -70,10 +70,10 @@
         // The start may have been sent, so it counts as sent.
         t.state = TaskState::Starting(w);
         t.since = now;
-        let ends = self.accounts.get(r.account).expected_end(&r.spec, now);
-        let held = held(r, task.index, now, ends, incarnation);
+        let expected_end = self.accounts.get(r.account).expected_end(&r.spec, now);
+        let held = held_task(r, task.index, now, expected_end, incarnation);
         self.accounts.get_mut(r.account).used.add(&held.resources);
-        self.workers.hold(w, held);
+        self.workers.assign(w, held);
     }
 
     fn replay_requeue(&mut self, task: TaskId) {
@@ -86,17 +86,17 @@
 
     fn replay_ended(&mut self, now: Millis, task: &TaskId, end: TaskEnd) {
         // A snapshot has no intent before the end of a task.
-        if self.holder(task).is_none() {
-            self.take_waiting(task);
+        if self.worker_of(task).is_none() {
+            self.end_waiting_task(task);
         }
-        self.detach(now, task);
+        self.remove_from_worker(now, task);
         if self.apply_end(task, end) {
             self.replay_requeue(*task);
         }
     }
 
     /// Marks a waiting task as ended, with the attempt of a snapshot.
-    fn take_waiting(&mut self, task: &TaskId) {
+    fn end_waiting_task(&mut self, task: &TaskId) {
         let Some(r) = self.requests.get_mut(&task.request) else {
             return;
         };
@@ -135,30 +135,30 @@
     /// ended.
     pub fn activate(&mut self, now: Millis, out: &mut Vec<Action>) {
         let p = &self.policy;
-        let lapse_at = now + p.renewal_bound + p.task_lease + p.drift_margin;
+        let lease_expiry = now + p.renewal_bound + p.task_lease + p.drift_margin;
         for idx in 0..self.workers.len() as u32 {
-            self.workers.touch(idx).lapse_at = lapse_at;
+            self.workers.get_mut_unindexed(idx).lease_expiry = lease_expiry;
         }
         let mut open: Vec<RequestNo> =
             self.requests.values().filter(|r| r.answer.is_none()).map(|r| r.no).collect();
         open.sort_unstable();
         for no in open {
-            self.resume(now, no, out);
+            self.resume_request(now, no, out);
         }
-        self.feasible_checked = now;
-        self.dirty = true;
+        self.feasibility_checked_at = now;
+        self.needs_pass = true;
     }
 
     /// Goes on with a request where an earlier owner stopped.
-    fn resume(&mut self, now: Millis, no: RequestNo, out: &mut Vec<Action>) {
+    fn resume_request(&mut self, now: Millis, no: RequestNo, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get_mut(&no) else {
             return;
         };
-        let broken = r.failed > 0 || r.unsure > 0 || (r.active > 0 && !r.waiting.is_empty());
+        let broken = r.failed > 0 || r.uncertain > 0 || (r.active > 0 && !r.waiting.is_empty());
         if r.is_gang() && broken {
-            r.regroup = true;
+            r.restarting = true;
         }
-        self.finish_regroup(now, no, out);
+        self.finish_gang_restart(now, no, out);
         self.close_if_ended(now, no, out);
     }
 
@@ -200,7 +200,7 @@
                 let incarnation = held.map_or(0, |h| h.incarnation);
                 push(Change::Intent { task, worker: worker.id.clone(), incarnation });
             } else if t.state == TaskState::Ended {
-                push(Change::Ended { task, end: ended_as(r) });
+                push(Change::Ended { task, end: snapshot_end(r) });
             }
         }
         if r.cancelled {
@@ -229,8 +229,8 @@
 }
 
 /// Describes an ended task without a result, so that its replay ends it again.
-fn ended_as(r: &Request) -> TaskEnd {
-    if r.unsure > 0 {
+fn snapshot_end(r: &Request) -> TaskEnd {
+    if r.uncertain > 0 {
         return TaskEnd::Lost;
     }
     if r.cancelled {
--- a/crates/hollowford-engine/src/reports.rs
+++ b/crates/hollowford-engine/src/reports.rs
@@ -7,15 +7,15 @@
 use hollowford_core::{InstanceId, Millis, TaskId};
 
 /// Use above the declared amount that is let pass, in parts of a hundred.
-const OVERUSE_PERCENT: u32 = 110;
+const MAX_USE_PERCENT: u32 = 110;
 
 impl Engine {
     /// Notes a reading of a worker's clock.
     pub fn record_clock(&mut self, now: Millis, worker: &InstanceId, clock: u64) {
         if let Some(idx) = self.workers.find(worker) {
-            let w = self.workers.touch(idx);
+            let w = self.workers.get_mut_unindexed(idx);
             w.clock = clock;
-            w.clock_at = now;
+            w.clock_read_at = now;
         }
     }
 
@@ -30,7 +30,7 @@
         let Some(idx) = self.workers.find(worker) else {
             return;
         };
-        if self.holder(task) != Some(idx) {
+        if self.worker_of(task) != Some(idx) {
             self.stats.stale_reports += 1;
             out.push(Action::Stop { worker: worker.clone(), task: *task, checkpoint: false });
             return;
@@ -53,7 +53,7 @@
                 waited: now.since(r.accepted_at),
             });
         }
-        self.changed(task.request, out);
+        self.mark_changed(task.request, out);
     }
 
     /// Notes that a task ended.
@@ -68,18 +68,18 @@
             return;
         };
         let task = report.task;
-        if self.holder(&task) != Some(idx) {
-            self.end_unknown(idx, &task);
+        if self.worker_of(&task) != Some(idx) {
+            self.unknown_task_ended(idx, &task);
             return;
         }
-        let end = self.read_end(&task, &report.end);
-        self.judge(now, idx, &task, &end);
+        let end = self.effective_end(&task, &report.end);
+        self.update_health(now, idx, &task, &end);
         let seq = self.end_attempt(now, &task, end, out);
         self.pending_forgets.push_back((seq, worker.clone(), task));
     }
 
     /// A stop for overuse is a failure of the task's own.
-    fn read_end(&self, task: &TaskId, end: &TaskEnd) -> TaskEnd {
+    fn effective_end(&self, task: &TaskId, end: &TaskEnd) -> TaskEnd {
         let overused = |r: &&Request| {
             let failures = r.tasks[task.index as usize].failures;
             !r.cancelled && failures >= self.policy.max_attempts
@@ -91,11 +91,11 @@
     }
 
     /// An end that fits nothing held: the task was foreign, or its end is known.
-    pub(crate) fn end_unknown(&mut self, idx: WorkerIdx, task: &TaskId) {
+    pub(crate) fn unknown_task_ended(&mut self, idx: WorkerIdx, task: &TaskId) {
         let foreign = self.workers.get(idx).foreign.iter().any(|h| h.task == *task);
         if foreign {
             self.workers.update(idx, |w| w.foreign.retain(|h| h.task != *task));
-            self.dirty = true;
+            self.needs_pass = true;
         } else {
             self.stats.stale_reports += 1;
         }
@@ -115,14 +115,14 @@
         let Some(idx) = self.workers.find(worker) else {
             return;
         };
-        if self.holder(task) != Some(idx) {
+        if self.worker_of(task) != Some(idx) {
             self.stats.stale_reports += 1;
             return;
         }
-        self.mark_failure(now, idx, task.request);
+        self.record_failure(now, idx, task.request);
         if let Some(r) = self.requests.get_mut(&task.request) {
             r.not_before = r.not_before.max(now + self.policy.retry_backoff);
-            self.wakes.insert((r.not_before, task.request));
+            self.retry_times.insert((r.not_before, task.request));
         }
         self.withdraw(now, task, out);
     }
@@ -141,16 +141,22 @@
         };
         if leaving && !self.workers.get(idx).leaving {
             self.workers.update(idx, |w| w.leaving = true);
-            self.move_services(now, idx, out);
+            self.stop_services(now, idx, out);
         }
         for usage in tasks {
-            self.check_use(now, idx, usage, out);
+            self.check_usage(now, idx, usage, out);
         }
     }
 
     /// Throttles processor overuse and stops memory overuse.
-    fn check_use(&mut self, now: Millis, idx: WorkerIdx, usage: &TaskUsage, out: &mut Vec<Action>) {
-        if self.holder(&usage.task) != Some(idx) {
+    fn check_usage(
+        &mut self,
+        now: Millis,
+        idx: WorkerIdx,
+        usage: &TaskUsage,
+        out: &mut Vec<Action>,
+    ) {
+        if self.worker_of(&usage.task) != Some(idx) {
             return;
         }
         let Some(r) = self.requests.get_mut(&usage.task.request) else {
@@ -158,7 +164,7 @@
         };
         let declared = r.spec.per_task;
         let over = |used: u32, max: u32| {
-            u64::from(used) * 100 > u64::from(max) * u64::from(OVERUSE_PERCENT)
+            u64::from(used) * 100 > u64::from(max) * u64::from(MAX_USE_PERCENT)
         };
         if over(usage.memory_mib, declared.memory_mib) {
             let t = &mut r.tasks[usage.task.index as usize];
@@ -180,9 +186,9 @@
     }
 
     /// Moves services off a leaving worker, by stopping their tasks there.
-    pub(crate) fn move_services(&mut self, now: Millis, idx: WorkerIdx, out: &mut Vec<Action>) {
-        let on_it: Vec<TaskId> = self.workers.get(idx).held.iter().map(|h| h.task).collect();
-        for task in on_it {
+    pub(crate) fn stop_services(&mut self, now: Millis, idx: WorkerIdx, out: &mut Vec<Action>) {
+        let held_tasks: Vec<TaskId> = self.workers.get(idx).held.iter().map(|h| h.task).collect();
+        for task in held_tasks {
             let service = self.requests.get(&task.request).is_some_and(|r| r.is_service());
             if service {
                 self.stop_task(now, task.request, task.index, true, out);
--- a/crates/hollowford-engine/src/request.rs
+++ b/crates/hollowford-engine/src/request.rs
@@ -10,56 +10,57 @@
 
 /// Order of service; lower ones go first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Class {
+pub(crate) enum PriorityClass {
     Urgent = 0,
     Service = 1,
     Normal = 2,
 }
 
-impl Class {
+impl PriorityClass {
     pub const COUNT: usize = 3;
-    pub const ALL: [Class; Class::COUNT] = [Class::Urgent, Class::Service, Class::Normal];
+    pub const ALL: [PriorityClass; PriorityClass::COUNT] =
+        [PriorityClass::Urgent, PriorityClass::Service, PriorityClass::Normal];
 
-    pub fn of(spec: &Spec) -> Class {
+    pub fn of(spec: &Spec) -> PriorityClass {
         if spec.urgent {
-            return Class::Urgent;
+            return PriorityClass::Urgent;
         }
         match spec.kind {
-            Kind::Check => Class::Urgent,
-            Kind::Service => Class::Service,
-            Kind::Gang | Kind::Batch => Class::Normal,
+            Kind::Check => PriorityClass::Urgent,
+            Kind::Service => PriorityClass::Service,
+            Kind::Gang | Kind::Batch => PriorityClass::Normal,
         }
     }
 
     /// Returns the queues that the class serves, in order. A client account's gangs
     /// go before its batch work, so that they don't wait for all of it.
-    pub fn lanes(self) -> &'static [Lane] {
+    pub fn queue_kinds(self) -> &'static [QueueKind] {
         match self {
-            Class::Urgent => &[Lane::Urgent],
-            Class::Service => &[Lane::Service],
-            Class::Normal => &[Lane::Gang, Lane::Batch],
+            PriorityClass::Urgent => &[QueueKind::Urgent],
+            PriorityClass::Service => &[QueueKind::Service],
+            PriorityClass::Normal => &[QueueKind::Gang, QueueKind::Batch],
         }
     }
 }
 
 /// One queue of a client account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Lane {
+pub(crate) enum QueueKind {
     Urgent = 0,
     Service = 1,
     Gang = 2,
     Batch = 3,
 }
 
-impl Lane {
+impl QueueKind {
     pub const COUNT: usize = 4;
 
-    pub fn of(spec: &Spec) -> Lane {
-        match Class::of(spec) {
-            Class::Urgent => Lane::Urgent,
-            Class::Service => Lane::Service,
-            Class::Normal if spec.kind == Kind::Gang => Lane::Gang,
-            Class::Normal => Lane::Batch,
+    pub fn of(spec: &Spec) -> QueueKind {
+        match PriorityClass::of(spec) {
+            PriorityClass::Urgent => QueueKind::Urgent,
+            PriorityClass::Service => QueueKind::Service,
+            PriorityClass::Normal if spec.kind == Kind::Gang => QueueKind::Gang,
+            PriorityClass::Normal => QueueKind::Batch,
         }
     }
 }
@@ -123,27 +124,27 @@
 
 /// Why a request waits, for `status --why`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Wait {
+pub(crate) enum WaitCause {
     #[default]
-    Fresh,
+    AwaitingTurn,
     NoRoom,
     Quota,
     Headroom,
     Backoff,
     GangReservation,
-    Ledger,
+    LedgerStalled,
 }
 
-impl Wait {
+impl WaitCause {
     pub fn text(self) -> &'static str {
         match self {
-            Wait::Fresh => "waits for its turn in the order of client accounts",
-            Wait::NoRoom => "waits: no usable instance that it may use has room",
-            Wait::Quota => "waits: the client account's quota is in use",
-            Wait::Headroom => "waits: the room left is kept for urgent work",
-            Wait::Backoff => "waits before the next attempt",
-            Wait::Ledger => "waits: the ledger can't be written now",
-            Wait::GangReservation => {
+            WaitCause::AwaitingTurn => "waits for its turn in the order of client accounts",
+            WaitCause::NoRoom => "waits: no usable instance that it may use has room",
+            WaitCause::Quota => "waits: the client account's quota is in use",
+            WaitCause::Headroom => "waits: the room left is kept for urgent work",
+            WaitCause::Backoff => "waits before the next attempt",
+            WaitCause::LedgerStalled => "waits: the ledger can't be written now",
+            WaitCause::GangReservation => {
                 "waits: instances are being drained so that all tasks can start"
             }
         }
@@ -152,7 +153,7 @@
 
 /// Where a request was placed last, and against what.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Placing {
+pub(crate) struct PlacementChoice {
     pub worker: WorkerIdx,
     pub compared: u32,
     pub runner_up: Option<WorkerIdx>,
@@ -169,7 +170,7 @@
         self.list.binary_search_by_key(&index, |(i, _)| *i)
     }
 
-    pub fn has(&self, index: u32) -> bool {
+    pub fn contains(&self, index: u32) -> bool {
         self.find(index).is_ok()
     }
 
@@ -201,8 +202,8 @@
     pub key: RequestKey,
     pub spec: Arc<Spec>,
     pub account: AccountIdx,
-    pub class: Class,
-    pub lane: Lane,
+    pub class: PriorityClass,
+    pub queue_kind: QueueKind,
     pub accepted_at: Millis,
     /// Position of the acceptance in the ledger; 0: read back from it.
     pub accepted_seq: u64,
@@ -215,24 +216,24 @@
     pub done: u32,
     pub failed: u32,
     /// Tasks that may have run.
-    pub unsure: u32,
+    pub uncertain: u32,
     pub results: Results,
     pub message: Arc<str>,
     /// Accepted while the ledger stalls: it runs by the members' promises, and its
     /// answer is told before it is durable.
-    pub unledgered: bool,
+    pub write_behind: bool,
     pub cancelled: bool,
     /// A gang whose tasks are all being stopped, to start again or to fail.
-    pub regroup: bool,
+    pub restarting: bool,
     pub begun: bool,
     pub first_start: Option<Millis>,
     /// No attempt before this time.
     pub not_before: Millis,
     pub in_queue: bool,
-    pub wait: Wait,
-    pub placing: Option<Placing>,
+    pub wait_cause: WaitCause,
+    pub placement_choice: Option<PlacementChoice>,
     /// Workers on which an attempt failed, each once.
-    pub failed_on: Vec<WorkerIdx>,
+    pub failed_workers: Vec<WorkerIdx>,
     pub answer: Option<FinalAnswer>,
     /// Position of the answer in the ledger; it is told once that is durable.
     pub answer_seq: u64,
@@ -246,8 +247,8 @@
             no,
             key,
             account,
-            class: Class::of(&spec),
-            lane: Lane::of(&spec),
+            class: PriorityClass::of(&spec),
+            queue_kind: QueueKind::of(&spec),
             accepted_at: Millis(0),
             accepted_seq: 0,
             tasks: vec![Task::new(); count as usize],
@@ -256,19 +257,19 @@
             running: 0,
             done: 0,
             failed: 0,
-            unsure: 0,
+            uncertain: 0,
             results: Results::default(),
             message: "".into(),
-            unledgered: false,
+            write_behind: false,
             cancelled: false,
-            regroup: false,
+            restarting: false,
             begun: false,
             first_start: None,
             not_before: Millis(0),
             in_queue: false,
-            wait: Wait::Fresh,
-            placing: None,
-            failed_on: Vec::new(),
+            wait_cause: WaitCause::AwaitingTurn,
+            placement_choice: None,
+            failed_workers: Vec::new(),
             answer: None,
             answer_seq: 0,
             version: 1,
@@ -296,14 +297,14 @@
 
     /// Tells whether the task may be displaced: batch work that can start again.
     pub fn is_preemptible(&self) -> bool {
-        self.class == Class::Normal && self.spec.repeatable && !self.is_gang()
+        self.class == PriorityClass::Normal && self.spec.repeatable && !self.is_gang()
     }
 
     /// Gives back the memory that an ended request needs no more.
-    pub fn shrink(&mut self) {
+    pub fn release_memory(&mut self) {
         self.tasks = Vec::new();
         self.waiting = VecDeque::new();
-        self.failed_on = Vec::new();
+        self.failed_workers = Vec::new();
         self.results.list.shrink_to_fit();
     }
 
--- a/crates/hollowford-engine/src/submit.rs
+++ b/crates/hollowford-engine/src/submit.rs
@@ -22,11 +22,11 @@
         spec: &Spec,
         out: &mut Vec<Action>,
     ) -> Result<RequestNo, Error> {
-        if let Some(found) = self.find_same(key, spec) {
+        if let Some(found) = self.find_existing(key, spec) {
             return found;
         }
-        let unledgered = self.goes_unledgered(now, spec);
-        if let Err(e) = self.admit(key, spec, unledgered) {
+        let write_behind = self.may_write_behind(now, spec);
+        if let Err(e) = self.check_admission(key, spec, write_behind) {
             self.stats.refused += 1;
             return Err(e);
         }
@@ -38,14 +38,14 @@
         self.insert_request(no, key, spec, now);
         if let Some(r) = self.requests.get_mut(&no) {
             r.accepted_seq = seq;
-            r.unledgered = unledgered;
+            r.write_behind = write_behind;
         }
-        self.changed_when_durable(no, seq);
+        self.mark_changed_when_durable(no, seq);
         self.enqueue(no, false);
         Ok(no)
     }
 
-    fn find_same(&self, key: &RequestKey, spec: &Spec) -> Option<Result<RequestNo, Error>> {
+    fn find_existing(&self, key: &RequestKey, spec: &Spec) -> Option<Result<RequestNo, Error>> {
         let no = *self.keys.get(key)?;
         let r = self.requests.get(&no)?;
         if *r.spec == *spec {
@@ -55,8 +55,13 @@
         Some(Err(Error::new(ErrorKind::Conflict, message)))
     }
 
-    fn admit(&mut self, key: &RequestKey, spec: &Spec, unledgered: bool) -> Result<(), Error> {
-        let stalled = self.stalled && !unledgered;
+    fn check_admission(
+        &mut self,
+        key: &RequestKey,
+        spec: &Spec,
+        write_behind: bool,
+    ) -> Result<(), Error> {
+        let stalled = self.ledger_stalled && !write_behind;
         if stalled || self.next_seq - self.durable_seq > self.policy.unsynced_bound {
             let message = "the ledger can't be written now; the request did not run";
             return Err(Error::new(ErrorKind::Unavailable, message));
@@ -70,24 +75,26 @@
         };
         if a.open >= own || self.open >= self.policy.queue_bound {
             let message = format!("{} requests are open already", a.open);
-            return Err(Error::new(ErrorKind::QueueFull, message).retry_after(self.drain_time()));
+            return Err(
+                Error::new(ErrorKind::QueueFull, message).retry_after(self.retry_delay_ms())
+            );
         }
         self.check_quota(idx, spec)?;
-        self.check_possible(spec)
+        self.check_feasible(spec)
     }
 
     /// Guesses when a full queue has room again, in milliseconds.
-    fn drain_time(&self) -> u64 {
-        const SOONEST: u64 = 500;
-        const LATEST: u64 = 10_000;
-        SOONEST.saturating_add(u64::from(self.open) / 10).min(LATEST)
+    fn retry_delay_ms(&self) -> u64 {
+        const MIN_RETRY_MS: u64 = 500;
+        const MAX_RETRY_MS: u64 = 10_000;
+        MIN_RETRY_MS.saturating_add(u64::from(self.open) / 10).min(MAX_RETRY_MS)
     }
 
     fn check_quota(&self, idx: u32, spec: &Spec) -> Result<(), Error> {
         let a = self.accounts.get(idx);
-        let together = if spec.kind == Kind::Gang { spec.tasks } else { 1 };
+        let concurrent_tasks = if spec.kind == Kind::Gang { spec.tasks } else { 1 };
         let mut need = hollowford_core::Totals::default();
-        for _ in 0..together {
+        for _ in 0..concurrent_tasks {
             need.add(&spec.per_task);
         }
         let q = &a.policy.quota;
@@ -122,7 +129,7 @@
         let mut r = Request::new(no, key.clone(), spec, account);
         r.accepted_at = now;
         if r.spec.start_within_ms > 0 {
-            self.start_by.insert((now + Millis(r.spec.start_within_ms), no));
+            self.start_deadlines.insert((now + Millis(r.spec.start_within_ms), no));
         }
         self.accounts.get_mut(account).open += 1;
         self.open += 1;
@@ -143,7 +150,7 @@
         let Some(&no) = self.keys.get(key) else {
             return Err(Error::new(ErrorKind::NotFound, format!("no request {}", key.id)));
         };
-        self.cancel_no(now, no, out);
+        self.cancel_request(now, no, out);
         Ok(no)
     }
 
@@ -159,21 +166,22 @@
         let Some(idx) = self.accounts.find(account) else {
             return 0;
         };
-        let hit = |r: &&Request| {
+        let matches_label = |r: &&Request| {
             r.account == idx
                 && r.answer.is_none()
                 && !r.cancelled
                 && r.spec.labels.iter().any(|l| &**l == label)
         };
-        let mut nos: Vec<RequestNo> = self.requests.values().filter(hit).map(|r| r.no).collect();
+        let mut nos: Vec<RequestNo> =
+            self.requests.values().filter(matches_label).map(|r| r.no).collect();
         nos.sort_unstable();
         for no in &nos {
-            self.cancel_no(now, *no, out);
+            self.cancel_request(now, *no, out);
         }
         nos.len() as u32
     }
 
-    fn cancel_no(&mut self, now: Millis, no: RequestNo, out: &mut Vec<Action>) {
+    fn cancel_request(&mut self, now: Millis, no: RequestNo, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get_mut(&no) else {
             return;
         };
@@ -185,7 +193,7 @@
         self.drop_waiting(no);
         self.stop_all(now, no, false, out);
         self.close_if_ended(now, no, out);
-        self.changed(no, out);
+        self.mark_changed(no, out);
     }
 
     /// Marks the tasks that wait as ended.
--- a/crates/hollowford-engine/src/settle.rs
+++ b/crates/hollowford-engine/src/task_ends.rs
@@ -8,19 +8,19 @@
 
 /// A repeatable task under which so many workers have restarted has failed: it would go on to take one
 /// after the other down, with what runs beside it.
-const MOST_CRASHES: u32 = 4;
+const MAX_CRASHES: u32 = 4;
 
 impl Engine {
     /// Finds the worker that holds this very attempt.
-    pub(crate) fn holder(&self, task: &TaskId) -> Option<WorkerIdx> {
+    pub(crate) fn worker_of(&self, task: &TaskId) -> Option<WorkerIdx> {
         let r = self.requests.get(&task.request)?;
         let t = r.tasks.get(task.index as usize)?;
         if t.attempt == task.attempt { t.state.worker() } else { None }
     }
 
     /// Takes an attempt off its worker and gives back its resources.
-    pub(crate) fn detach(&mut self, now: Millis, task: &TaskId) -> Option<WorkerIdx> {
-        let w = self.holder(task)?;
+    pub(crate) fn remove_from_worker(&mut self, now: Millis, task: &TaskId) -> Option<WorkerIdx> {
+        let w = self.worker_of(task)?;
         let held = self.workers.release(w, task);
         let r = self.requests.get_mut(&task.request)?;
         let t = &mut r.tasks[task.index as usize];
@@ -30,11 +30,11 @@
         t.state = TaskState::Ended;
         r.active -= 1;
         let account = self.accounts.get_mut(r.account);
-        account.settle(now, &self.workers.whole, self.policy.share_half_life);
+        account.update_past_share(now, &self.workers.total_capacity, self.policy.share_half_life);
         if held.is_some() {
             account.used.sub(&r.spec.per_task);
         }
-        self.dirty = true;
+        self.needs_pass = true;
         Some(w)
     }
 
@@ -50,7 +50,7 @@
 
     /// Takes back an attempt that was surely never started.
     pub(crate) fn withdraw(&mut self, now: Millis, task: &TaskId, out: &mut Vec<Action>) {
-        if self.detach(now, task).is_none() {
+        if self.remove_from_worker(now, task).is_none() {
             return;
         }
         self.stats.withdrawn += 1;
@@ -66,12 +66,12 @@
             self.close_if_ended(now, task.request, out);
             return;
         }
-        let alone = r.is_gang() && !r.regroup;
+        let must_restart = r.is_gang() && !r.restarting;
         self.requeue(task.request, task.index);
-        if alone {
-            self.regroup(now, task.request, out);
+        if must_restart {
+            self.restart_gang(now, task.request, out);
         }
-        self.finish_regroup(now, task.request, out);
+        self.finish_gang_restart(now, task.request, out);
     }
 
     /// Records the end of an attempt and decides what becomes of the task.
@@ -82,12 +82,12 @@
         end: TaskEnd,
         out: &mut Vec<Action>,
     ) -> u64 {
-        self.detach(now, task);
+        self.remove_from_worker(now, task);
         self.count_end(&end);
         let change = Change::Ended { task: *task, end: end.clone() };
         let seq = self.append(task.request, change, out);
-        let again = self.apply_end(task, end);
-        self.after_end(now, task, again, out);
+        let runs_again = self.apply_end(task, end);
+        self.after_end(now, task, runs_again, out);
         seq
     }
 
@@ -131,40 +131,40 @@
                     r.tasks[task.index as usize].checkpoint =
                         Some(checkpoint).filter(|c| !c.is_empty());
                 }
-                stopped_again(r, may_repeat)
+                apply_stop(r, may_repeat)
             }
             TaskEnd::Lost => {
                 if !r.spec.repeatable {
-                    r.unsure += 1;
+                    r.uncertain += 1;
                 }
                 may_repeat
             }
-            TaskEnd::Crashed => crashed_again(r, task.index, may_repeat),
+            TaskEnd::Crashed => apply_crash(r, task.index, may_repeat),
         }
     }
 
-    fn after_end(&mut self, now: Millis, task: &TaskId, again: bool, out: &mut Vec<Action>) {
+    fn after_end(&mut self, now: Millis, task: &TaskId, runs_again: bool, out: &mut Vec<Action>) {
         let no = task.request;
         let Some(r) = self.requests.get(&no) else {
             return;
         };
-        let done = r.results.has(task.index);
-        let regroup = r.is_gang() && !r.regroup && !r.cancelled && !done;
-        if again {
+        let done = r.results.contains(task.index);
+        let must_restart = r.is_gang() && !r.restarting && !r.cancelled && !done;
+        if runs_again {
             self.back_off(now, task);
             self.requeue(no, task.index);
         }
-        if regroup {
-            self.regroup(now, no, out);
+        if must_restart {
+            self.restart_gang(now, no, out);
         }
-        self.finish_regroup(now, no, out);
+        self.finish_gang_restart(now, no, out);
         self.close_if_ended(now, no, out);
-        self.changed(no, out);
+        self.mark_changed(no, out);
     }
 
     /// Sets the time of the next attempt after a failure.
     fn back_off(&mut self, now: Millis, task: &TaskId) {
-        const MOST_DOUBLINGS: u32 = 10;
+        const MAX_DOUBLINGS: u32 = 10;
         let p = &self.policy;
         let Some(r) = self.requests.get_mut(&task.request) else {
             return;
@@ -174,9 +174,9 @@
         if failures == 0 {
             return;
         }
-        let wait = p.retry_backoff.0 << (failures - 1).min(MOST_DOUBLINGS);
+        let wait = p.retry_backoff.0 << (failures - 1).min(MAX_DOUBLINGS);
         r.not_before = r.not_before.max(now + Millis(wait.min(p.retry_backoff_max.0)));
-        self.wakes.insert((r.not_before, task.request));
+        self.retry_times.insert((r.not_before, task.request));
     }
 
     /// Closes a request of which nothing waits and nothing is held.
@@ -201,9 +201,9 @@
     ) {
         let seq = self.append(no, Change::Close(answer.clone()), out);
         self.apply_close(now, no, answer, seq);
-        self.changed_when_durable(no, seq);
-        if self.is_unledgered(no) {
-            self.changed(no, out);
+        self.mark_changed_when_durable(no, seq);
+        if self.is_write_behind(no) {
+            self.mark_changed(no, out);
         }
     }
 
@@ -223,16 +223,16 @@
         }
         r.answer = Some(answer);
         r.answer_seq = seq;
-        r.shrink();
+        r.release_memory();
         self.accounts.get_mut(r.account).open -= 1;
         self.open -= 1;
-        self.answered.push_back((now, no));
+        self.kept_answers.push_back((now, no));
         self.drop_reservation(no);
     }
 }
 
 /// Books a stop. A task that can't run again and wasn't cancelled has failed.
-fn stopped_again(r: &mut Request, may_repeat: bool) -> bool {
+fn apply_stop(r: &mut Request, may_repeat: bool) -> bool {
     if !may_repeat && !r.cancelled {
         r.failed += 1;
         if r.message.is_empty() {
@@ -244,22 +244,22 @@
 
 /// Books a restart of the worker. A task under which too many have restarted has failed; a service
 /// runs again, more and more rarely.
-fn crashed_again(r: &mut Request, index: u32, may_repeat: bool) -> bool {
+fn apply_crash(r: &mut Request, index: u32, may_repeat: bool) -> bool {
     let crashes = &mut r.tasks[index as usize].crashes;
     *crashes += 1;
-    let bounded = r.spec.kind != Kind::Service && *crashes >= MOST_CRASHES;
+    let bounded = r.spec.kind != Kind::Service && *crashes >= MAX_CRASHES;
     if !r.spec.repeatable {
-        r.unsure += 1;
+        r.uncertain += 1;
     } else if may_repeat && bounded {
         r.failed += 1;
         r.message =
-            format!("{MOST_CRASHES} workers restarted shortly after they had started it").into();
+            format!("{MAX_CRASHES} workers restarted shortly after they had started it").into();
     }
     may_repeat && !bounded
 }
 
 fn final_answer(r: &Request) -> FinalAnswer {
-    let (outcome, reason) = if r.unsure > 0 {
+    let (outcome, reason) = if r.uncertain > 0 {
         (Outcome::MayHaveRun, ErrorKind::Unknown.answer().name)
     } else if r.cancelled && (r.done as usize) < r.tasks.len() {
         (Outcome::Cancelled, "")
--- a/crates/hollowford-engine/src/lease.rs
+++ b/crates/hollowford-engine/src/tick.rs
@@ -7,7 +7,7 @@
 use hollowford_core::{Error, ErrorKind, Millis, RequestNo};
 
 /// How often requests that have never started are checked for being impossible.
-const FEASIBLE_EVERY: Millis = Millis(2_000);
+const FEASIBILITY_CHECK_INTERVAL: Millis = Millis(2_000);
 
 impl Engine {
     /// Does what is due at `now`. Called some ten times a second.
@@ -15,14 +15,14 @@
         if authority != Authority::None {
             self.renew_leases(now, out);
         }
-        self.lapse_leases(now, out);
-        self.wake_requests(now);
-        self.return_workers(now);
+        self.expire_leases(now, out);
+        self.retry_requests(now);
+        self.end_quarantines(now);
         if authority == Authority::Full {
-            self.give_up_late(now, out);
-            self.close_impossible(now, out);
+            self.give_up_overdue(now, out);
+            self.close_infeasible(now, out);
         }
-        self.forget_answers(now);
+        self.remove_old_answers(now);
     }
 
     /// Returns the end of a lease given now to a worker, on the worker's clock, and
@@ -30,10 +30,10 @@
     ///
     /// The end is counted from a reading that the worker itself reported, so a
     /// message that arrives late can't lengthen a lease.
-    pub(crate) fn lease(&mut self, idx: WorkerIdx) -> u64 {
+    pub(crate) fn grant_lease(&mut self, idx: WorkerIdx) -> u64 {
         let (length, margin) = (self.policy.task_lease, self.policy.drift_margin);
-        let w = self.workers.touch(idx);
-        w.lapse_at = w.lapse_at.max(w.clock_at + length + margin);
+        let w = self.workers.get_mut_unindexed(idx);
+        w.lease_expiry = w.lease_expiry.max(w.clock_read_at + length + margin);
         w.clock + length.0
     }
 
@@ -44,18 +44,18 @@
             if !w.claimed || !due || w.held.is_empty() {
                 continue;
             }
-            let lease_until = self.lease(idx);
-            let w = self.workers.touch(idx);
+            let lease_until = self.grant_lease(idx);
+            let w = self.workers.get_mut_unindexed(idx);
             w.renewed_at = now;
             out.push(Action::Renew { worker: w.id.clone(), lease_until });
         }
     }
 
     /// Settles the tasks of unclaimed workers whose leases have surely ended.
-    fn lapse_leases(&mut self, now: Millis, out: &mut Vec<Action>) {
+    fn expire_leases(&mut self, now: Millis, out: &mut Vec<Action>) {
         for idx in 0..self.workers.len() as WorkerIdx {
             let w = self.workers.get(idx);
-            if w.claimed || w.held.is_empty() || now < w.lapse_at {
+            if w.claimed || w.held.is_empty() || now < w.lease_expiry {
                 continue;
             }
             let tasks: Vec<_> = w.held.iter().map(|h| h.task).collect();
@@ -65,42 +65,42 @@
         }
     }
 
-    fn wake_requests(&mut self, now: Millis) {
-        while let Some(&(at, no)) = self.wakes.first() {
+    fn retry_requests(&mut self, now: Millis) {
+        while let Some(&(at, no)) = self.retry_times.first() {
             if at > now {
                 return;
             }
-            self.wakes.remove(&(at, no));
-            self.dirty = true;
+            self.retry_times.remove(&(at, no));
+            self.needs_pass = true;
         }
     }
 
     /// Lets workers that were put aside take one task, as a probe.
-    fn return_workers(&mut self, now: Millis) {
-        if self.workers.aside == 0 {
+    fn end_quarantines(&mut self, now: Millis) {
+        if self.workers.quarantined == 0 {
             return;
         }
         for idx in 0..self.workers.len() as WorkerIdx {
-            let due = self.workers.get(idx).aside_until.is_some_and(|t| t <= now);
+            let due = self.workers.get(idx).quarantined_until.is_some_and(|t| t <= now);
             if !due {
                 continue;
             }
-            self.workers.aside -= 1;
+            self.workers.quarantined -= 1;
             self.workers.update(idx, |w| {
-                w.aside_until = None;
+                w.quarantined_until = None;
                 w.probing = true;
-                w.fails.clear();
+                w.failed_requests.clear();
             });
-            self.dirty = true;
+            self.needs_pass = true;
         }
     }
 
-    fn give_up_late(&mut self, now: Millis, out: &mut Vec<Action>) {
-        while let Some(&(at, no)) = self.start_by.first() {
+    fn give_up_overdue(&mut self, now: Millis, out: &mut Vec<Action>) {
+        while let Some(&(at, no)) = self.start_deadlines.first() {
             if at > now {
                 return;
             }
-            self.start_by.remove(&(at, no));
+            self.start_deadlines.remove(&(at, no));
             let Some(r) = self.requests.get(&no) else {
                 continue;
             };
@@ -119,25 +119,25 @@
     fn give_up(&mut self, now: Millis, no: RequestNo, out: &mut Vec<Action>) {
         self.drop_waiting(no);
         if let Some(r) = self.requests.get_mut(&no) {
-            r.regroup = r.is_gang();
+            r.restarting = r.is_gang();
         }
         self.stop_all(now, no, false, out);
         let message = "it did not start within the time that the request allowed";
         self.close_not_run(now, no, &Error::new(ErrorKind::GivenUp, message), out);
-        self.changed(no, out);
+        self.mark_changed(no, out);
     }
 
     /// Closes waiting requests that no instance can run any more.
-    fn close_impossible(&mut self, now: Millis, out: &mut Vec<Action>) {
-        if now.since(self.feasible_checked) < FEASIBLE_EVERY {
+    fn close_infeasible(&mut self, now: Millis, out: &mut Vec<Action>) {
+        if now.since(self.feasibility_checked_at) < FEASIBILITY_CHECK_INTERVAL {
             return;
         }
-        self.feasible_checked = now;
+        self.feasibility_checked_at = now;
         let waits = self.accounts.iter().flat_map(|a| a.queues.iter().flatten().copied());
         let never = |no: &RequestNo| {
             let r = self.requests.get(no)?;
             let fresh = !r.begun && r.active == 0 && r.answer.is_none() && !r.cancelled;
-            if fresh { self.check_possible(&r.spec).err() } else { None }
+            if fresh { self.check_feasible(&r.spec).err() } else { None }
         };
         let found: Vec<(RequestNo, Error)> =
             waits.filter_map(|no| never(&no).map(|e| (no, e))).collect();
@@ -146,14 +146,14 @@
         }
     }
 
-    fn forget_answers(&mut self, now: Millis) {
-        while let Some(&(at, no)) = self.answered.front() {
+    fn remove_old_answers(&mut self, now: Millis) {
+        while let Some(&(at, no)) = self.kept_answers.front() {
             let old = now.since(at) >= self.policy.answer_retention;
-            let many = self.answered.len() > self.policy.max_kept_answers;
+            let many = self.kept_answers.len() > self.policy.max_kept_answers;
             if !old && !many {
                 return;
             }
-            self.answered.pop_front();
+            self.kept_answers.pop_front();
             if let Some(r) = self.requests.remove(&no) {
                 self.keys.remove(&r.key);
             }
--- a/crates/hollowford-engine/src/worker.rs
+++ b/crates/hollowford-engine/src/worker.rs
@@ -9,26 +9,26 @@
 
 /// A task that a worker holds.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Held {
+pub(crate) struct HeldTask {
     pub task: TaskId,
     pub resources: Resources,
     /// Incarnation of the worker when the intent was written.
     pub incarnation: u64,
     pub preemptible: bool,
     /// When it was placed.
-    pub since: Millis,
+    pub placed_at: Millis,
     /// When the task is expected to end; `Millis::MAX`: not known, or a service.
-    pub ends: Millis,
+    pub expected_end: Millis,
 }
 
-impl Held {
+impl HeldTask {
     /// Returns when the task is expected to end, seen from `now`. One that has run
     /// past its time is expected to run half as long again.
-    pub fn ends_by(&self, now: Millis) -> Millis {
-        if self.ends > now {
-            return self.ends;
+    pub fn estimated_end(&self, now: Millis) -> Millis {
+        if self.expected_end > now {
+            return self.expected_end;
         }
-        now + Millis(now.since(self.since).0 / 2 + 1)
+        now + Millis(now.since(self.placed_at).0 / 2 + 1)
     }
 }
 
@@ -45,27 +45,27 @@
     pub incarnation: u64,
     pub capacity: Resources,
     pub free: Resources,
-    pub held: Vec<Held>,
+    pub held: Vec<HeldTask>,
     /// Tasks that the worker runs but the ledger doesn't know; they are being stopped.
-    pub foreign: Vec<Held>,
+    pub foreign: Vec<HeldTask>,
     /// The worker's clock in its last report.
     pub clock: u64,
     /// This process's clock when that report came.
-    pub clock_at: Millis,
+    pub clock_read_at: Millis,
     /// When every lease given to this worker has surely ended.
-    pub lapse_at: Millis,
+    pub lease_expiry: Millis,
     pub renewed_at: Millis,
     /// Different requests that failed here since the last success.
-    pub fails: Vec<RequestNo>,
+    pub failed_requests: Vec<RequestNo>,
     /// Put aside until this time.
-    pub aside_until: Option<Millis>,
+    pub quarantined_until: Option<Millis>,
     /// Times it was put aside without a success since.
-    pub aside_count: u32,
+    pub quarantine_count: u32,
     /// Back from being put aside: takes one task at a time until one succeeds.
     pub probing: bool,
     /// Kept for a gang.
     pub reserved_for: Option<RequestNo>,
-    indexed: Option<(u32, bool)>,
+    index_entry: Option<(u32, bool)>,
 }
 
 impl Worker {
@@ -83,37 +83,37 @@
             held: Vec::new(),
             foreign: Vec::new(),
             clock: 0,
-            clock_at: Millis(0),
-            lapse_at: Millis(0),
+            clock_read_at: Millis(0),
+            lease_expiry: Millis(0),
             renewed_at: Millis(0),
-            fails: Vec::new(),
-            aside_until: None,
-            aside_count: 0,
+            failed_requests: Vec::new(),
+            quarantined_until: None,
+            quarantine_count: 0,
             probing: false,
             reserved_for: None,
-            indexed: None,
+            index_entry: None,
         }
     }
 
     /// Tells whether new work may go here.
-    pub fn usable(&self) -> bool {
-        self.claimed && self.listed && !self.leaving && self.aside_until.is_none()
+    pub fn is_usable(&self) -> bool {
+        self.claimed && self.listed && !self.leaving && self.quarantined_until.is_none()
     }
 
     /// Tells whether a probing worker has its one task already.
-    pub fn probe_taken(&self) -> bool {
+    pub fn has_probe_task(&self) -> bool {
         self.probing && !self.held.is_empty()
     }
 
     /// Returns the sum of what could be displaced.
     pub fn preemptible(&self) -> Resources {
-        let sum = |a: Resources, h: &Held| {
+        let sum = |a: Resources, h: &HeldTask| {
             if h.preemptible { a.plus(&h.resources) } else { a }
         };
         self.held.iter().fold(Resources::default(), sum)
     }
 
-    fn recount(&mut self) {
+    fn update_free(&mut self) {
         let held = self.held.iter().chain(&self.foreign);
         let used = held.fold(Resources::default(), |a, h| a.plus(&h.resources));
         self.free = self.capacity.minus(&used);
@@ -126,14 +126,14 @@
     list: Vec<Worker>,
     by_id: HashMap<InstanceId, WorkerIdx>,
     /// Usable workers without and with free accelerators, by free processors.
-    rooms: [BTreeSet<(u32, WorkerIdx)>; 2],
+    by_free_cpu: [BTreeSet<(u32, WorkerIdx)>; 2],
     /// How many workers there are of each capacity that could ever be used.
-    capacities: BTreeMap<Resources, u32>,
+    capacity_counts: BTreeMap<Resources, u32>,
     /// Sum of the capacities.
-    pub whole: Totals,
+    pub total_capacity: Totals,
     /// Sum of what is free on usable workers.
     pub free: Totals,
-    pub aside: u32,
+    pub quarantined: u32,
 }
 
 impl Workers {
@@ -164,8 +164,8 @@
         self.list.len()
     }
 
-    pub fn capacities(&self) -> &BTreeMap<Resources, u32> {
-        &self.capacities
+    pub fn capacity_counts(&self) -> &BTreeMap<Resources, u32> {
+        &self.capacity_counts
     }
 
     /// Changes a worker and brings the index and the sums up to date.
@@ -173,18 +173,18 @@
         self.unindex(idx);
         let w = &mut self.list[idx as usize];
         let out = change(w);
-        w.recount();
+        w.update_free();
         self.index(idx);
         out
     }
 
     /// Changes what the index doesn't depend on.
-    pub fn touch(&mut self, idx: WorkerIdx) -> &mut Worker {
+    pub fn get_mut_unindexed(&mut self, idx: WorkerIdx) -> &mut Worker {
         &mut self.list[idx as usize]
     }
 
     /// Gives a task to a worker, or takes the room for it.
-    pub fn hold(&mut self, idx: WorkerIdx, held: Held) {
+    pub fn assign(&mut self, idx: WorkerIdx, held: HeldTask) {
         self.unindex(idx);
         let w = &mut self.list[idx as usize];
         w.free = w.free.minus(&held.resources);
@@ -193,20 +193,20 @@
     }
 
     /// Takes a task off a worker.
-    pub fn release(&mut self, idx: WorkerIdx, task: &TaskId) -> Option<Held> {
+    pub fn release(&mut self, idx: WorkerIdx, task: &TaskId) -> Option<HeldTask> {
         let at = self.list[idx as usize].held.iter().position(|h| h.task == *task)?;
         Some(self.update(idx, |w| w.held.swap_remove(at)))
     }
 
     fn unindex(&mut self, idx: WorkerIdx) {
         let w = &mut self.list[idx as usize];
-        if let Some((cpu, accelerated)) = w.indexed.take() {
-            self.rooms[usize::from(accelerated)].remove(&(cpu, idx));
+        if let Some((cpu, accelerated)) = w.index_entry.take() {
+            self.by_free_cpu[usize::from(accelerated)].remove(&(cpu, idx));
             self.free.sub(&w.free);
         }
         if w.claimed && w.listed && !w.leaving {
-            self.whole.sub(&w.capacity);
-            if let Some(n) = self.capacities.get_mut(&w.capacity) {
+            self.total_capacity.sub(&w.capacity);
+            if let Some(n) = self.capacity_counts.get_mut(&w.capacity) {
                 *n -= 1;
             }
         }
@@ -214,23 +214,23 @@
 
     fn index(&mut self, idx: WorkerIdx) {
         let w = &mut self.list[idx as usize];
-        if w.usable() {
+        if w.is_usable() {
             let entry = (w.free.cpu_milli, w.free.accelerators > 0);
-            self.rooms[usize::from(entry.1)].insert((entry.0, idx));
+            self.by_free_cpu[usize::from(entry.1)].insert((entry.0, idx));
             self.free.add(&w.free);
-            w.indexed = Some(entry);
+            w.index_entry = Some(entry);
         }
         if w.claimed && w.listed && !w.leaving {
-            self.whole.add(&w.capacity);
-            *self.capacities.entry(w.capacity).or_insert(0) += 1;
+            self.total_capacity.add(&w.capacity);
+            *self.capacity_counts.entry(w.capacity).or_insert(0) += 1;
         }
     }
 
     /// Returns usable workers with room, those with the least free processors
     /// first; workers with free accelerators come last for work that needs none.
     pub fn with_room<'a>(&'a self, need: &'a Resources) -> impl Iterator<Item = WorkerIdx> + 'a {
-        let plain = if need.accelerators == 0 { Some(&self.rooms[0]) } else { None };
-        let sets = plain.into_iter().chain([&self.rooms[1]]);
+        let plain = if need.accelerators == 0 { Some(&self.by_free_cpu[0]) } else { None };
+        let sets = plain.into_iter().chain([&self.by_free_cpu[1]]);
         sets.flat_map(|set| set.range((need.cpu_milli, 0)..))
             .map(|&(_, idx)| idx)
             .filter(|&idx| need.fits(&self.get(idx).free))
@@ -238,6 +238,6 @@
 
     /// Returns the workers that are usable.
     pub fn usable(&self) -> impl Iterator<Item = WorkerIdx> + '_ {
-        self.rooms.iter().flatten().map(|&(_, idx)| idx)
+        self.by_free_cpu.iter().flatten().map(|&(_, idx)| idx)
     }
 }
--- a/crates/hollowford-engine/src/choose.rs
+++ b/crates/hollowford-engine/src/worker_choice.rs
@@ -2,50 +2,61 @@
 
 use crate::account::AccountIdx;
 use crate::engine::Engine;
-use crate::feasible::zone_allows;
-use crate::place::Pass;
-use crate::request::{Class, Lane, Placing, Request};
+use crate::feasibility::placement_allows;
+use crate::placement::Pass;
+use crate::request::{PlacementChoice, PriorityClass, QueueKind, Request};
 use crate::worker::{Worker, WorkerIdx};
 use hollowford_core::{Millis, Resources, Spread};
 
 impl Engine {
     /// Chooses, among the accounts that are nearly as far behind as the first in
     /// order, the one whose next task leaves its worker fullest.
-    pub(crate) fn fills_best(&self, first: AccountIdx, class: Class, pass: &Pass) -> AccountIdx {
+    pub(crate) fn best_fitting_account(
+        &self,
+        first: AccountIdx,
+        class: PriorityClass,
+        pass: &Pass,
+    ) -> AccountIdx {
         let tolerance = self.policy.packing_tolerance;
-        if tolerance <= 0.0 || class != Class::Normal {
+        if tolerance <= 0.0 || class != PriorityClass::Normal {
             return first;
         }
-        let near = self.accounts.near(first, tolerance, class, pass.no, &self.workers.whole);
-        let scored = near.filter_map(|idx| Some((self.score_next(idx, pass)?, idx)));
+        let close_in_rank = self.accounts.close_in_rank(
+            first,
+            tolerance,
+            class,
+            pass.no,
+            &self.workers.total_capacity,
+        );
+        let scored = close_in_rank.filter_map(|idx| Some((self.score_next_task(idx, pass)?, idx)));
         let best = scored.min_by(|a, b| a.0.total_cmp(&b.0));
         best.map_or(first, |(_, idx)| idx)
     }
 
     /// Scores the best place for an account's next batch task. Accounts with a gang
     /// waiting are not scored: a gang goes by the order alone.
-    fn score_next(&self, idx: AccountIdx, pass: &Pass) -> Option<f64> {
+    fn score_next_task(&self, idx: AccountIdx, pass: &Pass) -> Option<f64> {
         let a = self.accounts.get(idx);
-        if !a.queues[Lane::Gang as usize].is_empty() {
+        if !a.queues[QueueKind::Gang as usize].is_empty() {
             return None;
         }
-        let no = a.queues[Lane::Batch as usize].front()?;
+        let no = a.queues[QueueKind::Batch as usize].front()?;
         let r = self.requests.get(no).filter(|r| !r.waiting.is_empty())?;
-        if pass.is_full(r.class, &r.spec.per_task) || !a.allows(&r.spec.per_task, 1) {
+        if pass.is_unplaceable(r.class, &r.spec.per_task) || !a.allows(&r.spec.per_task, 1) {
             return None;
         }
-        let placing = self.find_worker(r, pass.now)?;
-        Some(score(&r.spec.per_task, self.workers.get(placing.worker)))
+        let placement_choice = self.find_worker(r, pass.now)?;
+        Some(score(&r.spec.per_task, self.workers.get(placement_choice.worker)))
     }
 
     /// Chooses the worker that the task leaves fullest and most evenly used.
-    pub(crate) fn find_worker(&self, r: &Request, now: Millis) -> Option<Placing> {
+    pub(crate) fn find_worker(&self, r: &Request, now: Millis) -> Option<PlacementChoice> {
         let mut best: Option<(f64, WorkerIdx)> = None;
         let mut runner_up = None;
         let mut compared = 0;
         for idx in self.workers.with_room(&r.spec.per_task) {
             let w = self.workers.get(idx);
-            if !self.allows(r, w, idx, now) {
+            if !self.is_eligible(r, w, idx, now) {
                 continue;
             }
             let score = score(&r.spec.per_task, w);
@@ -58,14 +69,14 @@
                 break;
             }
         }
-        best.map(|(_, worker)| Placing { worker, compared, runner_up })
+        best.map(|(_, worker)| PlacementChoice { worker, compared, runner_up })
     }
 
     /// Tells whether a request's next task may go to a worker that has room.
-    pub(crate) fn allows(&self, r: &Request, w: &Worker, idx: WorkerIdx, now: Millis) -> bool {
-        !w.probe_taken()
-            && !r.failed_on.contains(&idx)
-            && zone_allows(&r.spec, w)
+    pub(crate) fn is_eligible(&self, r: &Request, w: &Worker, idx: WorkerIdx, now: Millis) -> bool {
+        !w.has_probe_task()
+            && !r.failed_workers.contains(&idx)
+            && placement_allows(&r.spec, w)
             && self.spread_allows(r, w, idx)
             && self.reservation_allows(r, w, now)
     }
--- a/crates/hollowford-engine/src/unledgered.rs
+++ b/crates/hollowford-engine/src/write_behind.rs
@@ -12,39 +12,39 @@
 use hollowford_core::{Kind, Millis, RequestNo, Spec};
 
 /// Parts of the declared run time that must fit into the promises, in tenths.
-const RUN_TENTHS: u64 = 15;
+const RUN_TIME_ALLOWANCE_TENTHS: u64 = 15;
 const TENTHS: u64 = 10;
 
 impl Engine {
     /// Notes until when every member has promised not to take over; zero when one
     /// of them has not.
     pub fn set_no_takeover_until(&mut self, until: Millis) {
-        if until > self.promised_until {
-            self.dirty = true;
+        if until > self.no_takeover_until {
+            self.needs_pass = true;
         }
-        self.promised_until = until;
+        self.no_takeover_until = until;
     }
 
     /// Tells whether unledgered work may be started at `now`.
     pub fn allows_write_behind(&self, now: Millis) -> bool {
-        self.stalled && self.promised_until > now + self.policy.drift_margin
+        self.ledger_stalled && self.no_takeover_until > now + self.policy.drift_margin
     }
 
     /// Tells whether a request is to go on without the ledger.
-    pub(crate) fn goes_unledgered(&self, now: Millis, spec: &Spec) -> bool {
+    pub(crate) fn may_write_behind(&self, now: Millis, spec: &Spec) -> bool {
         let check = spec.kind == Kind::Check && spec.repeatable && spec.tasks == 1;
-        check && self.allows_write_behind(now) && self.fits_promise(now, spec)
+        check && self.allows_write_behind(now) && self.ends_before_takeover(now, spec)
     }
 
     /// Tells whether a task is expected to end before the promises do.
-    pub(crate) fn fits_promise(&self, now: Millis, spec: &Spec) -> bool {
-        let run = Millis(spec.run_time_ms.saturating_mul(RUN_TENTHS) / TENTHS);
-        spec.run_time_ms > 0 && now + run + self.policy.drift_margin < self.promised_until
+    pub(crate) fn ends_before_takeover(&self, now: Millis, spec: &Spec) -> bool {
+        let run = Millis(spec.run_time_ms.saturating_mul(RUN_TIME_ALLOWANCE_TENTHS) / TENTHS);
+        spec.run_time_ms > 0 && now + run + self.policy.drift_margin < self.no_takeover_until
     }
 
     /// Tells whether a request goes on without the ledger.
-    pub(crate) fn is_unledgered(&self, no: RequestNo) -> bool {
-        self.requests.get(&no).is_some_and(|r| r.unledgered)
+    pub(crate) fn is_write_behind(&self, no: RequestNo) -> bool {
+        self.requests.get(&no).is_some_and(|r| r.write_behind)
     }
 
     /// Returns the end of a lease, on the worker's clock, that surely ends before the
@@ -52,22 +52,22 @@
     ///
     /// The worker's reading was taken before it came here, so the worker's clock reaches
     /// reading + x no later than ours reaches the time of its coming + x.
-    pub(crate) fn fixed_lease(&mut self, idx: WorkerIdx) -> u64 {
+    pub(crate) fn grant_fixed_lease(&mut self, idx: WorkerIdx) -> u64 {
         let (longest, margin) = (self.policy.task_lease, self.policy.drift_margin);
-        let until = self.promised_until.since(margin);
-        let w = self.workers.touch(idx);
-        let length = until.since(w.clock_at).min(longest);
-        w.lapse_at = w.lapse_at.max(w.clock_at + length + margin);
+        let until = self.no_takeover_until.since(margin);
+        let w = self.workers.get_mut_unindexed(idx);
+        let length = until.since(w.clock_read_at).min(longest);
+        w.lease_expiry = w.lease_expiry.max(w.clock_read_at + length + margin);
         w.clock + length.0
     }
 
     /// Sends the starts of checks that were placed when the ledger began to stall.
-    pub(crate) fn start_pending_unledgered(&mut self, now: Millis, out: &mut Vec<Action>) {
+    pub(crate) fn start_pending_write_behind(&mut self, now: Millis, out: &mut Vec<Action>) {
         for start in std::mem::take(&mut self.pending_starts) {
             let spec = self.requests.get(&start.task.request).map(|r| r.spec.clone());
-            if spec.is_some_and(|spec| self.goes_unledgered(now, &spec)) {
+            if spec.is_some_and(|spec| self.may_write_behind(now, &spec)) {
                 let (no, index) = (start.task.request, start.task.index);
-                self.start_unledgered(no, index, start.worker, now, out);
+                self.start_write_behind(no, index, start.worker, now, out);
             } else {
                 self.pending_starts.push_back(start);
             }
@@ -75,7 +75,7 @@
     }
 
     /// Sends a start whose intent is not durable.
-    pub(crate) fn start_unledgered(
+    pub(crate) fn start_write_behind(
         &mut self,
         no: RequestNo,
         index: u32,
@@ -85,7 +85,7 @@
     ) {
         if let Some(r) = self.requests.get_mut(&no) {
             // It may have been accepted before the stall.
-            r.unledgered = true;
+            r.write_behind = true;
             let start = PendingStart { seq: 0, task: r.task_id(index), worker };
             self.send_start(now, &start, out);
         }
--- a/crates/hollowford-engine/tests/common/mod.rs
+++ b/crates/hollowford-engine/tests/common/mod.rs
@@ -45,7 +45,7 @@
     pub ledger: Vec<Record>,
     pub stalled: bool,
     /// Until when no one takes over.
-    pub promised_until: Millis,
+    pub no_takeover_until: Millis,
     pub workers: BTreeMap<InstanceId, FakeWorker>,
     pub judge: Judge,
     next_session: u64,
@@ -84,7 +84,7 @@
             epoch: Epoch(0),
             ledger: Vec::new(),
             stalled: false,
-            promised_until: Millis(0),
+            no_takeover_until: Millis(0),
             workers: BTreeMap::new(),
             judge: Judge::default(),
             next_session: 1,
@@ -152,8 +152,8 @@
 
     /// Every member promises the newest owner not to take over for so long.
     pub fn promise(&mut self, ms: u64) {
-        self.promised_until = self.promised_until.max(self.now + Millis(ms));
-        let until = self.promised_until;
+        self.no_takeover_until = self.no_takeover_until.max(self.now + Millis(ms));
+        let until = self.no_takeover_until;
         self.engine().set_no_takeover_until(until);
     }
 
--- a/crates/hollowford-engine/tests/orders.rs
+++ b/crates/hollowford-engine/tests/orders.rs
@@ -153,7 +153,7 @@
                 }
             }
             // Members keep their promises.
-            Op::Takeover | Op::TakeoverPaused if world.now < world.promised_until => {}
+            Op::Takeover | Op::TakeoverPaused if world.now < world.no_takeover_until => {}
             Op::Takeover => world.takeover(),
             Op::TakeoverPaused => {
                 world.owners[newest].paused = true;
@@ -198,7 +198,7 @@
     /// Mends everything. Then every request must get its answer.
     fn heal(&mut self) {
         self.world.stalled = false;
-        self.world.now = self.world.now.max(self.world.promised_until);
+        self.world.now = self.world.now.max(self.world.no_takeover_until);
         for w in self.world.workers.values_mut() {
             w.frozen = false;
             w.unreachable = false;
--- a/crates/hollowford-server/src/decide/owned.rs
+++ b/crates/hollowford-server/src/decide/owned.rs
@@ -292,7 +292,7 @@
             .take(MAX_WORKERS)
             .map(|w| {
                 serde_json::json!({
-                    "id": w.id, "claimed": w.claimed, "leaving": w.leaving, "aside": w.aside,
+                    "id": w.id, "claimed": w.claimed, "leaving": w.leaving, "aside": w.quarantined,
                     "capacity_cpu_milli": w.capacity.cpu_milli, "free_cpu_milli": w.free.cpu_milli,
                     "free_memory_mib": w.free.memory_mib, "free_accelerators": w.free.accelerators,
                     "held": w.held, "foreign": w.foreign,
