--- a/crates/hollowford-engine/src/account.rs
+++ b/crates/hollowford-engine/src/account.rs
@@ -1,4 +1,4 @@
-//! Client accounts as the engine sees them: configuration, use and queues.
+//! Client accounts in the engine: configuration, resource usage, fair share and queues.
 
 use crate::request::{PriorityClass, QueueKind};
 use hollowford_accounts::AccountPolicy;
@@ -13,19 +13,21 @@
 pub(crate) struct Account {
     pub id: AccountId,
     pub policy: AccountPolicy,
-    /// What its placed tasks take.
+    /// Resources that its placed tasks occupy.
     pub used: Totals,
     /// Requests without a final answer.
     pub open: u32,
-    /// Requests with waiting tasks, oldest first.
+    /// Requests with waiting tasks by kind of queue, oldest first.
     pub queues: [VecDeque<RequestNo>; QueueKind::COUNT],
-    /// Pass in which nothing more of the class can be placed.
+    /// For each class, the last pass in which none of its requests could be placed.
     pub blocked_in_pass: [u64; PriorityClass::COUNT],
-    /// Attempts that ended well and badly of late.
+    /// Recent attempts: (succeeded, failed).
     recent_ends: (u32, u32),
-    /// Mean of true to declared run time, of late.
+    /// Moving average of actual run time divided by declared run time.
     run_time_factor: f64,
+    /// Past dominant share of the capacity, with exponential decay.
     past_share: f64,
+    /// When `past_share` was last updated.
     past_share_at: Millis,
 }
 
@@ -45,7 +47,7 @@
         }
     }
 
-    /// Folds the share held since the last call into the decayed past.
+    /// Adds the share held since the last call to the decayed past share.
     pub fn update_past_share(&mut self, now: Millis, total_capacity: &Totals, half_life: Millis) {
         let dt = now.since(self.past_share_at).0 as f64;
         if dt > 0.0 {
@@ -56,13 +58,14 @@
         }
     }
 
-    /// Returns the number by which accounts are ordered; the lowest goes first.
+    /// Returns the rank of the account: its current and past share divided by its weight.
+    /// Accounts with a lower rank are served first.
     pub fn share_rank(&self, total_capacity: &Totals) -> f64 {
         let held = self.used.dominant_share(total_capacity);
         (held + self.past_share) / f64::from(self.policy.weight.max(1))
     }
 
-    /// Notes how an attempt ended.
+    /// Counts an attempt as succeeded or failed.
     pub fn record_end(&mut self, succeeded: bool) {
         const MAX_RECENT_ENDS: u32 = 64;
         if self.recent_ends.0 + self.recent_ends.1 >= MAX_RECENT_ENDS {
@@ -74,18 +77,19 @@
         }
     }
 
-    /// Learns from a task that ran to its end how true the declared run times are.
+    /// Updates the run time factor with a completed task.
     pub fn record_run_time(&mut self, declared_ms: u64, ran: Millis) {
         const NEW_RUN_WEIGHT: f64 = 0.05;
         const FACTOR_RANGE: (f64, f64) = (0.1, 10.0);
         if declared_ms > 0 {
-            let seen = (ran.0 as f64 / declared_ms as f64).clamp(FACTOR_RANGE.0, FACTOR_RANGE.1);
-            self.run_time_factor += (seen - self.run_time_factor) * NEW_RUN_WEIGHT;
+            let observed =
+                (ran.0 as f64 / declared_ms as f64).clamp(FACTOR_RANGE.0, FACTOR_RANGE.1);
+            self.run_time_factor += (observed - self.run_time_factor) * NEW_RUN_WEIGHT;
         }
     }
 
-    /// Returns when a task that starts at `now` is expected to end, by what its
-    /// account declares and how true that was; `Millis::MAX`: not known.
+    /// Returns when a task that starts at `now` is expected to end: its declared run time,
+    /// corrected by the run time factor. `Millis::MAX` if it declares none or is a service.
     pub fn expected_end(&self, spec: &Spec, now: Millis) -> Millis {
         if spec.run_time_ms == 0 || spec.kind == Kind::Service {
             return Millis::MAX;
@@ -93,24 +97,24 @@
         now + Millis((spec.run_time_ms as f64 * self.run_time_factor) as u64)
     }
 
-    /// Tells whether most of the account's work ends well, so that a failure
-    /// speaks against the worker.
+    /// Returns true if most recent attempts of the account succeeded, so that a failure
+    /// is likely to be the worker's fault.
     pub fn mostly_succeeds(&self) -> bool {
         self.recent_ends.0 > self.recent_ends.1
     }
 
-    /// Tells whether the account has anything queued in a class.
+    /// Returns true if the account has a queued request in the class.
     pub fn has_queued(&self, class: PriorityClass) -> bool {
         class.queue_kinds().iter().any(|queue_kind| !self.queues[*queue_kind as usize].is_empty())
     }
 
-    /// Tells whether one more `r`, `count` times, stays within the quota.
+    /// Returns true if `count` more tasks of size `r` are within the quota.
     pub fn allows(&self, r: &Resources, count: u32) -> bool {
         self.policy.allows(&self.used, r, count)
     }
 }
 
-/// All client accounts that the engine has met.
+/// All client accounts that the engine knows.
 #[derive(Debug, Default)]
 pub(crate) struct Accounts {
     list: Vec<Account>,
@@ -118,10 +122,10 @@
 }
 
 impl Accounts {
-    /// Accounts that are compared for one placement.
+    /// Maximum number of accounts that are compared for one placement.
     const MAX_COMPARED_ACCOUNTS: usize = 8;
 
-    /// Finds an account, or adds it with the default configuration.
+    /// Returns the index of an account; adds it with the default configuration if it is new.
     pub fn intern(&mut self, id: &AccountId) -> AccountIdx {
         if let Some(&idx) = self.by_id.get(id) {
             return idx;
@@ -148,8 +152,8 @@
         self.list.iter()
     }
 
-    /// Returns the accounts that could be served and are at most `tolerance` behind
-    /// `first` in order.
+    /// Returns accounts that can be served and whose rank is at most `tolerance` above
+    /// the rank of `first`.
     pub fn close_in_rank(
         &self,
         first: AccountIdx,
@@ -161,15 +165,15 @@
         let limit = self.get(first).share_rank(total_capacity) + tolerance;
         let c = class as usize;
         let is_servable = move |a: &Account| a.blocked_in_pass[c] != pass && a.has_queued(class);
-        let close_in_rank = self.list.iter().enumerate();
-        close_in_rank
+        let indexed = self.list.iter().enumerate();
+        indexed
             .filter(move |(_, a)| is_servable(a) && a.share_rank(total_capacity) <= limit)
             .map(|(i, _)| i as AccountIdx)
             .take(Self::MAX_COMPARED_ACCOUNTS)
     }
 
-    /// Returns the account to serve next in a class: the lowest in order with a
-    /// queue that is not blocked in this pass.
+    /// Returns the account to serve next in a class: the one with the lowest rank among
+    /// those with queued requests that are not blocked in this pass.
     pub fn next(
         &self,
         class: PriorityClass,
--- a/crates/hollowford-engine/src/claim.rs
+++ b/crates/hollowford-engine/src/claim.rs
@@ -1,4 +1,5 @@
-//! The platform's list, claims of workers, and what a claim settles.
+//! The platform's list of workers, claims of workers, and how a claim reconciles the
+//! engine's tasks with those on the worker.
 
 use crate::engine::Engine;
 use crate::event::{Action, ClaimReport, TaskEnd, WorkerListing};
@@ -7,17 +8,18 @@
 use hollowford_core::{InstanceId, Millis, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A worker that restarts within this time of a start, its own time to come back included, may have
-/// crashed by it; later, a task that runs for hours must not be ended for restarts that are days apart.
+/// Maximum time from a start to the claim of the restarted worker for which the task counts as
+/// the cause of a crash. Later restarts do not count, since a task that runs for hours must not
+/// fail because of restarts that are days apart.
 const CRASH_WINDOW: Millis = Millis(20_000);
 
 impl Engine {
-    /// Takes in the partition's part of the instance list.
+    /// Applies the part of the platform's list of instances that belongs to the partition.
     pub fn set_worker_list(&mut self, now: Millis, list: &[WorkerListing], out: &mut Vec<Action>) {
-        let mut gone: BTreeSet<WorkerIdx> = self.workers.iter().map(|(idx, _)| idx).collect();
+        let mut unlisted: BTreeSet<WorkerIdx> = self.workers.iter().map(|(idx, _)| idx).collect();
         for item in list {
             let idx = self.workers.intern(&item.id);
-            gone.remove(&idx);
+            unlisted.remove(&idx);
             let w = self.workers.get(idx);
             let was_leaving = w.leaving;
             if w.listed && w.leaving == item.leaving {
@@ -27,7 +29,7 @@
                 w.listed = true;
                 w.zone = item.zone.clone();
                 w.rack = item.rack.clone();
-                // The worker itself may have said so before the list does.
+                // The worker may have reported this before the list shows it.
                 w.leaving |= item.leaving;
             });
             if item.leaving && !was_leaving {
@@ -35,15 +37,14 @@
             }
             self.needs_pass = true;
         }
-        for idx in gone {
+        for idx in unlisted {
             if self.workers.get(idx).listed {
                 self.workers.update(idx, |w| w.listed = false);
             }
         }
     }
 
-    /// Takes in a worker's reply to the claim, and settles every task that it should
-    /// hold.
+    /// Applies a worker's reply to a claim and reconciles its tasks.
     pub fn worker_claimed(
         &mut self,
         now: Millis,
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Settles what this owner believes the worker holds.
+    /// Reconciles the tasks that are placed on the worker with those that it is running.
     fn reconcile_held(
         &mut self,
         now: Millis,
@@ -121,8 +122,8 @@
         }
     }
 
-    /// A task is not on its worker. With the incarnation that the intent names, it
-    /// was never started; after a restart of the worker it may have run.
+    /// Handles a placed task that is not on its worker. In the incarnation that the intent
+    /// names, it was never started; after a restart of the worker it may have run.
     fn task_missing(
         &mut self,
         now: Millis,
@@ -137,11 +138,11 @@
         let state = r.state_of(held.task.index);
         let unsent = state == TaskState::Placed(idx);
         let same_incarnation = held.incarnation == incarnation;
-        let ran = state == TaskState::Running(idx);
+        let was_running = state == TaskState::Running(idx);
         if unsent && same_incarnation {
             return;
         }
-        if unsent || (same_incarnation && !ran) {
+        if unsent || (same_incarnation && !was_running) {
             self.withdraw(now, &held.task, out);
         } else {
             let started = r.tasks[held.task.index as usize].since;
@@ -151,8 +152,8 @@
         }
     }
 
-    /// Stops tasks that run and that the ledger doesn't know. Their resources count
-    /// as taken until they have stopped.
+    /// Stops running tasks without an intent in the ledger. Their resources stay occupied
+    /// until they have stopped.
     fn reconcile_foreign(&mut self, idx: WorkerIdx, claim: &ClaimReport, out: &mut Vec<Action>) {
         let mut foreign = BTreeMap::new();
         for c in &claim.running {
@@ -177,8 +178,9 @@
         self.workers.update(idx, |w| w.foreign = foreign.into_values().collect());
     }
 
-    /// Notes that the session with a worker ended. It takes no new work until it is
-    /// claimed again; what it runs is settled then, or when its leases have ended.
+    /// Records that the session with a worker has ended. It gets no new tasks until it is
+    /// claimed again. Its running tasks are reconciled then, or count as lost once its
+    /// leases have ended.
     pub fn session_ended(&mut self, now: Millis, worker: &InstanceId, out: &mut Vec<Action>) {
         let Some(idx) = self.workers.find(worker) else {
             return;
--- a/crates/hollowford-engine/src/durability.rs
+++ b/crates/hollowford-engine/src/durability.rs
@@ -1,4 +1,4 @@
-//! What waits for the ledger: starts, answers, and what workers may forget.
+//! Actions that wait for records to become durable: starts, answers and acknowledgements.
 
 use crate::engine::{Engine, PendingStart};
 use crate::event::Action;
@@ -6,7 +6,7 @@
 use hollowford_core::Millis;
 
 impl Engine {
-    /// Notes that the ledger holds every record up to `seq`.
+    /// Records that every ledger record up to `seq` is durable.
     pub fn set_durable(&mut self, seq: u64, out: &mut Vec<Action>) {
         self.durable_seq = self.durable_seq.max(seq);
         while let Some((s, worker, task)) = self.pending_forgets.pop_front() {
@@ -25,8 +25,8 @@
         }
     }
 
-    /// Notes whether the ledger can be written now. While it can't, nothing new is
-    /// accepted or placed.
+    /// Sets whether the ledger is stalled, that is, can't be written. While it is, nothing
+    /// is accepted or placed except write-behind requests.
     pub fn set_ledger_stalled(&mut self, stalled: bool) {
         if self.ledger_stalled && !stalled {
             self.needs_pass = true;
@@ -34,17 +34,17 @@
         self.ledger_stalled = stalled;
     }
 
-    /// Tells whether the ledger can't be written now.
+    /// Returns true if the ledger is stalled, that is, can't be written.
     pub fn is_ledger_stalled(&self) -> bool {
         self.ledger_stalled
     }
 
-    /// Returns the position of the newest record.
+    /// Returns the position of the last appended record; 0 if there is none.
     pub fn last_seq(&self) -> u64 {
         self.next_seq - 1
     }
 
-    /// Returns how many records the ledger doesn't hold yet.
+    /// Returns the number of records that are not durable yet.
     pub fn unsynced_records(&self) -> u64 {
         self.next_seq - 1 - self.durable_seq
     }
@@ -78,7 +78,7 @@
         let Some((spec, checkpoint)) = self.start_payload(start) else {
             return;
         };
-        // An intent that is in no ledger: the start goes by the promises.
+        // The start does not wait for its intent, so its lease must end before a takeover.
         let fixed_lease = start.seq == 0;
         let lease_until = match fixed_lease {
             true => self.grant_fixed_lease(start.worker),
--- a/crates/hollowford-engine/src/engine.rs
+++ b/crates/hollowford-engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! The state of one partition and the parts that every event shares.
+//! The state of one partition, and helpers that all events use.
 
 use crate::account::Accounts;
 use crate::event::{Action, Change, Record};
@@ -13,56 +13,56 @@
 };
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// What the owner may do at this moment, by its ownership lease.
+/// What the state of its ownership lease allows the owner to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Authority {
-    /// The lease holds: everything.
+    /// The lease is valid: no restrictions.
     Full,
-    /// The lease has lapsed: running work is kept alive, nothing is started.
+    /// The lease has lapsed: task leases are renewed, but nothing is started.
     RenewOnly,
-    /// The renewal bound has passed too: nothing.
+    /// The lease has lapsed longer ago than [`Policy::renewal_bound`]: nothing is allowed.
     None,
 }
 
-/// Counters since the engine was made.
+/// Counters since the engine was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// Intents appended.
+    /// Tasks placed on a worker: intents appended.
     pub placed: u64,
-    /// Starts sent.
+    /// Starts sent to workers.
     pub started: u64,
-    /// Intents taken back before a start, or refused by the worker.
+    /// Placed tasks that were withdrawn before their start or refused by the worker.
     pub withdrawn: u64,
-    /// Attempts that ended well.
+    /// Attempts that succeeded.
     pub done: u64,
     /// Attempts that failed.
     pub failed: u64,
-    /// Attempts of which no one can tell the end.
+    /// Attempts whose outcome is unknown.
     pub lost: u64,
-    /// Tasks displaced for urgent work.
+    /// Tasks preempted for urgent work.
     pub preempted: u64,
-    /// Milliseconds of run time that displaced tasks had behind them.
+    /// Total time in milliseconds that preempted tasks had run.
     pub preempted_ms: u64,
     /// Requests refused at submission.
     pub refused: u64,
-    /// Workers put aside.
+    /// Times that a worker was quarantined.
     pub quarantined: u64,
-    /// Reports that fit no attempt that the engine knows.
+    /// Reports about attempts that are unknown or no longer current.
     pub stale_reports: u64,
-    /// Tasks found on workers that the ledger doesn't know.
+    /// Tasks found running on workers without an intent in the ledger.
     pub foreign: u64,
 }
 
-/// A start that waits for its intent to be durable.
+/// A start that waits until its intent is durable.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PendingStart {
-    /// Position of the intent; 0: it need not be durable.
+    /// Position of the intent in the ledger; 0 if the start need not wait for it.
     pub seq: u64,
     pub task: TaskId,
     pub worker: WorkerIdx,
 }
 
-/// The decisions of one partition. See the crate's description.
+/// The scheduler of one partition. See the crate documentation.
 #[derive(Debug)]
 pub struct Engine {
     pub(crate) partition: PartitionId,
@@ -76,32 +76,35 @@
     pub(crate) next_seq: u64,
     pub(crate) durable_seq: u64,
     pub(crate) ledger_stalled: bool,
-    /// Until when no one takes over, while the ledger stalls; zero: that is not known.
+    /// While the ledger is stalled: no member takes the partition over before this time.
+    /// Zero if that is unknown.
     pub(crate) no_takeover_until: Millis,
     pub(crate) pending_starts: VecDeque<PendingStart>,
     pub(crate) pending_forgets: VecDeque<(u64, InstanceId, TaskId)>,
     pub(crate) pending_changes: VecDeque<(u64, RequestNo)>,
-    /// Final answers by the time at which they were given, oldest first.
+    /// Requests with a final answer and the time of that answer, oldest first.
     pub(crate) kept_answers: VecDeque<(Millis, RequestNo)>,
-    /// Requests that are given up at a time unless they have begun.
+    /// Times at which requests are given up unless one of their tasks has started.
     pub(crate) start_deadlines: BTreeSet<(Millis, RequestNo)>,
-    /// Times at which a waiting request may be tried again.
+    /// Times at which a waiting request is tried again.
     pub(crate) retry_times: BTreeSet<(Millis, RequestNo)>,
     pub(crate) reservations: BTreeMap<RequestNo, Reservation>,
     pub(crate) preemption: PreemptionState,
-    /// Something may be placeable that was not at the last pass.
+    /// Whether a placement pass may place something that the last one could not.
     pub(crate) needs_pass: bool,
+    /// Number of the last placement pass.
     pub(crate) pass_no: u64,
+    /// Requests without a final answer.
     pub(crate) open: u32,
     pub(crate) feasibility_checked_at: Millis,
     pub(crate) stats: Stats,
 }
 
 impl Engine {
-    /// Makes the engine of an owner that has just taken the partition at `epoch`.
+    /// Creates the engine of an owner that has just taken over the partition at `epoch`.
     ///
-    /// What the ledger holds is given to [`Engine::replay`], then
-    /// [`Engine::activate`] is called once.
+    /// The caller passes every record of the ledger to [`Engine::replay`], then calls
+    /// [`Engine::activate`] once.
     pub fn new(partition: PartitionId, epoch: Epoch, policy: Policy) -> Engine {
         Engine {
             partition,
@@ -137,22 +140,22 @@
         self.partition
     }
 
-    /// Returns the owner's epoch.
+    /// Returns the epoch at which the owner took over the partition.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// Returns the settings in force.
+    /// Returns the scheduling settings in use.
     pub fn policy(&self) -> &Policy {
         &self.policy
     }
 
-    /// Returns the counters.
+    /// Returns the counters since the engine was created.
     pub fn stats(&self) -> Stats {
         self.stats
     }
 
-    /// Puts a client account's configuration in force.
+    /// Applies the configuration of a client account.
     pub fn set_account(&mut self, id: &AccountId, policy: AccountPolicy) {
         let idx = self.accounts.intern(id);
         self.accounts.get_mut(idx).policy = policy;
@@ -172,7 +175,7 @@
         seq
     }
 
-    /// Marks a request as changed, now.
+    /// Increments the version of a request and reports the change at once.
     pub(crate) fn mark_changed(&mut self, no: RequestNo, out: &mut Vec<Action>) {
         if let Some(r) = self.requests.get_mut(&no) {
             r.version += 1;
@@ -180,12 +183,12 @@
         }
     }
 
-    /// Marks a request as changed once the ledger has the record at `seq`.
+    /// Reports a request as changed once the record at `seq` is durable.
     pub(crate) fn mark_changed_when_durable(&mut self, no: RequestNo, seq: u64) {
         self.pending_changes.push_back((seq, no));
     }
 
-    /// Puts a request with waiting tasks into its account's queue.
+    /// Adds a request with waiting tasks to its account's queue, unless it is queued already.
     pub(crate) fn enqueue(&mut self, no: RequestNo, front: bool) {
         let Some(r) = self.requests.get_mut(&no) else {
             return;
--- a/crates/hollowford-engine/src/event.rs
+++ b/crates/hollowford-engine/src/event.rs
@@ -1,37 +1,37 @@
-//! What the engine is told and what it asks for.
+//! Input and output of the engine: ledger records, reports of workers, and actions.
 
 use hollowford_core::{InstanceId, Kind, Millis, RequestKey, RequestNo, Resources, Spec, TaskId};
 use std::sync::Arc;
 
-/// One change of the partition's state, as kept in the ledger.
+/// One change of the partition's state, as stored in the ledger.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    /// The request that changes.
+    /// The request that is changed.
     pub request: RequestNo,
-    /// What changes.
+    /// The change.
     pub change: Change,
 }
 
-/// What a record changes.
+/// The kinds of changes in the ledger.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     /// The request was accepted.
     Accept {
-        /// The caller's name for it.
+        /// Account and id that identify the request to its caller.
         key: RequestKey,
-        /// What was asked.
+        /// The specification of the request.
         spec: Arc<Spec>,
     },
-    /// The attempt is about to be sent to a worker.
+    /// An attempt was placed on a worker; its start is sent once this record is durable.
     Intent {
         /// The attempt.
         task: TaskId,
-        /// Where it goes.
+        /// The worker that is to run it.
         worker: InstanceId,
-        /// The worker's incarnation that the owner had claimed.
+        /// Incarnation of the worker at the last claim.
         incarnation: u64,
     },
-    /// The attempt was never started, and the task waits again.
+    /// The attempt was never started and the task is waiting again.
     Withdrawn {
         /// The attempt.
         task: TaskId,
@@ -47,17 +47,17 @@
     Cancel,
     /// The request has its final answer.
     Close(FinalAnswer),
-    /// The task waits again, after the attempts counted.
+    /// The task is waiting for another attempt.
     Queued {
         /// The last attempt.
         task: TaskId,
-        /// Attempts that failed.
+        /// Failed attempts of the task.
         failures: u32,
-        /// Attempts under which the worker restarted.
+        /// Attempts during which the worker restarted shortly after the start.
         crashes: u32,
-        /// Object from which the next attempt goes on; empty: from the start.
+        /// Checkpoint object from which the next attempt resumes; empty if there is none.
         checkpoint: Arc<str>,
-        /// Whether a task of the request had started.
+        /// Whether any task of the request has started.
         begun: bool,
     },
 }
@@ -65,24 +65,24 @@
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TaskEnd {
-    /// It ran to its end.
+    /// It completed.
     Done(TaskResult),
-    /// It ran and failed, with the worker's message.
+    /// It ran and failed; has the message of the worker.
     Failed(String),
-    /// It was stopped by order, with the object to go on from, or an empty text.
+    /// It was stopped on the engine's order; has the checkpoint object, empty if there is none.
     Stopped(Arc<str>),
-    /// It may have run, and no one can tell any more.
+    /// It may have run; its outcome is unknown.
     Lost,
-    /// The same, since the worker restarted shortly after its start.
+    /// As `Lost`, because the worker restarted shortly after the start.
     Crashed,
 }
 
-/// What a task gave back.
+/// The result of a completed task.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TaskResult {
-    /// The result, when it is short.
+    /// The result if it is short enough to be sent inline.
     pub bytes: Vec<u8>,
-    /// The object that holds a longer result; empty: none.
+    /// The object that holds a longer result; empty if there is none.
     pub object: Arc<str>,
     /// Length of the whole result in bytes.
     pub len: u64,
@@ -90,60 +90,60 @@
     pub xxh3: u64,
 }
 
-/// The closed list of final outcomes.
+/// The final outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Every task ran to its end.
+    /// Every task completed.
     Done,
     /// At least one task ran and failed.
     Failed,
     /// No task was started.
     NotRun,
-    /// A task may have run.
+    /// A task may have run, and its outcome is unknown.
     MayHaveRun,
-    /// Cancelled by the caller.
+    /// The caller cancelled it before all tasks completed.
     Cancelled,
 }
 
-/// A final answer, without the tasks' results.
+/// The final answer to a request, without the results of its tasks.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FinalAnswer {
     /// The outcome.
     pub outcome: Outcome,
-    /// Stable name of the error kind; empty when there is none.
+    /// Stable name of the error kind; empty if there is no error.
     pub reason: Arc<str>,
-    /// What happened.
+    /// Explanation for the caller; may be empty.
     pub message: Arc<str>,
-    /// Whether a task had started.
+    /// Whether any task had started.
     pub had_begun: bool,
 }
 
-/// What the owner is to carry out.
+/// An action for the owner to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Append a record to the ledger, in the order of `seq`.
+    /// Append a record to the ledger. Records are appended in the order of `seq`.
     Append {
-        /// Position of the record, from 1, without gaps.
+        /// Position of the record; starts at 1 and has no gaps.
         seq: u64,
         /// The record.
         record: Record,
     },
     /// Send a start to a worker.
     Start {
-        /// Where it goes.
+        /// The worker that is to run it.
         worker: InstanceId,
         /// The attempt.
         task: TaskId,
         /// Reading of the worker's clock at which the lease ends.
         lease_until: u64,
-        /// Whether no renewal extends the lease.
+        /// Whether renewals leave the lease as it is.
         fixed_lease: bool,
-        /// What to run.
+        /// The specification of the request.
         spec: Arc<Spec>,
-        /// Object to go on from; empty: from the start.
+        /// Checkpoint object to resume from; empty if there is none.
         checkpoint: Arc<str>,
     },
-    /// Extend the leases of a worker's tasks.
+    /// Renew the leases of all tasks of a worker, except fixed ones.
     Renew {
         /// The worker.
         worker: InstanceId,
@@ -156,61 +156,61 @@
         worker: InstanceId,
         /// The attempt.
         task: TaskId,
-        /// Whether to keep what was done.
+        /// Whether to save a checkpoint.
         checkpoint: bool,
     },
-    /// Tell a worker that an outcome is durable.
+    /// Acknowledge an outcome that is durable, so that the worker may forget it.
     Forget {
-        /// The worker that remembers it.
+        /// The worker that reported it.
         worker: InstanceId,
         /// The attempt.
         task: TaskId,
     },
-    /// Hold a task to its declared processors.
+    /// Limit a task to the CPU time that it declared.
     Throttle {
         /// The worker that runs it.
         worker: InstanceId,
         /// The attempt.
         task: TaskId,
-        /// Thousandths of a core.
+        /// Limit in thousandths of a core.
         cpu_milli: u32,
     },
-    /// A request's view has changed in a way that callers may see.
+    /// The view of a request has changed.
     Changed(RequestNo),
-    /// A request started for the first time: a measurement.
+    /// The first task of a request has started. For metrics.
     FirstStart {
-        /// Kind of the request.
+        /// The kind of request.
         kind: Kind,
-        /// Whether it was urgent.
+        /// Whether the request is urgent.
         urgent: bool,
         /// Time from acceptance to the first start.
         waited: Millis,
     },
 }
 
-/// What a worker's reply to a claim says.
+/// A worker's reply to a claim.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClaimReport {
-    /// Changes when the worker has lost its memory of tasks.
+    /// Incarnation of the worker. Changes when it restarts and loses its state.
     pub incarnation: u64,
     /// The worker's clock in milliseconds.
     pub clock: u64,
-    /// What the instance has.
+    /// Total resources of the instance.
     pub capacity: Resources,
-    /// Whether the instance is leaving.
+    /// Whether the instance is about to be removed.
     pub leaving: bool,
-    /// Tasks that run.
+    /// Tasks that the worker is running.
     pub running: Vec<ClaimedTask>,
-    /// Outcomes that the worker remembers.
+    /// Outcomes that have not been acknowledged.
     pub ended: Vec<EndReport>,
 }
 
-/// A task that a worker runs at the time of a claim.
+/// A task that a worker is running at the time of a claim.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClaimedTask {
     /// The attempt.
     pub task: TaskId,
-    /// What it takes.
+    /// Resources that it occupies.
     pub resources: Resources,
 }
 
@@ -221,30 +221,30 @@
     pub task: TaskId,
     /// How it ended.
     pub end: TaskEnd,
-    /// How long it ran.
+    /// Run time.
     pub ran: Millis,
 }
 
-/// What a running task uses.
+/// Measured resource usage of a running task.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TaskUsage {
     /// The attempt.
     pub task: TaskId,
-    /// Thousandths of a core.
+    /// CPU usage in thousandths of a core.
     pub cpu_milli: u32,
-    /// Mebibytes.
+    /// Memory usage in MiB.
     pub memory_mib: u32,
 }
 
-/// One instance of the platform's list that belongs to the partition.
+/// An instance in the platform's list that belongs to the partition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerListing {
-    /// The instance.
+    /// Id of the instance.
     pub id: InstanceId,
-    /// Its availability zone.
+    /// The availability zone of the instance.
     pub zone: Arc<str>,
-    /// Its rack.
+    /// The rack of the instance.
     pub rack: Arc<str>,
-    /// Whether it is leaving.
+    /// Whether the instance is about to be removed.
     pub leaving: bool,
 }
--- a/crates/hollowford-engine/src/feasibility.rs
+++ b/crates/hollowford-engine/src/feasibility.rs
@@ -1,4 +1,4 @@
-//! Work that can never run is answered at once, with what would fit.
+//! Refuses work that can never run, with a message that names what would fit.
 
 use crate::engine::Engine;
 use crate::worker::Worker;
@@ -6,8 +6,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Engine {
-    /// Refuses work that no instance could ever run. Without every listed worker
-    /// claimed the question is open, and the work waits.
+    /// Checks that the listed instances could run the work if they were empty. As long as
+    /// a listed worker is unclaimed, its size is unknown and the work is allowed to wait.
+    ///
+    /// # Errors
+    /// `Impossible` with what would fit.
     pub(crate) fn check_feasible(&self, spec: &Spec) -> Result<(), Error> {
         let unknown = |w: &Worker| w.listed && !w.leaving && !w.claimed;
         if self.workers.len() == 0 || self.workers.iter().any(|(_, w)| unknown(w)) {
@@ -55,9 +58,9 @@
             return "the partition has no usable instance".to_owned();
         };
         format!(
-            "{} tasks of {} mcpu, {} MiB, {} accelerators fit nowhere at once; \
+            "{} tasks of {} mcpu, {} MiB, {} accelerators can't run at the same time; \
              the largest instance has {} mcpu, {} MiB, {} accelerators, and {} such tasks fit \
-             where the placement allows",
+             within the placement constraints",
             min_concurrent_tasks(spec),
             spec.per_task.cpu_milli,
             spec.per_task.memory_mib,
@@ -70,20 +73,21 @@
     }
 }
 
-/// Returns how many tasks of a request must have room at the same time.
+/// Returns the minimum number of tasks of a request that must run at the same time.
 fn min_concurrent_tasks(spec: &Spec) -> u32 {
     if spec.kind == Kind::Gang { spec.tasks } else { 1 }
 }
 
-/// Returns how many times `need` goes into `room`.
+/// Returns how many times `need` fits into `room`.
 pub(crate) fn fit_count(need: &Resources, room: &Resources) -> u32 {
-    let part = |n: u32, r: u32| r.checked_div(n).unwrap_or(u32::MAX);
-    part(need.cpu_milli, room.cpu_milli)
-        .min(part(need.memory_mib, room.memory_mib))
-        .min(part(need.accelerators, room.accelerators))
+    let ratio = |n: u32, r: u32| r.checked_div(n).unwrap_or(u32::MAX);
+    ratio(need.cpu_milli, room.cpu_milli)
+        .min(ratio(need.memory_mib, room.memory_mib))
+        .min(ratio(need.accelerators, room.accelerators))
 }
 
-/// Tells whether the request's placement names this worker's zone and doesn't exclude it.
+/// Returns true if the placement of the request allows the worker's availability zone and
+/// does not exclude the instance.
 pub(crate) fn placement_allows(spec: &Spec, w: &Worker) -> bool {
     let p = &spec.placement;
     (p.zones.is_empty() || p.zones.contains(&w.zone)) && !p.exclude_instances.contains(&w.id)
--- a/crates/hollowford-engine/src/gang.rs
+++ b/crates/hollowford-engine/src/gang.rs
@@ -1,10 +1,10 @@
-//! Gangs: all tasks start together, or none does.
+//! Gang scheduling: all tasks of a gang start together, or none does.
 //!
-//! A gang that doesn't fit gets a reservation: workers on which it will have room
-//! soonest by the expected run times. Other work may still use them when it is
-//! expected to end before that (backfill), until the gang has waited too long. A
-//! worker is reserved for one gang at a time, and a reservation is made only when
-//! its workers hold the whole gang, so two gangs never hold halves.
+//! A gang that does not fit gets a reservation for the workers on which it is expected
+//! to fit earliest. Until the gang has waited for `Policy::gang_drain_after`, other work may
+//! use these workers if it is expected to end before that time (backfill). A worker is
+//! reserved for one gang at a time, and a reservation is made only if its workers have
+//! room for the whole gang. So two gangs never block each other with half of their workers.
 
 use crate::engine::Engine;
 use crate::event::{Action, Change};
@@ -17,12 +17,12 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Largest part of the workers that are reserved at once.
+/// At most one worker in this number is reserved, unless a single gang needs more.
 const RESERVED_SHARE_DIVISOR: usize = 2;
-/// Wait before a gang without a reservation is looked at again.
+/// Interval at which a gang that does not fit is tried again.
 const RESERVATION_RETRY_INTERVAL: Millis = Millis(1_000);
 
-/// Workers kept for one gang.
+/// Workers that are reserved for one gang.
 #[derive(Debug)]
 pub(crate) struct Reservation {
     pub workers: Vec<WorkerIdx>,
@@ -32,11 +32,11 @@
     pub accepted_at: Millis,
 }
 
-/// How many tasks of a gang go to one worker.
+/// A worker and the number of tasks of a gang that fit on it.
 type WorkerSlots = (WorkerIdx, u32);
 
 impl Engine {
-    /// Places a whole gang, or reserves workers for it.
+    /// Places a whole gang, or reserves workers for it if it does not fit.
     pub(crate) fn try_gang(
         &mut self,
         no: RequestNo,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Finds room for every waiting task now, in as few racks as possible.
+    /// Finds free room for all waiting tasks, in as few racks as possible.
     fn find_gang_slots(&self, r: &Request, now: Millis) -> Option<Vec<WorkerSlots>> {
         let need = r.waiting.len() as u32;
         let allowed = |idx: &WorkerIdx| self.is_eligible(r, self.workers.get(*idx), *idx, now);
@@ -87,7 +87,7 @@
                 placed.push((index, worker));
             }
         }
-        // Every start waits for the last intent: the gang starts whole.
+        // Every start waits for the last intent, so that the whole gang starts together.
         for &(index, worker) in &placed {
             self.queue_start(no, index, worker, last_seq);
         }
@@ -101,8 +101,8 @@
 
     fn reserve(&mut self, no: RequestNo, now: Millis, out: &mut Vec<Action>) -> TryOutcome {
         if let Some(v) = self.reservations.get(&no) {
-            // A reservation stands while its workers do: they drain, and choosing
-            // again would begin anew.
+            // Keep the reservation while its workers are usable. They are draining, and
+            // other workers would have to start from the beginning.
             if v.workers.iter().all(|&w| self.workers.get(w).is_usable()) {
                 return TryOutcome::Waits(WaitCause::GangReservation);
             }
@@ -132,7 +132,7 @@
         TryOutcome::Waits(WaitCause::GangReservation)
     }
 
-    /// Gives a reservation's workers back to all.
+    /// Releases the reservation of a gang.
     pub(crate) fn drop_reservation(&mut self, no: RequestNo) {
         if let Some(v) = self.reservations.remove(&no) {
             for idx in v.workers {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Tells whether a worker's reservation lets this request use it.
+    /// Returns true if the request may use the worker in spite of its reservation, if any.
     pub(crate) fn reservation_allows(&self, r: &Request, w: &Worker, now: Millis) -> bool {
         let Some(holder) = w.reserved_for else {
             return true;
@@ -161,9 +161,9 @@
         bounded && !is_draining && self.expected_end(r, now) <= v.ready_at
     }
 
-    /// Tells whether the request's account is further behind in the order than that of
-    /// a reservation's holder. Such work goes first, as it would without the
-    /// reservation; or else gangs that keep coming would starve it.
+    /// Returns true if the account of the request has a lower rank than the account that
+    /// holds the reservation. Such a request goes first, as it would without the
+    /// reservation; otherwise a steady stream of gangs would starve it.
     fn ranks_before(&self, r: &Request, holder: RequestNo) -> bool {
         let share_rank = |idx| self.accounts.get(idx).share_rank(&self.workers.total_capacity);
         let holder = self.requests.get(&holder).map(|h| h.account);
@@ -172,8 +172,8 @@
         })
     }
 
-    /// Finds the earliest time at which the gang fits, by the declared run times,
-    /// and the workers that have the room then.
+    /// Returns the earliest time at which the gang is expected to fit, and the workers on
+    /// which it fits then.
     fn earliest_fit(&self, r: &Request, now: Millis) -> Option<(Millis, Vec<WorkerIdx>)> {
         let usable: Vec<WorkerIdx> = self
             .workers
@@ -197,7 +197,7 @@
         Some((t.max(now), slots.into_iter().map(|(idx, _)| idx).collect()))
     }
 
-    /// Returns where the gang would fit at `t`, when all that ends by then has ended.
+    /// Returns where the gang fits once all tasks that are expected to end by `t` have ended.
     fn slots_at(
         &self,
         r: &Request,
@@ -218,7 +218,7 @@
         pick_slots(r, racks.into_values().collect(), r.waiting.len() as u32)
     }
 
-    /// Stops all tasks of a gang, since one of them won't go on.
+    /// Stops all tasks of a gang because one of them does not run any more.
     pub(crate) fn restart_gang(&mut self, now: Millis, no: RequestNo, out: &mut Vec<Action>) {
         if let Some(r) = self.requests.get_mut(&no) {
             r.restarting = true;
@@ -226,8 +226,7 @@
         self.stop_all(now, no, false, out);
     }
 
-    /// Once all tasks of a stopped gang have ended: lets it wait again as a whole,
-    /// or fails it.
+    /// Requeues or fails a stopped gang once all of its tasks have ended.
     pub(crate) fn finish_gang_restart(
         &mut self,
         now: Millis,
@@ -242,9 +241,9 @@
         }
         r.restarting = false;
         if !r.spec.repeatable && r.done > 0 {
-            // Part of it has run to its end and must not run again.
+            // Some tasks have completed and must not run again.
             r.failed += 1;
-            r.message = "a task of the gang did not start, and another had ended".into();
+            r.message = "a task of the gang did not start after another had completed".into();
         }
         if r.failed > 0 || r.uncertain > 0 || r.cancelled {
             self.drop_waiting(no);
@@ -271,7 +270,7 @@
         self.apply_queued(no, index);
     }
 
-    /// Makes a task that had ended wait again.
+    /// Makes an ended task wait again and drops its result.
     pub(crate) fn apply_queued(&mut self, no: RequestNo, index: u32) {
         if let Some(r) = self.requests.get_mut(&no)
             && r.results.remove(index)
@@ -282,7 +281,7 @@
     }
 }
 
-/// Returns how many of the request's tasks a worker can take into `room`.
+/// Returns how many tasks of the request a worker can run in `room`.
 fn slot_count(r: &Request, w: &Worker, room: &Resources) -> u32 {
     let n = fit_count(&r.spec.per_task, room);
     match r.spec.placement.spread {
@@ -292,8 +291,8 @@
     }
 }
 
-/// Takes `need` slots from as few racks as possible, or from one if the request
-/// asks for it. Returns `None` when there are too few.
+/// Takes `need` slots from as few racks as possible, or from a single rack if the request
+/// requires it. Returns `None` if there are too few.
 fn pick_slots(
     r: &Request,
     mut racks: Vec<Vec<WorkerSlots>>,
@@ -304,7 +303,7 @@
     if r.spec.placement.spread == Spread::Rack {
         racks.iter_mut().for_each(|rack| rack.truncate(1));
     }
-    // The smallest rack that holds the whole gang leaves the larger ones free.
+    // Prefer the smallest rack that fits the whole gang, to leave larger ones free.
     let one_rack = racks.iter().filter(|rack| total(rack) >= need).min_by_key(|rack| total(rack));
     let from: Vec<WorkerSlots> = match one_rack {
         Some(rack) => rack.clone(),
--- a/crates/hollowford-engine/src/health.rs
+++ b/crates/hollowford-engine/src/health.rs
@@ -1,4 +1,4 @@
-//! What the ends of attempts tell about workers, requests and client accounts.
+//! Health of workers: failed attempts, and the quarantine of workers that fail often.
 
 use crate::engine::Engine;
 use crate::event::TaskEnd;
@@ -6,7 +6,8 @@
 use hollowford_core::{Millis, RequestNo, TaskId};
 
 impl Engine {
-    /// Learns from an attempt's end about the worker and about the request.
+    /// Updates the statistics of the account and the failures of worker and request with
+    /// the end of an attempt.
     pub(crate) fn update_health(
         &mut self,
         now: Millis,
@@ -45,7 +46,7 @@
             r.failed_workers.push(idx);
         }
         if r.failed_workers.len() >= self.policy.request_fault_after {
-            // It fails everywhere: the fault is the request's own.
+            // It fails on several workers, so the request is at fault and not the workers.
             for other in std::mem::take(&mut r.failed_workers) {
                 self.workers.get_mut_unindexed(other).failed_requests.retain(|n| *n != no);
             }
@@ -61,8 +62,8 @@
         }
     }
 
-    /// Tells whether a worker has failed enough different requests, of different
-    /// client accounts or of one whose work ends well elsewhere.
+    /// Returns true if enough distinct requests failed on the worker, and they belong to
+    /// several client accounts or to one whose attempts mostly succeed.
     fn should_quarantine(&self, idx: WorkerIdx) -> bool {
         let failed_requests = &self.workers.get(idx).failed_requests;
         if failed_requests.len() < self.policy.quarantine_after {
@@ -80,8 +81,11 @@
 
     fn quarantine(&mut self, now: Millis, idx: WorkerIdx) {
         const MAX_DOUBLINGS: u32 = 5;
-        let most = (self.workers.len() as f64 * self.policy.max_quarantined_share) as u32;
-        if self.workers.get(idx).quarantined_until.is_some() || self.workers.quarantined >= most {
+        let max_quarantined =
+            (self.workers.len() as f64 * self.policy.max_quarantined_share) as u32;
+        if self.workers.get(idx).quarantined_until.is_some()
+            || self.workers.quarantined >= max_quarantined
+        {
             return;
         }
         let base = self.policy.quarantine_time.0;
--- a/crates/hollowford-engine/src/lib.rs
+++ b/crates/hollowford-engine/src/lib.rs
@@ -1,12 +1,13 @@
-//! The decisions of one partition: which task starts where, and when.
+//! Scheduling decisions of one partition: which task starts on which worker, and when.
 //!
 //! The engine does no I/O, reads no clock and starts no thread. The owner of the
-//! partition gives it events with a time, and carries out the actions that come
-//! back. The same engine runs in the server, in tests and in benchmarks.
+//! partition passes it events with a time and executes the actions that it returns.
+//! The same engine runs in the server, in tests and in benchmarks.
 //!
-//! Order of a start: the intent is appended to the ledger, the ledger reports it
-//! durable, and only then is the start sent. A new owner that reads the ledger
-//! therefore knows of every task that any worker may be running.
+//! A start has three steps: an intent is appended to the ledger, the ledger reports
+//! it as durable, and only then is the start sent to the worker. A new owner that
+//! reads the ledger therefore knows every task that a worker may be running. The one
+//! exception is described in `write_behind.rs`.
 
 mod account;
 mod claim;
--- a/crates/hollowford-engine/src/placement.rs
+++ b/crates/hollowford-engine/src/placement.rs
@@ -1,4 +1,4 @@
-//! One pass over the queues: what starts where.
+//! Placement passes: assign queued tasks to workers.
 
 use crate::account::AccountIdx;
 use crate::engine::{Authority, Engine, PendingStart};
@@ -8,32 +8,34 @@
 use hollowford_core::{Millis, RequestNo, Resources, Spec};
 use std::sync::Arc;
 
-/// What a pass has learned so far.
+/// State of one placement pass.
 pub(crate) struct Pass {
     pub now: Millis,
+    /// Number of the pass.
     pub no: u64,
+    /// Tasks placed in the pass.
     placed: usize,
-    /// Whether the ledger can be written; if not, only unledgered requests are served.
+    /// Whether the ledger can be written. If not, only write-behind requests are served.
     ledger_available: bool,
-    /// Shapes of free placement that fitted nowhere, by class.
+    /// Class and size of tasks without placement constraints that fitted on no worker.
     unplaceable: Vec<(PriorityClass, Resources)>,
 }
 
 impl Pass {
-    /// Tells whether a shape at most this large has failed in the pass.
+    /// Returns true if a task of the class that is at most this large did not fit in this pass.
     pub fn is_unplaceable(&self, class: PriorityClass, shape: &Resources) -> bool {
         self.unplaceable.iter().any(|(c, s)| *c == class && s.fits(shape))
     }
 }
 
-/// What came of serving one client account.
+/// Result of serving one client account.
 #[derive(PartialEq, Eq)]
 enum ServeOutcome {
     Placed,
     Blocked,
 }
 
-/// What came of trying one request.
+/// Result of an attempt to place one request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum TryOutcome {
     Placed,
@@ -41,8 +43,8 @@
 }
 
 impl Engine {
-    /// Sends the starts that are due and places what fits. Called after each
-    /// group of events.
+    /// Sends the starts whose intents are durable, then runs a placement pass if one is
+    /// needed. Called after each group of events.
     pub fn decide(&mut self, now: Millis, authority: Authority, out: &mut Vec<Action>) {
         if authority == Authority::Full {
             self.send_starts(now, out);
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Tells whether another call of [`Engine::decide`] would place more at once.
+    /// Returns true if another call of [`Engine::decide`] would run a placement pass.
     pub fn needs_decide(&self, now: Millis) -> bool {
         self.needs_pass && (!self.ledger_stalled || self.allows_write_behind(now))
     }
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Places one task, or one gang, of the account's oldest requests.
+    /// Places one task or one gang of the account's oldest requests.
     fn serve_account(
         &mut self,
         account: AccountIdx,
@@ -134,8 +136,8 @@
         ServeOutcome::Blocked
     }
 
-    /// Tells whether a request waits that the pass has shown to fit nowhere. Most
-    /// requests of a full cell are passed over by this one look.
+    /// Returns true if a waiting request is known not to fit in this pass. In a full cell,
+    /// this cheap check skips most requests.
     fn is_known_unplaceable(&self, no: RequestNo, pass: &Pass) -> bool {
         let waits = |r: &&Request| r.wait_cause == WaitCause::NoRoom && !r.waiting.is_empty();
         let Some(r) = self.requests.get(&no).filter(waits) else {
@@ -146,13 +148,15 @@
             && pass.is_unplaceable(r.class, &r.spec.per_task)
     }
 
-    /// Tells whether the request's failure to fit holds for others of its shape:
-    /// constraints and earlier failures narrow the choice of this one alone.
+    /// Returns true if whether the request fits depends only on the size of its tasks, so
+    /// that the result holds for other requests. Gangs, placement constraints and workers
+    /// on which it failed limit the choice for that one request.
     fn depends_on_shape_only(&self, r: &Request) -> bool {
         !r.is_gang() && r.spec.placement.is_free() && r.failed_workers.is_empty()
     }
 
-    /// Tells whether a queued request has tasks to place; if not, it leaves the queue.
+    /// Updates and returns whether a queued request has tasks to place. If not, the caller
+    /// removes it from the queue.
     fn update_in_queue(&mut self, no: RequestNo) -> bool {
         let Some(r) = self.requests.get_mut(&no) else {
             return false;
@@ -190,8 +194,8 @@
         self.try_task(no, pass, out)
     }
 
-    /// Tells whether the work leaves the headroom free, or may borrow it. The
-    /// headroom delays work; it never makes it impossible.
+    /// Returns true if the tasks leave the headroom free or may use it. The headroom may
+    /// delay work, but never makes it impossible.
     fn headroom_allows(&self, r: &Request, concurrent_tasks: u32, now: Millis) -> bool {
         if r.class == PriorityClass::Urgent || self.policy.headroom <= 0.0 {
             return true;
@@ -204,9 +208,9 @@
             return true;
         }
         let total_capacity = self.workers.total_capacity.cpu_milli as f64;
-        let takes = f64::from(r.spec.per_task.cpu_milli) * f64::from(concurrent_tasks);
-        let kept = (total_capacity * self.policy.headroom).min(total_capacity - takes);
-        self.workers.free.cpu_milli as f64 - takes >= kept
+        let needed = f64::from(r.spec.per_task.cpu_milli) * f64::from(concurrent_tasks);
+        let kept_free = (total_capacity * self.policy.headroom).min(total_capacity - needed);
+        self.workers.free.cpu_milli as f64 - needed >= kept_free
     }
 
     fn try_task(&mut self, no: RequestNo, pass: &mut Pass, out: &mut Vec<Action>) -> TryOutcome {
@@ -219,8 +223,8 @@
             return TryOutcome::Waits(WaitCause::NoRoom);
         }
         let found = self.find_worker(r, pass.now).or_else(|| {
-            // What is withdrawn to make room leaves it at once, and the urgent
-            // request must have it before any other takes it back.
+            // Tasks whose starts were not sent are withdrawn and free their room at once.
+            // The urgent request takes it before any other request can.
             let may_preempt = class == PriorityClass::Urgent && pass.ledger_available;
             let preempted = may_preempt && self.preempt_for(no, pass.now, out);
             let r = self.requests.get(&no).filter(|_| preempted)?;
@@ -256,7 +260,7 @@
         }
     }
 
-    /// Counts gang placements against the pass.
+    /// Adds the placed tasks of a gang to the count of the pass.
     pub(crate) fn count_placed(pass: &mut Pass, n: usize) {
         pass.placed += n;
     }
@@ -266,7 +270,8 @@
         self.accounts.get(r.account).expected_end(&r.spec, now)
     }
 
-    /// Gives a waiting task to a worker and appends the intent.
+    /// Assigns a waiting task to a worker and appends the intent. Returns the position of
+    /// the intent.
     pub(crate) fn place(
         &mut self,
         no: RequestNo,
@@ -298,7 +303,7 @@
         self.append(no, change, out)
     }
 
-    /// Remembers to send the start once the ledger has the record at `seq`.
+    /// Queues a start that is sent once the record at `seq` is durable.
     pub(crate) fn queue_start(&mut self, no: RequestNo, index: u32, worker: WorkerIdx, seq: u64) {
         if let Some(r) = self.requests.get(&no) {
             let task = r.task_id(index);
@@ -306,7 +311,7 @@
         }
     }
 
-    /// Returns the start's payload.
+    /// Returns the specification and the checkpoint of a start.
     pub(crate) fn start_payload(&self, start: &PendingStart) -> Option<(Arc<Spec>, Arc<str>)> {
         let r = self.requests.get(&start.task.request)?;
         let checkpoint = r.tasks[start.task.index as usize].checkpoint.clone();
@@ -314,7 +319,7 @@
     }
 }
 
-/// Describes a task on its worker.
+/// Returns the entry of a task in the table of its worker.
 pub(crate) fn held_task(
     r: &Request,
     index: u32,
--- a/crates/hollowford-engine/src/policy.rs
+++ b/crates/hollowford-engine/src/policy.rs
@@ -1,70 +1,72 @@
-//! The weights and bounds of the decisions. Each is a setting.
+//! Scheduling settings: weights, limits and times.
 
 use hollowford_core::Millis;
 
-/// Settings of the decisions of one partition.
+/// Scheduling settings of one partition.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Policy {
-    /// How long a task may run after the worker last heard from the owner.
+    /// Duration of a task lease: how long a task may run after its last renewal.
     pub task_lease: Millis,
-    /// How often the owner extends the leases of a worker's tasks.
+    /// Interval at which the owner renews the leases of a worker's tasks.
     pub renew_every: Millis,
-    /// How long an owner whose own lease has lapsed goes on extending task leases.
+    /// How long an owner renews task leases after its ownership lease has lapsed.
     pub renewal_bound: Millis,
-    /// Added to every wait for a lease on another machine's clock.
+    /// Margin for clock drift, added to each wait for a lease on another machine's clock.
     pub drift_margin: Millis,
-    /// Part of all processors that work without urgency leaves free, 0 to 0.5.
+    /// Share of the total CPU that is kept free for urgent work, 0 to 0.5.
     pub headroom: f64,
-    /// Whether repeatable batch work may use the headroom, and is displaced from it.
+    /// Whether repeatable batch work may use the headroom, from which it can be preempted.
     pub headroom_borrow: bool,
-    /// Starts of a repeatable task that may fail before its request fails.
+    /// Failed attempts of a repeatable task after which its request fails.
     pub max_attempts: u32,
-    /// Wait before the second attempt; doubles with each further one.
+    /// Delay before the second attempt; doubles with each further attempt.
     pub retry_backoff: Millis,
-    /// Longest wait between attempts.
+    /// Maximum delay between attempts.
     pub retry_backoff_max: Millis,
-    /// Requests of one client account that may wait, unless its configuration says otherwise.
+    /// Maximum number of open requests of one client account, unless its configuration
+    /// sets another limit.
     pub account_queue_bound: u32,
-    /// Requests that may wait in the partition.
+    /// Maximum number of open requests in the partition.
     pub queue_bound: u32,
-    /// Requests of one client account that are tried in one pass.
+    /// Maximum number of requests of one client account queue that are tried at a time.
     pub lookahead: usize,
-    /// Placements in one pass, so that a pass stays short.
+    /// Maximum number of placements in one pass; bounds the duration of a pass.
     pub max_placements_per_pass: usize,
-    /// Time after which past use counts half in the order of client accounts.
+    /// Half-life of past usage in the rank of client accounts.
     pub share_half_life: Millis,
-    /// Waiting time after which a gang's reservation takes no more backfill.
+    /// Waiting time of a gang after which its reserved workers take no more backfill.
     pub gang_drain_after: Millis,
-    /// Tasks that may be displaced in one second.
+    /// Maximum number of tasks that are preempted in one second.
     pub preempt_per_second: u32,
-    /// Different requests that must fail on a worker before it is put aside.
+    /// Number of distinct requests that must fail on a worker before it is quarantined.
     pub quarantine_after: usize,
-    /// Time until a worker that was put aside is tried with one task.
+    /// Duration of the first quarantine; doubles with each further one without a success.
     pub quarantine_time: Millis,
-    /// Largest part of the workers that may be put aside at once, 0 to 1.
+    /// Maximum share of the workers that are in quarantine at the same time, 0 to 1.
     pub max_quarantined_share: f64,
-    /// Different workers on which a request must fail for the fault to be its own.
+    /// Number of workers on which a request must fail before its failures no longer count
+    /// against workers.
     pub request_fault_after: usize,
-    /// How long a final answer is kept.
+    /// How long a final answer is kept in memory.
     pub answer_retention: Millis,
-    /// Final answers that are kept at most.
+    /// Maximum number of final answers that are kept in memory.
     pub max_kept_answers: usize,
-    /// Records that may wait for the ledger before new work is refused.
+    /// Number of records that are not yet durable above which new requests are refused.
     pub unsynced_bound: u64,
-    /// Difference in the order of client accounts within which the better fit goes
-    /// first, as a part of the cell; 0: the order alone decides.
+    /// Difference in rank within which the client account with the better fit is served
+    /// first, as a share of the cell. 0 if the rank alone decides.
     pub packing_tolerance: f64,
-    /// Fitting workers that are compared for one task.
+    /// Maximum number of suitable workers that are compared for one task.
     pub max_candidates: usize,
 }
 
 impl Policy {
-    /// Waiting time first: headroom stays free for urgent work.
+    /// Preset for short waiting times: headroom stays free for urgent work.
     pub fn kivu() -> Policy {
         Policy { headroom: 0.04, headroom_borrow: false, ..Policy::default() }
     }
 
-    /// Packing first: everything is lent out, and urgent work displaces batch work.
+    /// Preset for dense packing: there is no headroom, and urgent work preempts batch work.
     pub fn ortak_sahne() -> Policy {
         Policy {
             headroom: 0.0,
--- a/crates/hollowford-engine/src/preemption.rs
+++ b/crates/hollowford-engine/src/preemption.rs
@@ -1,4 +1,4 @@
-//! Displacing batch work by checkpoint, so that urgent work starts.
+//! Preemption: stops batch tasks, with a checkpoint, so that urgent work can start.
 
 use crate::engine::Engine;
 use crate::event::Action;
@@ -7,26 +7,29 @@
 use crate::worker::{HeldTask, Worker, WorkerIdx};
 use hollowford_core::{Millis, RequestNo, Resources, TaskId};
 
-/// Workers that are looked at for one displacement.
+/// Maximum number of workers that are compared for one preemption.
 const MAX_WORKERS_COMPARED: usize = 64;
 
-/// Room that is being made for one urgent task.
+/// Tasks that are being stopped to make room for one urgent task.
 #[derive(Debug)]
 struct PendingPreemption {
     request: RequestNo,
     victims: Vec<TaskId>,
 }
 
-/// How much may be displaced, and what is being displaced.
+/// Rate limit of preemptions, and the preemptions in progress.
 #[derive(Debug, Default)]
 pub(crate) struct PreemptionState {
+    /// The second that `spent` counts, in seconds on the clock.
     budget_second: Millis,
+    /// Preemptions in that second.
     spent: u32,
     pending: Vec<PendingPreemption>,
 }
 
 impl PreemptionState {
-    /// Takes `n` displacements from this second's budget, if it has them.
+    /// Takes `n` preemptions from the budget of the current second. Returns false and takes
+    /// none if fewer are left.
     fn try_spend(&mut self, now: Millis, n: u32, per_second: u32) -> bool {
         const SECOND_MS: u64 = 1_000;
         let second = Millis(now.0 / SECOND_MS);
@@ -43,8 +46,8 @@
 }
 
 impl Engine {
-    /// Starts to make room for one waiting task of an urgent request, unless that
-    /// is under way already. Returns whether anything was displaced.
+    /// Preempts tasks to make room for one waiting task of an urgent request, unless that
+    /// is in progress for all of its waiting tasks. Returns true if any task was preempted.
     pub(crate) fn preempt_for(
         &mut self,
         no: RequestNo,
@@ -72,7 +75,7 @@
         true
     }
 
-    /// Displaces all that can be displaced from the workers.
+    /// Preempts all preemptible tasks on the workers, within the rate limit.
     pub(crate) fn preempt_on(&mut self, workers: &[WorkerIdx], now: Millis, out: &mut Vec<Action>) {
         let mut victims = Vec::new();
         for &idx in workers {
@@ -101,7 +104,7 @@
         self.preemption.pending = pending;
     }
 
-    /// Finds the worker on which the least run time is lost.
+    /// Returns the tasks to preempt on the worker where the least run time is lost.
     fn cheapest_victims(&self, no: RequestNo, now: Millis) -> Option<Vec<TaskId>> {
         let r = self.requests.get(&no)?;
         let need = &r.spec.per_task;
@@ -124,7 +127,8 @@
         best.map(|(_, victims)| victims).filter(|v| !v.is_empty())
     }
 
-    /// Chooses the tasks of a worker that make the room, youngest first.
+    /// Chooses the tasks to preempt on a worker, youngest first. Returns their total run time
+    /// in milliseconds, as the cost, and the tasks.
     fn victims_on(&self, w: &Worker, need: &Resources, now: Millis) -> (u64, Vec<TaskId>) {
         let age = |h: &HeldTask| {
             let r = self.requests.get(&h.task.request);
@@ -146,7 +150,7 @@
         (cost, victims)
     }
 
-    /// Stops one held task: withdraws it when its start was never sent.
+    /// Stops a task on its worker, or withdraws it if its start was not sent.
     pub(crate) fn stop_task(
         &mut self,
         now: Millis,
@@ -177,7 +181,7 @@
         if let Some(h) = worker.held.iter_mut().find(|h| h.task == task) {
             h.preemptible = false;
         }
-        // An unclaimed worker is told at its claim.
+        // An unclaimed worker gets the stop when it is claimed.
         if worker.claimed {
             out.push(Action::Stop { worker: worker.id.clone(), task, checkpoint });
         }
--- a/crates/hollowford-engine/src/query.rs
+++ b/crates/hollowford-engine/src/query.rs
@@ -1,4 +1,4 @@
-//! What can be asked of the engine. Nothing here changes it.
+//! Read-only queries.
 
 use crate::engine::Engine;
 use crate::event::{FinalAnswer, TaskResult};
@@ -7,95 +7,97 @@
     AccountId, Epoch, Millis, PartitionId, RequestKey, RequestNo, Resources, Totals,
 };
 
-/// Most instances that a view names.
+/// Maximum number of instances in a view.
 const MAX_VIEW_INSTANCES: usize = 16;
 
-/// A request as its caller may see it.
+/// The state of a request, as shown to its caller.
 #[derive(Clone, Debug)]
 pub struct RequestView<'a> {
-    /// The caller's name for it.
+    /// Account and id that identify the request to its caller.
     pub key: &'a RequestKey,
-    /// Grows with each change.
+    /// Incremented with each change.
     pub version: u64,
-    /// Tasks that wait.
+    /// Number of waiting tasks.
     pub queued: u32,
-    /// Tasks that run.
+    /// Number of running tasks.
     pub running: u32,
-    /// Tasks that need nothing more.
+    /// Number of ended tasks.
     pub ended: u32,
-    /// The final answer, once it is durable.
+    /// The final answer, once it is durable; for a write-behind request at once.
     pub answer: Option<&'a FinalAnswer>,
-    /// Whether the ledger holds the answer; it may not for work of an outage.
+    /// Whether the answer is durable. It may not be for a write-behind request.
     pub durable: bool,
-    /// Results by task, once the answer is.
+    /// Results by task index. Empty as long as there is no answer.
     pub results: Vec<(u32, &'a TaskResult)>,
     /// Time from acceptance to the first start.
     pub waited: Option<Millis>,
-    /// Instances that hold its tasks, at most 16.
+    /// Instances that hold its tasks, at most 16; if there are none, the one of the last
+    /// placement.
     pub instances: Vec<&'a str>,
-    /// Why it waits, or why it was placed where it is.
+    /// Why the request waits, or why it was placed on its workers.
     pub why: String,
-    /// The partition.
+    /// Partition that the request belongs to.
     pub partition: PartitionId,
-    /// The owner's epoch.
+    /// Epoch of the partition's owner.
     pub epoch: Epoch,
-    /// Whether it is a service.
+    /// Whether the request is a service.
     pub is_service: bool,
 }
 
-/// A worker as the engine sees it.
+/// The state of a worker.
 #[derive(Clone, Debug)]
 pub struct WorkerView<'a> {
-    /// The instance.
+    /// Id of the instance.
     pub id: &'a str,
-    /// Whether it is claimed.
+    /// Whether this owner has claimed the worker and the session is open.
     pub claimed: bool,
-    /// Whether it is leaving.
+    /// Whether the instance is about to be removed.
     pub leaving: bool,
-    /// Whether it is put aside.
+    /// Whether the worker is in quarantine.
     pub quarantined: bool,
-    /// What it has.
+    /// Total resources.
     pub capacity: Resources,
-    /// What is free.
+    /// Free resources.
     pub free: Resources,
-    /// Tasks that it holds.
+    /// Number of tasks that are placed on the worker.
     pub held: usize,
-    /// Tasks on it that the ledger doesn't know.
+    /// Number of tasks on the worker without an intent in the ledger.
     pub foreign: usize,
 }
 
-/// A client account as the engine sees it.
+/// The state of a client account.
 #[derive(Clone, Copy, Debug)]
 pub struct AccountView<'a> {
-    /// The account.
+    /// Id of the account.
     pub id: &'a AccountId,
-    /// What its tasks take.
+    /// Resources that its placed tasks occupy.
     pub used: Totals,
     /// Requests without a final answer.
     pub open: u32,
-    /// Whether any of its work waits for a place.
+    /// Whether any of its requests is queued.
     pub waits: bool,
 }
 
 impl Engine {
-    /// Finds a request by its caller's name.
+    /// Returns the number of the request with this key.
     pub fn find(&self, key: &RequestKey) -> Option<RequestNo> {
         self.keys.get(key).copied()
     }
 
-    /// Returns the caller's name of a request.
+    /// Returns the key of a request.
     pub fn key_of(&self, no: RequestNo) -> Option<&RequestKey> {
         self.requests.get(&no).map(|r| &r.key)
     }
 
-    /// Tells whether the acceptance is durable, or may be told without that.
+    /// Returns true if the caller may be told that the request is accepted: the acceptance
+    /// is durable, or the request is write-behind.
     pub fn is_accepted(&self, no: RequestNo) -> bool {
         let may_report = |r: &Request| r.write_behind || r.accepted_seq <= self.durable_seq;
         self.requests.get(&no).is_some_and(may_report)
     }
 
-    /// Tells whether a caller that waits for the end has its answer: the final one
-    /// is durable, or all tasks of a service run.
+    /// Returns true if a caller that waits for the end of the request can be answered: the
+    /// final answer may be reported, or all tasks of a service are running.
     pub fn is_wait_over(&self, no: RequestNo) -> bool {
         self.requests.get(&no).is_some_and(|r| {
             let serves = r.is_service() && !r.cancelled && r.running as usize == r.tasks.len();
@@ -107,7 +109,7 @@
         r.answer.as_ref().filter(|_| r.write_behind || r.answer_seq <= self.durable_seq)
     }
 
-    /// Returns a request's view.
+    /// Returns the state of a request, as shown to its caller.
     pub fn view(&self, no: RequestNo) -> Option<RequestView<'_>> {
         let r = self.requests.get(&no)?;
         let answer = self.visible_answer(r);
@@ -146,25 +148,25 @@
             return String::new();
         }
         if r.restarting {
-            return "its tasks are being stopped, to start again together".to_owned();
+            return "its tasks are being stopped and will start again together".to_owned();
         }
         if !r.waiting.is_empty() {
             if self.ledger_stalled {
-                return "waits: the ledger can't be written now".to_owned();
+                return "waits: the ledger can't be written".to_owned();
             }
             return self.why_waits(r);
         }
         let Some(p) = r.placement_choice else {
-            return "held by the workers that an earlier owner chose".to_owned();
+            return "placed by an earlier owner".to_owned();
         };
         let best = self.workers.get(p.worker).id.as_str();
         match p.runner_up {
             Some(w) => format!(
-                "placed on {best}, which it fills best of {} with room; next was {}",
+                "placed on {best}, the best fit of {} workers with room; second was {}",
                 p.compared,
                 self.workers.get(w).id
             ),
-            None => format!("placed on {best}, first of {} with room", p.compared),
+            None => format!("placed on {best}, the first of {} workers with room", p.compared),
         }
     }
 
@@ -179,7 +181,7 @@
         r.wait_cause.text().to_owned()
     }
 
-    /// Lists an account's requests after `after`, in the order of their ids.
+    /// Returns up to `limit` requests of an account whose ids come after `after`, sorted by id.
     pub fn list(&self, account: &AccountId, after: &str, limit: usize) -> Vec<RequestNo> {
         let own = self.keys.iter().filter(|(k, _)| k.account == *account && *k.id > *after);
         let mut found: Vec<(&RequestKey, RequestNo)> = own.map(|(k, no)| (k, *no)).collect();
@@ -188,7 +190,7 @@
         found.into_iter().map(|(_, no)| no).collect()
     }
 
-    /// Returns the workers.
+    /// Returns the state of every known worker.
     pub fn workers(&self) -> impl Iterator<Item = WorkerView<'_>> {
         self.workers.iter().map(|(_, w)| WorkerView {
             id: w.id.as_str(),
@@ -202,12 +204,13 @@
         })
     }
 
-    /// Returns the sums of what usable workers have and of what is free on them.
+    /// Returns the total capacity of the workers that are claimed, listed and not leaving,
+    /// and the total free resources of the usable ones.
     pub fn totals(&self) -> (Totals, Totals) {
         (self.workers.total_capacity, self.workers.free)
     }
 
-    /// Returns the client accounts.
+    /// Returns the state of every known client account.
     pub fn accounts(&self) -> impl Iterator<Item = AccountView<'_>> {
         self.accounts.iter().map(|a| AccountView {
             id: &a.id,
@@ -217,12 +220,12 @@
         })
     }
 
-    /// Returns how many requests are kept, and how many of them are open.
+    /// Returns the number of requests in memory, and how many of them are open.
     pub fn requests(&self) -> (usize, u32) {
         (self.requests.len(), self.open)
     }
 
-    /// Returns how many tasks wait for a place.
+    /// Returns the number of waiting tasks.
     pub fn waiting_tasks(&self) -> usize {
         self.requests.values().map(|r| r.waiting.len()).sum()
     }
--- a/crates/hollowford-engine/src/recover.rs
+++ b/crates/hollowford-engine/src/recover.rs
@@ -1,4 +1,4 @@
-//! Recovery from the ledger, and snapshots of it.
+//! Recovery from the ledger, and snapshots for it.
 
 use crate::engine::Engine;
 use crate::event::{Action, Change, FinalAnswer, Record, TaskEnd};
@@ -8,7 +8,8 @@
 use std::sync::Arc;
 
 impl Engine {
-    /// Applies one record of the ledger, in order, before [`Engine::activate`].
+    /// Applies one record of the ledger. Called in the order of the ledger, before
+    /// [`Engine::activate`].
     pub fn replay(&mut self, now: Millis, record: Record) {
         let no = record.request;
         match record.change {
@@ -67,7 +68,7 @@
         r.active += 1;
         let t = &mut r.tasks[task.index as usize];
         t.attempt = task.attempt;
-        // The start may have been sent, so it counts as sent.
+        // The start may have been sent, so treat it as sent.
         t.state = TaskState::Starting(w);
         t.since = now;
         let expected_end = self.accounts.get(r.account).expected_end(&r.spec, now);
@@ -85,7 +86,7 @@
     }
 
     fn replay_ended(&mut self, now: Millis, task: &TaskId, end: TaskEnd) {
-        // A snapshot has no intent before the end of a task.
+        // In a snapshot, an ended task has no intent before its end.
         if self.worker_of(task).is_none() {
             self.end_waiting_task(task);
         }
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Marks a waiting task as ended, with the attempt of a snapshot.
+    /// Marks a waiting task as ended and sets its attempt.
     fn end_waiting_task(&mut self, task: &TaskId) {
         let Some(r) = self.requests.get_mut(&task.request) else {
             return;
@@ -130,9 +131,8 @@
         }
     }
 
-    /// Ends recovery: from now on this owner decides. Tasks with an intent are held
-    /// until their workers are claimed, or the earlier owner's leases have surely
-    /// ended.
+    /// Ends recovery and starts operation. Tasks with an intent stay on their workers until
+    /// these are claimed, or until every lease of an earlier owner has ended.
     pub fn activate(&mut self, now: Millis, out: &mut Vec<Action>) {
         let p = &self.policy;
         let lease_expiry = now + p.renewal_bound + p.task_lease + p.drift_margin;
@@ -149,23 +149,24 @@
         self.needs_pass = true;
     }
 
-    /// Goes on with a request where an earlier owner stopped.
+    /// Completes a gang restart or a close that an earlier owner did not finish.
     fn resume_request(&mut self, now: Millis, no: RequestNo, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get_mut(&no) else {
             return;
         };
-        let broken = r.failed > 0 || r.uncertain > 0 || (r.active > 0 && !r.waiting.is_empty());
-        if r.is_gang() && broken {
+        let must_restart =
+            r.failed > 0 || r.uncertain > 0 || (r.active > 0 && !r.waiting.is_empty());
+        if r.is_gang() && must_restart {
             r.restarting = true;
         }
         self.finish_gang_restart(now, no, out);
         self.close_if_ended(now, no, out);
     }
 
-    /// Returns records that make the present state when they are replayed.
+    /// Returns records whose replay results in the current state.
     ///
-    /// What is not durable yet is contained as well; the caller writes the snapshot
-    /// after the records before it.
+    /// They include changes that are not durable yet, so the caller must write the snapshot
+    /// after all records that were appended before it.
     pub fn snapshot(&self) -> Vec<Record> {
         let mut requests: Vec<&Request> = self.requests.values().collect();
         requests.sort_unstable_by_key(|r| r.no);
@@ -208,13 +209,13 @@
         }
     }
 
-    /// Returns the epoch part of the first request number that this owner gives.
+    /// Returns the first request number that this owner assigns.
     pub fn first_request_number(&self) -> RequestNo {
         RequestNo::new(Epoch(self.epoch.0), 1)
     }
 }
 
-/// Describes a request that has its final answer, with its results.
+/// Appends the records of a closed request, with its results.
 fn snapshot_ended(r: &Request, answer: &FinalAnswer, records: &mut Vec<Record>) {
     let mut push = |change| records.push(Record { request: r.no, change });
     push(Change::Accept { key: r.key.clone(), spec: r.spec.clone() });
@@ -228,7 +229,7 @@
     push(Change::Close(answer.clone()));
 }
 
-/// Describes an ended task without a result, so that its replay ends it again.
+/// Returns an end for an ended task without a result, so that a replay ends it again.
 fn snapshot_end(r: &Request) -> TaskEnd {
     if r.uncertain > 0 {
         return TaskEnd::Lost;
--- a/crates/hollowford-engine/src/reports.rs
+++ b/crates/hollowford-engine/src/reports.rs
@@ -1,4 +1,4 @@
-//! What workers report of their tasks.
+//! Reports of workers about their tasks.
 
 use crate::engine::Engine;
 use crate::event::{Action, EndReport, TaskEnd, TaskUsage};
@@ -6,11 +6,11 @@
 use crate::worker::WorkerIdx;
 use hollowford_core::{InstanceId, Millis, TaskId};
 
-/// Use above the declared amount that is let pass, in parts of a hundred.
+/// Maximum tolerated usage of a resource, in percent of the declared amount.
 const MAX_USE_PERCENT: u32 = 110;
 
 impl Engine {
-    /// Notes a reading of a worker's clock.
+    /// Records a reading of a worker's clock.
     pub fn record_clock(&mut self, now: Millis, worker: &InstanceId, clock: u64) {
         if let Some(idx) = self.workers.find(worker) {
             let w = self.workers.get_mut_unindexed(idx);
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Notes that a task runs.
+    /// Records that a task has started. A task that is not expected there is stopped.
     pub fn task_started(
         &mut self,
         now: Millis,
@@ -56,7 +56,7 @@
         self.mark_changed(task.request, out);
     }
 
-    /// Notes that a task ended.
+    /// Records the end of a task.
     pub fn task_ended(
         &mut self,
         now: Millis,
@@ -78,7 +78,8 @@
         self.pending_forgets.push_back((seq, worker.clone(), task));
     }
 
-    /// A stop for overuse is a failure of the task's own.
+    /// Returns the end that counts: a task that was stopped because of its memory usage has
+    /// failed.
     fn effective_end(&self, task: &TaskId, end: &TaskEnd) -> TaskEnd {
         let overused = |r: &&Request| {
             let failures = r.tasks[task.index as usize].failures;
@@ -90,7 +91,8 @@
         }
     }
 
-    /// An end that fits nothing held: the task was foreign, or its end is known.
+    /// Handles the end of an attempt that is not held by the worker: the task was foreign,
+    /// or its end is already recorded.
     pub(crate) fn unknown_task_ended(&mut self, idx: WorkerIdx, task: &TaskId) {
         let foreign = self.workers.get(idx).foreign.iter().any(|h| h.task == *task);
         if foreign {
@@ -99,12 +101,12 @@
         } else {
             self.stats.stale_reports += 1;
         }
-        // Everything appended so far may be about this task.
+        // Any record appended so far may be about this task, so all must be durable first.
         let worker = self.workers.get(idx).id.clone();
         self.pending_forgets.push_back((self.next_seq - 1, worker, *task));
     }
 
-    /// Notes that a worker did not and never will carry out a start.
+    /// Records that a worker refused a start, so that the task never ran there.
     pub fn start_refused(
         &mut self,
         now: Millis,
@@ -127,7 +129,7 @@
         self.withdraw(now, task, out);
     }
 
-    /// Notes what a worker's tasks use, and whether the instance is leaving.
+    /// Records the resource usage of a worker's tasks, and whether the instance is leaving.
     pub fn usage_reported(
         &mut self,
         now: Millis,
@@ -148,7 +150,7 @@
         }
     }
 
-    /// Throttles processor overuse and stops memory overuse.
+    /// Throttles a task that uses too much CPU; stops one that uses too much memory.
     fn check_usage(
         &mut self,
         now: Millis,
@@ -168,10 +170,10 @@
         };
         if over(usage.memory_mib, declared.memory_mib) {
             let t = &mut r.tasks[usage.task.index as usize];
-            // An honest retry can't help, so this counts as every attempt.
+            // Another attempt would use as much, so no attempts are left.
             t.failures = t.failures.max(self.policy.max_attempts);
             r.message = format!(
-                "stopped: it used {} MiB of memory and had declared {}",
+                "stopped: the task used {} MiB of memory and declared {} MiB",
                 usage.memory_mib, declared.memory_mib
             )
             .into();
@@ -185,7 +187,7 @@
         }
     }
 
-    /// Moves services off a leaving worker, by stopping their tasks there.
+    /// Stops the services on a leaving worker, so that they start elsewhere.
     pub(crate) fn stop_services(&mut self, now: Millis, idx: WorkerIdx, out: &mut Vec<Action>) {
         let held_tasks: Vec<TaskId> = self.workers.get(idx).held.iter().map(|h| h.task).collect();
         for task in held_tasks {
--- a/crates/hollowford-engine/src/request.rs
+++ b/crates/hollowford-engine/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests and their tasks.
+//! Requests, their tasks and results, and their priority classes.
 
 use crate::account::AccountIdx;
 use crate::event::{FinalAnswer, TaskResult};
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Order of service; lower ones go first.
+/// Priority class of a request. Lower classes are served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum PriorityClass {
     Urgent = 0,
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Returns the queues that the class serves, in order. A client account's gangs
-    /// go before its batch work, so that they don't wait for all of it.
+    /// Returns the queues of the class, in the order of service. The gangs of a client
+    /// account go before its batch work, so that they don't wait for all of it.
     pub fn queue_kinds(self) -> &'static [QueueKind] {
         match self {
             PriorityClass::Urgent => &[QueueKind::Urgent],
@@ -43,7 +43,7 @@
     }
 }
 
-/// One queue of a client account.
+/// The kinds of queues of a client account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum QueueKind {
     Urgent = 0,
@@ -65,20 +65,20 @@
     }
 }
 
-/// Where a task stands.
+/// State of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TaskState {
-    /// Waits to be placed.
+    /// Waiting to be placed.
     Waiting,
-    /// Its intent is appended; the start has not been sent.
+    /// The intent is appended, and the start has not been sent.
     Placed(WorkerIdx),
     /// The start was sent, or may have been sent by an earlier owner.
     Starting(WorkerIdx),
-    /// The worker has reported that it runs.
+    /// The worker has reported that the task is running.
     Running(WorkerIdx),
-    /// A stop was sent.
+    /// The task is being stopped.
     Stopping(WorkerIdx),
-    /// It needs nothing more.
+    /// Ended; the task does not run again unless it is requeued.
     Ended,
 }
 
@@ -99,13 +99,15 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Task {
     pub state: TaskState,
-    /// Number of the last attempt; 0: none yet.
+    /// Number of the last attempt; 0 if there was none.
     pub attempt: u32,
+    /// Failed attempts.
     pub failures: u32,
-    /// Attempts under which the worker restarted shortly after the start.
+    /// Attempts during which the worker restarted shortly after the start.
     pub crashes: u32,
-    /// When the task was placed or started, whichever came last.
+    /// When the current attempt was placed or, once it runs, started.
     pub since: Millis,
+    /// Checkpoint object from which the next attempt resumes.
     pub checkpoint: Option<Arc<str>>,
 }
 
@@ -122,7 +124,7 @@
     }
 }
 
-/// Why a request waits, for `status --why`.
+/// Why a request waits; shown by `status --why`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum WaitCause {
     #[default]
@@ -138,12 +140,12 @@
 impl WaitCause {
     pub fn text(self) -> &'static str {
         match self {
-            WaitCause::AwaitingTurn => "waits for its turn in the order of client accounts",
-            WaitCause::NoRoom => "waits: no usable instance that it may use has room",
-            WaitCause::Quota => "waits: the client account's quota is in use",
-            WaitCause::Headroom => "waits: the room left is kept for urgent work",
+            WaitCause::AwaitingTurn => "waits for the turn of its client account",
+            WaitCause::NoRoom => "waits: no eligible instance has room",
+            WaitCause::Quota => "waits: the client account's quota is used up",
+            WaitCause::Headroom => "waits: the free resources are kept for urgent work",
             WaitCause::Backoff => "waits before the next attempt",
-            WaitCause::LedgerStalled => "waits: the ledger can't be written now",
+            WaitCause::LedgerStalled => "waits: the ledger can't be written",
             WaitCause::GangReservation => {
                 "waits: instances are being drained so that all tasks can start"
             }
@@ -151,15 +153,17 @@
     }
 }
 
-/// Where a request was placed last, and against what.
+/// The last placement of a request and its alternatives.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PlacementChoice {
     pub worker: WorkerIdx,
+    /// Number of workers that were compared.
     pub compared: u32,
+    /// The second best worker.
     pub runner_up: Option<WorkerIdx>,
 }
 
-/// The results of a request's tasks, in the order of their indexes.
+/// Results of a request's tasks, sorted by task index.
 #[derive(Debug, Default)]
 pub(crate) struct Results {
     list: Vec<(u32, TaskResult)>,
@@ -181,7 +185,7 @@
         }
     }
 
-    /// Forgets a result, and tells whether there was one.
+    /// Removes a result. Returns true if there was one.
     pub fn remove(&mut self, index: u32) -> bool {
         self.find(index).map(|at| self.list.remove(at)).is_ok()
     }
@@ -195,7 +199,7 @@
     }
 }
 
-/// One request.
+/// A request and the state of its tasks.
 #[derive(Debug)]
 pub(crate) struct Request {
     pub no: RequestNo,
@@ -205,38 +209,46 @@
     pub class: PriorityClass,
     pub queue_kind: QueueKind,
     pub accepted_at: Millis,
-    /// Position of the acceptance in the ledger; 0: read back from it.
+    /// Position of the acceptance in the ledger; 0 if it was recovered from the ledger.
     pub accepted_seq: u64,
     pub tasks: Vec<Task>,
-    /// Indexes of waiting tasks, next first.
+    /// Indexes of waiting tasks in the order of their starts.
     pub waiting: VecDeque<u32>,
-    /// Tasks that a worker holds.
+    /// Number of tasks that are placed on a worker.
     pub active: u32,
+    /// Number of running tasks.
     pub running: u32,
+    /// Number of completed tasks.
     pub done: u32,
+    /// Number of failed tasks.
     pub failed: u32,
-    /// Tasks that may have run.
+    /// Number of tasks that may have run and are not repeated.
     pub uncertain: u32,
     pub results: Results,
+    /// Message of the last failure.
     pub message: Arc<str>,
-    /// Accepted while the ledger stalls: it runs by the members' promises, and its
-    /// answer is told before it is durable.
+    /// Whether the request runs before its records are durable, and its answer is reported
+    /// before it is durable. See `write_behind.rs`.
     pub write_behind: bool,
     pub cancelled: bool,
-    /// A gang whose tasks are all being stopped, to start again or to fail.
+    /// Whether all tasks of a gang are being stopped, so that it can start again or fail.
     pub restarting: bool,
+    /// Whether any task has started.
     pub begun: bool,
+    /// When the first task started.
     pub first_start: Option<Millis>,
-    /// No attempt before this time.
+    /// Earliest time of the next attempt.
     pub not_before: Millis,
+    /// Whether the request is in its account's queue.
     pub in_queue: bool,
     pub wait_cause: WaitCause,
     pub placement_choice: Option<PlacementChoice>,
-    /// Workers on which an attempt failed, each once.
+    /// Distinct workers on which an attempt failed.
     pub failed_workers: Vec<WorkerIdx>,
     pub answer: Option<FinalAnswer>,
-    /// Position of the answer in the ledger; it is told once that is durable.
+    /// Position of the answer in the ledger. It is reported once that is durable.
     pub answer_seq: u64,
+    /// Incremented with each change that callers may see.
     pub version: u64,
 }
 
@@ -285,7 +297,7 @@
         self.spec.kind == Kind::Service
     }
 
-    /// Returns where a task stands. A request that has ended keeps no tasks.
+    /// Returns the state of a task. A closed request has no tasks, so they count as ended.
     pub fn state_of(&self, index: u32) -> TaskState {
         self.tasks.get(index as usize).map_or(TaskState::Ended, |t| t.state)
     }
@@ -295,12 +307,12 @@
         TaskId { request: self.no, index, attempt: self.tasks[index as usize].attempt }
     }
 
-    /// Tells whether the task may be displaced: batch work that can start again.
+    /// Returns true if tasks of the request may be preempted: repeatable batch work.
     pub fn is_preemptible(&self) -> bool {
         self.class == PriorityClass::Normal && self.spec.repeatable && !self.is_gang()
     }
 
-    /// Gives back the memory that an ended request needs no more.
+    /// Frees the memory that a closed request does not need.
     pub fn release_memory(&mut self) {
         self.tasks = Vec::new();
         self.waiting = VecDeque::new();
@@ -314,9 +326,9 @@
     }
 }
 
-/// All requests that are open or whose answers are kept.
+/// All open requests, and closed ones whose answers are kept.
 ///
-/// They are boxed, so that the spare room of the table is small.
+/// They are boxed, so that unused capacity of the table takes little memory.
 #[derive(Debug, Default)]
 pub(crate) struct Requests {
     map: FxHashMap<RequestNo, Box<Request>>,
--- a/crates/hollowford-engine/src/submit.rs
+++ b/crates/hollowford-engine/src/submit.rs
@@ -1,4 +1,4 @@
-//! Commands of client accounts: submit and cancel.
+//! Commands of callers: submit and cancel.
 
 use crate::engine::Engine;
 use crate::event::{Action, Change, FinalAnswer, Outcome};
@@ -7,14 +7,14 @@
 use std::sync::Arc;
 
 impl Engine {
-    /// Accepts a request, or finds the one that has this key and body already.
+    /// Accepts a request, or returns the existing one with the same key and body.
     ///
-    /// The acceptance may be told once [`Engine::is_accepted`] says so.
+    /// The caller may be told once [`Engine::is_accepted`] returns true.
     ///
     /// # Errors
-    /// `Conflict` for a key in use with another body, `Unavailable` while the
-    /// ledger can't be written, `QueueFull`, `OverQuota` and `Impossible`. After an
-    /// error the request did not run.
+    /// `Conflict` if the key is in use with another body, `Unavailable` if the ledger
+    /// can't be written, `QueueFull`, `OverQuota` or `Impossible`. After an error the
+    /// request has not run.
     pub fn submit(
         &mut self,
         now: Millis,
@@ -51,7 +51,7 @@
         if *r.spec == *spec {
             return Some(Ok(no));
         }
-        let message = format!("request {} exists with another body", key.id);
+        let message = format!("request {} exists with a different body", key.id);
         Some(Err(Error::new(ErrorKind::Conflict, message)))
     }
 
@@ -63,18 +63,18 @@
     ) -> Result<(), Error> {
         let stalled = self.ledger_stalled && !write_behind;
         if stalled || self.next_seq - self.durable_seq > self.policy.unsynced_bound {
-            let message = "the ledger can't be written now; the request did not run";
+            let message = "the ledger can't be written; the request did not run";
             return Err(Error::new(ErrorKind::Unavailable, message));
         }
         let idx = self.accounts.intern(&key.account);
         let a = self.accounts.get(idx);
-        let own = if a.policy.max_queued > 0 {
+        let limit = if a.policy.max_queued > 0 {
             a.policy.max_queued
         } else {
             self.policy.account_queue_bound
         };
-        if a.open >= own || self.open >= self.policy.queue_bound {
-            let message = format!("{} requests are open already", a.open);
+        if a.open >= limit || self.open >= self.policy.queue_bound {
+            let message = format!("the client account already has {} open requests", a.open);
             return Err(
                 Error::new(ErrorKind::QueueFull, message).retry_after(self.retry_delay_ms())
             );
@@ -83,7 +83,7 @@
         self.check_feasible(spec)
     }
 
-    /// Guesses when a full queue has room again, in milliseconds.
+    /// Estimates the time in milliseconds until a full queue has room again.
     fn retry_delay_ms(&self) -> u64 {
         const MIN_RETRY_MS: u64 = 500;
         const MAX_RETRY_MS: u64 = 10_000;
@@ -104,7 +104,7 @@
             || over(need.accelerators, q.accelerators)
         {
             let message = format!(
-                "it takes {} mcpu, {} MiB, {} accelerators at once; the quota is {}, {}, {}",
+                "the request needs {} mcpu, {} MiB, {} accelerators at once; the quota is {}, {}, {}",
                 need.cpu_milli,
                 need.memory_mib,
                 need.accelerators,
@@ -117,7 +117,7 @@
         Ok(())
     }
 
-    /// Adds a request to the tables, without queueing it.
+    /// Adds a request to the tables without queueing it.
     pub(crate) fn insert_request(
         &mut self,
         no: RequestNo,
@@ -137,10 +137,10 @@
         self.requests.insert(r);
     }
 
-    /// Cancels a request. The answer comes once its running tasks have stopped.
+    /// Cancels a request. It gets its final answer once its running tasks have stopped.
     ///
     /// # Errors
-    /// `NotFound` when the account has no such request.
+    /// `NotFound` if the account has no such request.
     pub fn cancel(
         &mut self,
         now: Millis,
@@ -154,8 +154,7 @@
         Ok(no)
     }
 
-    /// Cancels every open request of the account that carries the label, in one
-    /// pass, and returns how many there were.
+    /// Cancels all open requests of the account that have the label. Returns their number.
     pub fn cancel_by_label(
         &mut self,
         now: Millis,
@@ -196,7 +195,7 @@
         self.mark_changed(no, out);
     }
 
-    /// Marks the tasks that wait as ended.
+    /// Marks all waiting tasks as ended.
     pub(crate) fn drop_waiting(&mut self, no: RequestNo) {
         let Some(r) = self.requests.get_mut(&no) else {
             return;
@@ -206,7 +205,7 @@
         }
     }
 
-    /// Withdraws a request's placed tasks and stops those that may run.
+    /// Withdraws the placed tasks of a request and stops those that may be running.
     pub(crate) fn stop_all(
         &mut self,
         now: Millis,
@@ -225,7 +224,7 @@
         }
     }
 
-    /// Gives a request that never ran its final answer.
+    /// Closes a request that never ran with the outcome `NotRun`.
     pub(crate) fn close_not_run(
         &mut self,
         now: Millis,
--- a/crates/hollowford-engine/src/task_ends.rs
+++ b/crates/hollowford-engine/src/task_ends.rs
@@ -1,4 +1,4 @@
-//! How attempts and requests end, the same live and in recovery.
+//! Ends of attempts and requests, both in operation and during recovery.
 
 use crate::engine::Engine;
 use crate::event::{Action, Change, FinalAnswer, Outcome, TaskEnd};
@@ -6,19 +6,20 @@
 use crate::worker::WorkerIdx;
 use hollowford_core::{ErrorKind, Kind, Millis, RequestNo, TaskId};
 
-/// A repeatable task under which so many workers have restarted has failed: it would go on to take one
-/// after the other down, with what runs beside it.
+/// Maximum number of attempts of a repeatable task that coincide with a restart of their
+/// worker. The task fails at that number: it probably causes the restarts, and would go on to
+/// crash one worker after another, with all tasks there.
 const MAX_CRASHES: u32 = 4;
 
 impl Engine {
-    /// Finds the worker that holds this very attempt.
+    /// Returns the worker that holds this attempt; `None` if the attempt is not current.
     pub(crate) fn worker_of(&self, task: &TaskId) -> Option<WorkerIdx> {
         let r = self.requests.get(&task.request)?;
         let t = r.tasks.get(task.index as usize)?;
         if t.attempt == task.attempt { t.state.worker() } else { None }
     }
 
-    /// Takes an attempt off its worker and gives back its resources.
+    /// Removes an attempt from its worker and frees its resources.
     pub(crate) fn remove_from_worker(&mut self, now: Millis, task: &TaskId) -> Option<WorkerIdx> {
         let w = self.worker_of(task)?;
         let held = self.workers.release(w, task);
@@ -38,7 +39,7 @@
         Some(w)
     }
 
-    /// Puts an ended task back among the waiting ones.
+    /// Makes a task wait again, ahead of the other waiting tasks of its request.
     pub(crate) fn requeue(&mut self, no: RequestNo, index: u32) {
         let Some(r) = self.requests.get_mut(&no) else {
             return;
@@ -48,7 +49,7 @@
         self.enqueue(no, true);
     }
 
-    /// Takes back an attempt that was surely never started.
+    /// Withdraws an attempt that was never started.
     pub(crate) fn withdraw(&mut self, now: Millis, task: &TaskId, out: &mut Vec<Action>) {
         if self.remove_from_worker(now, task).is_none() {
             return;
@@ -74,7 +75,8 @@
         self.finish_gang_restart(now, task.request, out);
     }
 
-    /// Records the end of an attempt and decides what becomes of the task.
+    /// Records the end of an attempt, then requeues the task or closes its request. Returns
+    /// the position of the record.
     pub(crate) fn end_attempt(
         &mut self,
         now: Millis,
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Books an attempt's end on its request. Returns whether the task runs again.
+    /// Applies the end of an attempt to its request. Returns true if the task runs again.
     pub(crate) fn apply_end(&mut self, task: &TaskId, end: TaskEnd) -> bool {
         let max_attempts = self.policy.max_attempts;
         let Some(r) = self.requests.get_mut(&task.request) else {
@@ -162,7 +164,7 @@
         self.mark_changed(no, out);
     }
 
-    /// Sets the time of the next attempt after a failure.
+    /// Delays the next attempt after a failure or crash, with exponential backoff.
     fn back_off(&mut self, now: Millis, task: &TaskId) {
         const MAX_DOUBLINGS: u32 = 10;
         let p = &self.policy;
@@ -179,7 +181,7 @@
         self.retry_times.insert((r.not_before, task.request));
     }
 
-    /// Closes a request of which nothing waits and nothing is held.
+    /// Closes a request that has neither waiting tasks nor tasks on a worker.
     pub(crate) fn close_if_ended(&mut self, now: Millis, no: RequestNo, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get(&no) else {
             return;
@@ -191,7 +193,7 @@
         self.close(now, no, answer, out);
     }
 
-    /// Records the final answer.
+    /// Appends the final answer to the ledger and closes the request.
     pub(crate) fn close(
         &mut self,
         now: Millis,
@@ -207,7 +209,7 @@
         }
     }
 
-    /// Books the final answer on the request.
+    /// Applies the final answer to the request.
     pub(crate) fn apply_close(
         &mut self,
         now: Millis,
@@ -231,7 +233,8 @@
     }
 }
 
-/// Books a stop. A task that can't run again and wasn't cancelled has failed.
+/// Applies a stop to the request. A task that may not run again and was not cancelled has
+/// failed. Returns true if the task runs again.
 fn apply_stop(r: &mut Request, may_repeat: bool) -> bool {
     if !may_repeat && !r.cancelled {
         r.failed += 1;
@@ -242,8 +245,9 @@
     may_repeat
 }
 
-/// Books a restart of the worker. A task under which too many have restarted has failed; a service
-/// runs again, more and more rarely.
+/// Applies a restart of the worker during the attempt to the request. The task fails at
+/// [`MAX_CRASHES`]; a service is started again, with growing delays. Returns true if the
+/// task runs again.
 fn apply_crash(r: &mut Request, index: u32, may_repeat: bool) -> bool {
     let crashes = &mut r.tasks[index as usize].crashes;
     *crashes += 1;
@@ -253,7 +257,7 @@
     } else if may_repeat && bounded {
         r.failed += 1;
         r.message =
-            format!("{MAX_CRASHES} workers restarted shortly after they had started it").into();
+            format!("{MAX_CRASHES} workers restarted shortly after they started the task").into();
     }
     may_repeat && !bounded
 }
--- a/crates/hollowford-engine/src/tick.rs
+++ b/crates/hollowford-engine/src/tick.rs
@@ -1,4 +1,4 @@
-//! What happens as time passes: leases, give-ups, retries and forgetting.
+//! Periodic work: leases, retries, deadlines, quarantines, and removal of old answers.
 
 use crate::engine::{Authority, Engine};
 use crate::event::{Action, TaskEnd};
@@ -6,11 +6,11 @@
 use crate::worker::WorkerIdx;
 use hollowford_core::{Error, ErrorKind, Millis, RequestNo};
 
-/// How often requests that have never started are checked for being impossible.
+/// Interval at which the feasibility of queued requests is checked again.
 const FEASIBILITY_CHECK_INTERVAL: Millis = Millis(2_000);
 
 impl Engine {
-    /// Does what is due at `now`. Called some ten times a second.
+    /// Does the periodic work that is due at `now`. Called about ten times a second.
     pub fn tick(&mut self, now: Millis, authority: Authority, out: &mut Vec<Action>) {
         if authority != Authority::None {
             self.renew_leases(now, out);
@@ -25,11 +25,11 @@
         self.remove_old_answers(now);
     }
 
-    /// Returns the end of a lease given now to a worker, on the worker's clock, and
-    /// notes when it has surely ended on ours.
+    /// Grants a lease to a worker. Returns its end on the worker's clock, and records the
+    /// time on the owner's clock by which it has ended.
     ///
-    /// The end is counted from a reading that the worker itself reported, so a
-    /// message that arrives late can't lengthen a lease.
+    /// The end is relative to a clock reading that the worker reported, so a delayed message
+    /// can't extend a lease.
     pub(crate) fn grant_lease(&mut self, idx: WorkerIdx) -> u64 {
         let (length, margin) = (self.policy.task_lease, self.policy.drift_margin);
         let w = self.workers.get_mut_unindexed(idx);
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Settles the tasks of unclaimed workers whose leases have surely ended.
+    /// Marks the tasks of unclaimed workers as lost once their leases have ended.
     fn expire_leases(&mut self, now: Millis, out: &mut Vec<Action>) {
         for idx in 0..self.workers.len() as WorkerIdx {
             let w = self.workers.get(idx);
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Lets workers that were put aside take one task, as a probe.
+    /// Ends quarantines that are over. The worker then gets one task as a probe.
     fn end_quarantines(&mut self, now: Millis) {
         if self.workers.quarantined == 0 {
             return;
@@ -115,19 +115,19 @@
         }
     }
 
-    /// Closes a request of which no start was sent.
+    /// Closes a request for which no start was sent, because its deadline has passed.
     fn give_up(&mut self, now: Millis, no: RequestNo, out: &mut Vec<Action>) {
         self.drop_waiting(no);
         if let Some(r) = self.requests.get_mut(&no) {
             r.restarting = r.is_gang();
         }
         self.stop_all(now, no, false, out);
-        let message = "it did not start within the time that the request allowed";
+        let message = "the request did not start within its time limit";
         self.close_not_run(now, no, &Error::new(ErrorKind::GivenUp, message), out);
         self.mark_changed(no, out);
     }
 
-    /// Closes waiting requests that no instance can run any more.
+    /// Closes waiting requests that no instance can run any longer.
     fn close_infeasible(&mut self, now: Millis, out: &mut Vec<Action>) {
         if now.since(self.feasibility_checked_at) < FEASIBILITY_CHECK_INTERVAL {
             return;
--- a/crates/hollowford-engine/src/worker.rs
+++ b/crates/hollowford-engine/src/worker.rs
@@ -1,29 +1,29 @@
-//! Workers, what they hold, and the index by which room is found.
+//! Workers, the tasks that they hold, and an index of workers by free resources.
 
 use hollowford_core::{InstanceId, Millis, RequestNo, Resources, TaskId, Totals};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// Position of a worker in the engine's table.
+/// Index of a worker in the engine's table.
 pub(crate) type WorkerIdx = u32;
 
-/// A task that a worker holds.
+/// A task that is placed on a worker.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct HeldTask {
     pub task: TaskId,
     pub resources: Resources,
-    /// Incarnation of the worker when the intent was written.
+    /// Incarnation of the worker when the task was placed.
     pub incarnation: u64,
     pub preemptible: bool,
-    /// When it was placed.
+    /// When the task was placed.
     pub placed_at: Millis,
-    /// When the task is expected to end; `Millis::MAX`: not known, or a service.
+    /// When the task is expected to end; `Millis::MAX` if unknown or a service.
     pub expected_end: Millis,
 }
 
 impl HeldTask {
-    /// Returns when the task is expected to end, seen from `now`. One that has run
-    /// past its time is expected to run half as long again.
+    /// Returns when the task is expected to end. An overdue task is expected to run for
+    /// another half of the time since it was placed.
     pub fn estimated_end(&self, now: Millis) -> Millis {
         if self.expected_end > now {
             return self.expected_end;
@@ -32,39 +32,43 @@
     }
 }
 
-/// One worker.
+/// A worker and the tasks that it holds.
 #[derive(Debug)]
 pub(crate) struct Worker {
     pub id: InstanceId,
     pub zone: Arc<str>,
     pub rack: Arc<str>,
+    /// Whether the platform's list has the instance.
     pub listed: bool,
+    /// Whether the instance is about to be removed.
     pub leaving: bool,
-    /// Claimed by this owner, with a session that stands.
+    /// Whether this owner has claimed the worker and the session is open.
     pub claimed: bool,
     pub incarnation: u64,
     pub capacity: Resources,
     pub free: Resources,
     pub held: Vec<HeldTask>,
-    /// Tasks that the worker runs but the ledger doesn't know; they are being stopped.
+    /// Tasks that run on the worker without an intent in the ledger; they are being stopped.
     pub foreign: Vec<HeldTask>,
     /// The worker's clock in its last report.
     pub clock: u64,
-    /// This process's clock when that report came.
+    /// Time on the owner's clock at which that report arrived.
     pub clock_read_at: Millis,
-    /// When every lease given to this worker has surely ended.
+    /// Time on the owner's clock by which every lease of this worker has ended.
     pub lease_expiry: Millis,
+    /// When the leases were last renewed.
     pub renewed_at: Millis,
-    /// Different requests that failed here since the last success.
+    /// Distinct requests that failed on this worker since its last success.
     pub failed_requests: Vec<RequestNo>,
-    /// Put aside until this time.
+    /// End of the quarantine, if the worker is in quarantine.
     pub quarantined_until: Option<Millis>,
-    /// Times it was put aside without a success since.
+    /// Quarantines since the last success.
     pub quarantine_count: u32,
-    /// Back from being put aside: takes one task at a time until one succeeds.
+    /// After a quarantine: the worker gets one task at a time until one succeeds.
     pub probing: bool,
-    /// Kept for a gang.
+    /// Gang that the worker is reserved for.
     pub reserved_for: Option<RequestNo>,
+    /// Entry in the index: free CPU and whether accelerators are free.
     index_entry: Option<(u32, bool)>,
 }
 
@@ -95,17 +99,17 @@
         }
     }
 
-    /// Tells whether new work may go here.
+    /// Returns true if the worker may get new tasks.
     pub fn is_usable(&self) -> bool {
         self.claimed && self.listed && !self.leaving && self.quarantined_until.is_none()
     }
 
-    /// Tells whether a probing worker has its one task already.
+    /// Returns true if the worker is probing and has a task.
     pub fn has_probe_task(&self) -> bool {
         self.probing && !self.held.is_empty()
     }
 
-    /// Returns the sum of what could be displaced.
+    /// Returns the sum of the resources of preemptible tasks.
     pub fn preemptible(&self) -> Resources {
         let sum = |a: Resources, h: &HeldTask| {
             if h.preemptible { a.plus(&h.resources) } else { a }
@@ -125,19 +129,20 @@
 pub(crate) struct Workers {
     list: Vec<Worker>,
     by_id: HashMap<InstanceId, WorkerIdx>,
-    /// Usable workers without and with free accelerators, by free processors.
+    /// Usable workers by free CPU: without free accelerators, and with free accelerators.
     by_free_cpu: [BTreeSet<(u32, WorkerIdx)>; 2],
-    /// How many workers there are of each capacity that could ever be used.
+    /// Number of claimed, listed and not leaving workers for each capacity.
     capacity_counts: BTreeMap<Resources, u32>,
-    /// Sum of the capacities.
+    /// Total capacity of these workers.
     pub total_capacity: Totals,
-    /// Sum of what is free on usable workers.
+    /// Total free resources of usable workers.
     pub free: Totals,
+    /// Workers in quarantine.
     pub quarantined: u32,
 }
 
 impl Workers {
-    /// Finds a worker, or adds an unclaimed one.
+    /// Returns the index of a worker; adds it as unclaimed if it is new.
     pub fn intern(&mut self, id: &InstanceId) -> WorkerIdx {
         if let Some(&idx) = self.by_id.get(id) {
             return idx;
@@ -168,7 +173,7 @@
         &self.capacity_counts
     }
 
-    /// Changes a worker and brings the index and the sums up to date.
+    /// Changes a worker and updates the index and the totals.
     pub fn update<R>(&mut self, idx: WorkerIdx, change: impl FnOnce(&mut Worker) -> R) -> R {
         self.unindex(idx);
         let w = &mut self.list[idx as usize];
@@ -178,12 +183,12 @@
         out
     }
 
-    /// Changes what the index doesn't depend on.
+    /// Returns a worker for changes that affect neither the index nor the totals.
     pub fn get_mut_unindexed(&mut self, idx: WorkerIdx) -> &mut Worker {
         &mut self.list[idx as usize]
     }
 
-    /// Gives a task to a worker, or takes the room for it.
+    /// Adds a task to a worker and takes its resources from the free ones.
     pub fn assign(&mut self, idx: WorkerIdx, held: HeldTask) {
         self.unindex(idx);
         let w = &mut self.list[idx as usize];
@@ -192,7 +197,7 @@
         self.index(idx);
     }
 
-    /// Takes a task off a worker.
+    /// Removes a task from a worker and returns it.
     pub fn release(&mut self, idx: WorkerIdx, task: &TaskId) -> Option<HeldTask> {
         let at = self.list[idx as usize].held.iter().position(|h| h.task == *task)?;
         Some(self.update(idx, |w| w.held.swap_remove(at)))
@@ -226,8 +231,8 @@
         }
     }
 
-    /// Returns usable workers with room, those with the least free processors
-    /// first; workers with free accelerators come last for work that needs none.
+    /// Returns usable workers that have room, those with the least free CPU first. For a
+    /// task without accelerators, workers with free accelerators come last.
     pub fn with_room<'a>(&'a self, need: &'a Resources) -> impl Iterator<Item = WorkerIdx> + 'a {
         let plain = if need.accelerators == 0 { Some(&self.by_free_cpu[0]) } else { None };
         let sets = plain.into_iter().chain([&self.by_free_cpu[1]]);
@@ -236,7 +241,7 @@
             .filter(|&idx| need.fits(&self.get(idx).free))
     }
 
-    /// Returns the workers that are usable.
+    /// Returns the usable workers.
     pub fn usable(&self) -> impl Iterator<Item = WorkerIdx> + '_ {
         self.by_free_cpu.iter().flatten().map(|&(_, idx)| idx)
     }
--- a/crates/hollowford-engine/src/worker_choice.rs
+++ b/crates/hollowford-engine/src/worker_choice.rs
@@ -1,4 +1,4 @@
-//! Which worker a task goes to, and which of two accounts that are nearly even goes first.
+//! Chooses the worker for a task, and the account to serve among those of nearly equal rank.
 
 use crate::account::AccountIdx;
 use crate::engine::Engine;
@@ -9,8 +9,8 @@
 use hollowford_core::{Millis, Resources, Spread};
 
 impl Engine {
-    /// Chooses, among the accounts that are nearly as far behind as the first in
-    /// order, the one whose next task leaves its worker fullest.
+    /// Chooses, among accounts whose rank is close to that of `first`, the one whose next
+    /// task fits its worker best.
     pub(crate) fn best_fitting_account(
         &self,
         first: AccountIdx,
@@ -33,8 +33,8 @@
         best.map_or(first, |(_, idx)| idx)
     }
 
-    /// Scores the best place for an account's next batch task. Accounts with a gang
-    /// waiting are not scored: a gang goes by the order alone.
+    /// Scores the best worker for an account's next batch task. Accounts with a waiting
+    /// gang are not scored, because gangs are served by rank alone.
     fn score_next_task(&self, idx: AccountIdx, pass: &Pass) -> Option<f64> {
         let a = self.accounts.get(idx);
         if !a.queues[QueueKind::Gang as usize].is_empty() {
@@ -49,7 +49,7 @@
         Some(score(&r.spec.per_task, self.workers.get(placement_choice.worker)))
     }
 
-    /// Chooses the worker that the task leaves fullest and most evenly used.
+    /// Chooses the eligible worker with the best score.
     pub(crate) fn find_worker(&self, r: &Request, now: Millis) -> Option<PlacementChoice> {
         let mut best: Option<(f64, WorkerIdx)> = None;
         let mut runner_up = None;
@@ -72,7 +72,7 @@
         best.map(|(_, worker)| PlacementChoice { worker, compared, runner_up })
     }
 
-    /// Tells whether a request's next task may go to a worker that has room.
+    /// Returns true if a request's next task may run on a worker, provided that it has room.
     pub(crate) fn is_eligible(&self, r: &Request, w: &Worker, idx: WorkerIdx, now: Millis) -> bool {
         !w.has_probe_task()
             && !r.failed_workers.contains(&idx)
@@ -90,18 +90,18 @@
     }
 }
 
-/// Weight of the balance between processors and memory in a worker's score. Below
-/// 1, so that filling a worker always counts for more than keeping it even.
-const BALANCE: f64 = 0.5;
+/// Weight of the balance between CPU and memory in a worker's score. Below 1, so that
+/// filling a worker always counts more than balance.
+const BALANCE_WEIGHT: f64 = 0.5;
 
-/// Scores a worker for a task; lower is better. It favours workers that the task
-/// fills, and those whose processors and memory are left in equal parts.
+/// Scores a worker for a task; lower is better. Favours workers that the task fills, and
+/// those whose free CPU and memory remain in proportion.
 fn score(need: &Resources, w: &Worker) -> f64 {
     let left = w.free.minus(need);
-    let part = |l: u32, c: u32| {
+    let fraction = |l: u32, c: u32| {
         if c == 0 { 0.0 } else { f64::from(l) / f64::from(c) }
     };
-    let cpu = part(left.cpu_milli, w.capacity.cpu_milli);
-    let memory = part(left.memory_mib, w.capacity.memory_mib);
-    cpu + memory + BALANCE * (cpu - memory).abs()
+    let cpu = fraction(left.cpu_milli, w.capacity.cpu_milli);
+    let memory = fraction(left.memory_mib, w.capacity.memory_mib);
+    cpu + memory + BALANCE_WEIGHT * (cpu - memory).abs()
 }
--- a/crates/hollowford-engine/src/write_behind.rs
+++ b/crates/hollowford-engine/src/write_behind.rs
@@ -1,23 +1,25 @@
-//! Quick checks while the ledger can't be written.
+//! Write-behind requests: short checks that run while the ledger can't be written.
 //!
-//! A check that may be repeated goes on without the ledger for as long as every
-//! member has promised not to take the partition over. Its lease ends before the
-//! promises do and no renewal extends it, so when anyone can take over, nothing
-//! unledgered still runs. Its records are appended like all others and become
-//! durable when the ledger is back; its answer is told before that, and says so.
+//! A repeatable check may run before its records are durable for as long as every member
+//! has promised not to take over the partition. Its lease ends before the promises expire,
+//! and renewals don't extend it. So no such task is running any more when another process
+//! can take over. The records are appended like all others and become durable once the
+//! ledger can be written again. The answer is reported before that and is marked as not
+//! durable.
 
 use crate::engine::{Engine, PendingStart};
 use crate::event::Action;
 use crate::worker::WorkerIdx;
 use hollowford_core::{Kind, Millis, RequestNo, Spec};
 
-/// Parts of the declared run time that must fit into the promises, in tenths.
+/// Allowed run time in tenths of the declared run time. A check starts only if this time
+/// ends before the promises expire.
 const RUN_TIME_ALLOWANCE_TENTHS: u64 = 15;
 const TENTHS: u64 = 10;
 
 impl Engine {
-    /// Notes until when every member has promised not to take over; zero when one
-    /// of them has not.
+    /// Sets the time until which every member has promised not to take over the partition;
+    /// zero if any member has not.
     pub fn set_no_takeover_until(&mut self, until: Millis) {
         if until > self.no_takeover_until {
             self.needs_pass = true;
@@ -25,43 +27,45 @@
         self.no_takeover_until = until;
     }
 
-    /// Tells whether unledgered work may be started at `now`.
+    /// Returns true if write-behind requests may start at `now`: the ledger is stalled and
+    /// the promises of the members are valid.
     pub fn allows_write_behind(&self, now: Millis) -> bool {
         self.ledger_stalled && self.no_takeover_until > now + self.policy.drift_margin
     }
 
-    /// Tells whether a request is to go on without the ledger.
+    /// Returns true if a request may run before its records are durable: a repeatable check
+    /// with one task that is expected to end before the promises expire.
     pub(crate) fn may_write_behind(&self, now: Millis, spec: &Spec) -> bool {
         let check = spec.kind == Kind::Check && spec.repeatable && spec.tasks == 1;
         check && self.allows_write_behind(now) && self.ends_before_takeover(now, spec)
     }
 
-    /// Tells whether a task is expected to end before the promises do.
+    /// Returns true if a task is expected to end before the promises expire.
     pub(crate) fn ends_before_takeover(&self, now: Millis, spec: &Spec) -> bool {
         let run = Millis(spec.run_time_ms.saturating_mul(RUN_TIME_ALLOWANCE_TENTHS) / TENTHS);
         spec.run_time_ms > 0 && now + run + self.policy.drift_margin < self.no_takeover_until
     }
 
-    /// Tells whether a request goes on without the ledger.
+    /// Returns true if a request runs before its records are durable.
     pub(crate) fn is_write_behind(&self, no: RequestNo) -> bool {
         self.requests.get(&no).is_some_and(|r| r.write_behind)
     }
 
-    /// Returns the end of a lease, on the worker's clock, that surely ends before the
-    /// promises do on ours.
+    /// Grants a lease that ends before the promises expire. Returns its end on the worker's
+    /// clock.
     ///
-    /// The worker's reading was taken before it came here, so the worker's clock reaches
-    /// reading + x no later than ours reaches the time of its coming + x.
+    /// The clock reading was taken before it arrived, so the worker's clock reaches
+    /// reading + x no later than the owner's clock reaches arrival time + x.
     pub(crate) fn grant_fixed_lease(&mut self, idx: WorkerIdx) -> u64 {
-        let (longest, margin) = (self.policy.task_lease, self.policy.drift_margin);
+        let (max_length, margin) = (self.policy.task_lease, self.policy.drift_margin);
         let until = self.no_takeover_until.since(margin);
         let w = self.workers.get_mut_unindexed(idx);
-        let length = until.since(w.clock_read_at).min(longest);
+        let length = until.since(w.clock_read_at).min(max_length);
         w.lease_expiry = w.lease_expiry.max(w.clock_read_at + length + margin);
         w.clock + length.0
     }
 
-    /// Sends the starts of checks that were placed when the ledger began to stall.
+    /// Sends the pending starts of checks that were placed before the ledger stalled.
     pub(crate) fn start_pending_write_behind(&mut self, now: Millis, out: &mut Vec<Action>) {
         for start in std::mem::take(&mut self.pending_starts) {
             let spec = self.requests.get(&start.task.request).map(|r| r.spec.clone());
@@ -74,7 +78,7 @@
         }
     }
 
-    /// Sends a start whose intent is not durable.
+    /// Sends a start without waiting for its intent to be durable.
     pub(crate) fn start_write_behind(
         &mut self,
         no: RequestNo,
@@ -84,7 +88,7 @@
         out: &mut Vec<Action>,
     ) {
         if let Some(r) = self.requests.get_mut(&no) {
-            // It may have been accepted before the stall.
+            // The request may have been accepted before the ledger stalled.
             r.write_behind = true;
             let start = PendingStart { seq: 0, task: r.task_id(index), worker };
             self.send_start(now, &start, out);
