--- a/crates/hollowford-engine/benches/decisions.rs
+++ b/crates/hollowford-engine/benches/decisions.rs
@@ -88,10 +88,10 @@
         let key = RequestKey::new(&account, &format!("r{i}"));
         let mut out = Vec::new();
         self.engine.submit(self.now, &key, &spec(i), &mut out).unwrap();
-        self.carry_out(out);
+        self.execute(out);
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
+    fn execute(&mut self, actions: Vec<Action>) {
         let mut durable = 0;
         let mut out = Vec::new();
         for action in actions {
@@ -108,14 +108,14 @@
             self.engine.set_durable(durable, &mut out);
         }
         if !out.is_empty() {
-            self.carry_out(out);
+            self.execute(out);
         }
     }
 
     fn decide(&mut self) {
         let mut out = Vec::new();
         self.engine.decide(self.now, Authority::Full, &mut out);
-        self.carry_out(out);
+        self.execute(out);
     }
 
     fn fill(&mut self) {
@@ -129,12 +129,12 @@
     }
 
     /// One task ends and the room is filled again.
-    fn turn(&mut self) {
+    fn replace_one_task(&mut self) {
         let (worker, task) = self.running.pop_front().unwrap();
         let report = EndReport { task, end: TaskEnd::Done(TaskResult::default()), ran: Millis(1) };
         let mut out = Vec::new();
         self.engine.task_ended(self.now, &worker, &report, &mut out);
-        self.carry_out(out);
+        self.execute(out);
         self.decide();
         self.decide();
     }
@@ -190,19 +190,19 @@
             bench.submit();
         }
         let t = Instant::now();
-        bench.turn();
+        bench.replace_one_task();
         h.record(t.elapsed().as_nanos() as u64).unwrap();
     }
     let took = started.elapsed().as_secs_f64();
     let placed = bench.engine.stats().placed - placed;
-    let each = took * 1e9 / placed as f64;
+    let ns_per_placement = took * 1e9 / placed as f64;
     println!(
         "{workers:>7} {queued:>8} {running:>8} {:>12.0} {:>9.1} {:>9.1} {:>9.1} {:>10.1}",
         placed as f64 / took,
-        each / 1_000.0,
+        ns_per_placement / 1_000.0,
         h.value_at_quantile(0.5) as f64 / 1_000.0,
         h.value_at_quantile(0.99) as f64 / 1_000.0,
-        each / fifo(workers)
+        ns_per_placement / fifo(workers)
     );
 }
 
--- a/crates/hollowford-engine/benches/memory.rs
+++ b/crates/hollowford-engine/benches/memory.rs
@@ -13,7 +13,7 @@
 
 const PAGE_BYTES: usize = 4_096;
 
-fn resident() -> usize {
+fn resident_bytes() -> usize {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap();
     text.split_whitespace().nth(1).unwrap().parse::<usize>().unwrap() * PAGE_BYTES
 }
@@ -71,7 +71,7 @@
 }
 
 /// Starts all that fits and returns what runs.
-fn start(e: &mut Engine) -> Vec<(InstanceId, TaskId)> {
+fn start_all(e: &mut Engine) -> Vec<(InstanceId, TaskId)> {
     let mut running = Vec::new();
     loop {
         let mut out = Vec::new();
@@ -101,9 +101,9 @@
 }
 
 fn measure(what: &str, size: usize, make: impl FnOnce() -> Engine) {
-    let before = resident();
+    let before = resident_bytes();
     let e = make();
-    let bytes = resident().saturating_sub(before);
+    let bytes = resident_bytes().saturating_sub(before);
     println!("{what:<44} {size:>8} {:>9} {:>8}", bytes / 1_024, bytes / size);
     // Kept alive and never given back, so that no measure reuses another's memory.
     std::mem::forget(e);
@@ -118,7 +118,7 @@
         measure("running tasks, ten to a request", n, || {
             let mut e = engine(700, 1_000_000);
             submit(&mut e, n / 10, 10, 1);
-            assert_eq!(start(&mut e).len(), n);
+            assert_eq!(start_all(&mut e).len(), n);
             e
         });
     }
@@ -141,7 +141,7 @@
         measure("kept answers of one task", n, || {
             let mut e = engine(700, 1_000_000);
             submit(&mut e, n, 1, 1);
-            let running = start(&mut e);
+            let running = start_all(&mut e);
             end(&mut e, running);
             e
         });
--- a/crates/hollowford-engine/src/gang.rs
+++ b/crates/hollowford-engine/src/gang.rs
@@ -243,7 +243,8 @@
         if !r.spec.repeatable && r.done > 0 {
             // Some tasks have completed and must not run again.
             r.failed += 1;
-            r.message = "a task of the gang did not start after another had completed".into();
+            r.message =
+                "a task of the gang did not start, and another had already completed".into();
         }
         if r.failed > 0 || r.uncertain > 0 || r.cancelled {
             self.drop_waiting(no);
--- a/crates/hollowford-engine/tests/allocations.rs
+++ b/crates/hollowford-engine/tests/allocations.rs
@@ -4,21 +4,21 @@
 
 mod common;
 
-use common::{World, policy, spec};
+use common::{Simulation, policy, spec};
 use hollowford_core::Kind;
 use hollowford_engine::{Action, Authority};
 
 /// Most allocations of one placement in a pass that places many.
-const MOST_EACH: u64 = 1;
+const MAX_ALLOCATIONS_PER_PLACEMENT: u64 = 1;
 
 #[test]
 fn a_placement_allocates_little() {
-    let mut world = World::new(policy(), 50);
+    let mut sim = Simulation::new(policy(), 50);
     for i in 0..20 {
-        world.submit(&format!("b-{i}"), &spec(Kind::Batch, 10, 1_000, 1_000)).unwrap();
+        sim.submit(&format!("b-{i}"), &spec(Kind::Batch, 10, 1_000, 1_000)).unwrap();
     }
-    let now = world.now;
-    let engine = world.engine();
+    let now = sim.now;
+    let engine = sim.engine();
     let mut out = Vec::with_capacity(1_000);
     let info = allocation_counter::measure(|| {
         engine.decide(now, Authority::Full, &mut out);
@@ -26,5 +26,5 @@
     let placed = out.iter().filter(|a| matches!(a, Action::Append { .. })).count() as u64;
     println!("{placed} placements, {} allocations", info.count_total);
     assert_eq!(placed, 200);
-    assert!(info.count_total <= MOST_EACH * placed, "{}", info.count_total);
+    assert!(info.count_total <= MAX_ALLOCATIONS_PER_PLACEMENT * placed, "{}", info.count_total);
 }
--- a/crates/hollowford-engine/tests/common/judge.rs
+++ b/crates/hollowford-engine/tests/common/invariants.rs
@@ -6,21 +6,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Default)]
-pub struct Judge {
+pub struct InvariantChecker {
     /// Starts of each task over all attempts.
     starts: BTreeMap<(RequestNo, u32), u32>,
     done: BTreeSet<(RequestNo, u32)>,
     /// What each request number stands for.
     specs: BTreeMap<RequestNo, Spec>,
-    asked: BTreeMap<RequestKey, Spec>,
+    submitted_specs: BTreeMap<RequestKey, Spec>,
     answers: BTreeMap<RequestKey, FinalAnswer>,
     numbers: BTreeMap<RequestKey, BTreeSet<RequestNo>>,
-    told_while_leaving: u32,
+    starts_while_leaving: u32,
 }
 
-impl Judge {
-    pub fn asked(&mut self, key: &RequestKey, spec: &Spec) {
-        self.asked.insert(key.clone(), spec.clone());
+impl InvariantChecker {
+    pub fn record_submitted(&mut self, key: &RequestKey, spec: &Spec) {
+        self.submitted_specs.insert(key.clone(), spec.clone());
     }
 
     pub fn started(&mut self, task: &TaskId, spec: &Spec) {
@@ -34,8 +34,8 @@
         }
     }
 
-    pub fn sent_start(&mut self, worker_known_to_leave: bool) {
-        self.told_while_leaving += u32::from(worker_known_to_leave);
+    pub fn start_sent(&mut self, worker_known_to_leave: bool) {
+        self.starts_while_leaving += u32::from(worker_known_to_leave);
     }
 
     pub fn answered(&mut self, key: &RequestKey, answer: &FinalAnswer) {
@@ -47,7 +47,7 @@
 
     /// What was asked by a key.
     pub fn spec_of(&self, key: &RequestKey) -> Option<Spec> {
-        self.asked.get(key).cloned()
+        self.submitted_specs.get(key).cloned()
     }
 
     pub fn answers(&self) -> usize {
@@ -59,23 +59,23 @@
     }
 
     /// Notes which number a key has, for the check of "not run".
-    pub fn number(&mut self, key: &RequestKey, no: RequestNo) {
+    pub fn record_number(&mut self, key: &RequestKey, no: RequestNo) {
         self.numbers.entry(key.clone()).or_default().insert(no);
     }
 
     /// Checks what must always hold.
     pub fn check(&self, workers: &BTreeMap<InstanceId, FakeWorker>, now: Millis) {
-        self.check_room(workers);
-        self.check_one_place(workers, now);
+        self.check_capacity(workers);
+        self.check_no_duplicate_runs(workers, now);
         for ((no, index), n) in &self.starts {
             let repeatable = self.specs[no].repeatable;
             assert!(repeatable || *n == 1, "{no:?}/{index} was started {n} times");
         }
         self.check_answers();
-        assert_eq!(self.told_while_leaving, 0, "a start was sent to a worker known to leave");
+        assert_eq!(self.starts_while_leaving, 0, "a start was sent to a worker known to leave");
     }
 
-    fn check_room(&self, workers: &BTreeMap<InstanceId, FakeWorker>) {
+    fn check_capacity(&self, workers: &BTreeMap<InstanceId, FakeWorker>) {
         for (id, w) in workers {
             let add = |a: Resources, r: &super::worker::Running| a.plus(&r.spec.per_task);
             let used = w.running.values().fold(Resources::default(), add);
@@ -88,7 +88,7 @@
         self.numbers.iter().find(|(_, numbers)| numbers.contains(&no)).map(|(key, _)| key)
     }
 
-    fn check_one_place(&self, workers: &BTreeMap<InstanceId, FakeWorker>, now: Millis) {
+    fn check_no_duplicate_runs(&self, workers: &BTreeMap<InstanceId, FakeWorker>, now: Millis) {
         let mut places: BTreeMap<(Option<&RequestKey>, u32), &InstanceId> = BTreeMap::new();
         for (id, w) in workers {
             // What has lapsed on a frozen worker does not run.
@@ -102,7 +102,7 @@
 
     fn check_answers(&self) {
         for (key, answer) in &self.answers {
-            let spec = &self.asked[key];
+            let spec = &self.submitted_specs[key];
             let numbers = self.numbers.get(key).cloned().unwrap_or_default();
             let starts: u32 = numbers.iter().map(|no| self.starts_of(*no)).sum();
             let not_run = answer.outcome == Outcome::NotRun
--- a/crates/hollowford-engine/tests/common/mod.rs
+++ b/crates/hollowford-engine/tests/common/mod.rs
@@ -3,13 +3,13 @@
 
 #![allow(dead_code, clippy::unwrap_used, clippy::expect_used)]
 
-pub mod judge;
+pub mod invariants;
 pub mod worker;
 
 use hollowford_core::prelude::*;
 use hollowford_core::{Kind, Placement};
 use hollowford_engine::{Action, Authority, Engine, FinalAnswer, Policy, Record, WorkerListing};
-use judge::Judge;
+use invariants::InvariantChecker;
 use std::collections::{BTreeMap, VecDeque};
 use worker::{FakeWorker, Order};
 
@@ -36,7 +36,7 @@
 }
 
 /// Everything outside the engines.
-pub struct World {
+pub struct Simulation {
     pub now: Millis,
     pub policy: Policy,
     pub owners: Vec<Owner>,
@@ -47,7 +47,7 @@
     /// Until when no one takes over.
     pub no_takeover_until: Millis,
     pub workers: BTreeMap<InstanceId, FakeWorker>,
-    pub judge: Judge,
+    pub checker: InvariantChecker,
     next_session: u64,
 }
 
@@ -74,10 +74,10 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// Makes a world with so many workers of 4 cores, two to a rack, and one owner.
-    pub fn new(policy: Policy, workers: usize) -> World {
-        let mut world = World {
+    pub fn new(policy: Policy, workers: usize) -> Simulation {
+        let mut sim = Simulation {
             now: Millis(1_000),
             policy,
             owners: Vec::new(),
@@ -86,15 +86,15 @@
             stalled: false,
             no_takeover_until: Millis(0),
             workers: BTreeMap::new(),
-            judge: Judge::default(),
+            checker: InvariantChecker::default(),
             next_session: 1,
         };
         for i in 0..workers {
-            world.add_worker(i, Resources::new(4_000, 16_000, 0));
+            sim.add_worker(i, Resources::new(4_000, 16_000, 0));
         }
-        world.takeover();
-        world.settle();
-        world
+        sim.takeover();
+        sim.run_briefly();
+        sim
     }
 
     pub fn add_worker(&mut self, i: usize, capacity: Resources) {
@@ -147,11 +147,11 @@
         }
         self.owners.push(owner);
         let last = self.owners.len() - 1;
-        self.carry_out(last, out);
+        self.execute(last, out);
     }
 
     /// Every member promises the newest owner not to take over for so long.
-    pub fn promise(&mut self, ms: u64) {
+    pub fn promise_no_takeover(&mut self, ms: u64) {
         self.no_takeover_until = self.no_takeover_until.max(self.now + Millis(ms));
         let until = self.no_takeover_until;
         self.engine().set_no_takeover_until(until);
@@ -173,10 +173,10 @@
         let now = self.now;
         let result = self.owners[last].engine.submit(now, &key, spec, &mut out);
         if let Ok(no) = &result {
-            self.judge.asked(&key, spec);
-            self.judge.number(&key, *no);
+            self.checker.record_submitted(&key, spec);
+            self.checker.record_number(&key, *no);
         }
-        self.carry_out(last, out);
+        self.execute(last, out);
         result
     }
 
@@ -186,7 +186,7 @@
         let now = self.now;
         // An unknown id is no fault of the test.
         let _ = self.owners[last].engine.cancel(now, &key(id), &mut out);
-        self.carry_out(last, out);
+        self.execute(last, out);
     }
 
     /// Lets an owner decide.
@@ -212,7 +212,7 @@
         owner.engine.set_ledger_stalled(stalled);
         owner.engine.tick(now, authority, &mut out);
         owner.engine.decide(now, authority, &mut out);
-        self.carry_out(i, out);
+        self.execute(i, out);
     }
 
     /// Writes what an owner has appended, as far as its epoch is in force.
@@ -232,22 +232,22 @@
         }
         let mut out = Vec::new();
         owner.engine.set_durable(seq, &mut out);
-        self.carry_out(i, out);
+        self.execute(i, out);
     }
 
     /// Does what an engine asks for.
-    pub fn carry_out(&mut self, i: usize, actions: Vec<Action>) {
+    pub fn execute(&mut self, i: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Append { seq, record } => self.owners[i].pending.push_back((seq, record)),
-                Action::Changed(no) => self.see_answer(i, no),
+                Action::Changed(no) => self.check_answer(i, no),
                 Action::FirstStart { .. } => {}
                 order => self.send(i, order),
             }
         }
     }
 
-    fn see_answer(&mut self, i: usize, no: RequestNo) {
+    fn check_answer(&mut self, i: usize, no: RequestNo) {
         let engine = &self.owners[i].engine;
         if let Some(view) = engine.view(no)
             && let Some(answer) = view.answer
@@ -256,7 +256,7 @@
             if view.durable {
                 let answer: FinalAnswer = answer.clone();
                 let key = view.key.clone();
-                self.judge.answered(&key, &answer);
+                self.checker.answered(&key, &answer);
             }
         }
     }
@@ -266,7 +266,8 @@
         let (worker, order) = Order::from_action(action);
         let started = matches!(order, Order::Start { .. });
         if started {
-            self.judge.sent_start(self.workers[&worker].told_leaving.contains(&owner.epoch));
+            self.checker
+                .start_sent(self.workers[&worker].epochs_told_leaving.contains(&owner.epoch));
         }
         // Without a session the order is dropped, as in the server.
         if owner.sessions.contains_key(&worker) {
@@ -283,22 +284,22 @@
         if owner.paused || owner.deposed || worker.frozen || worker.unreachable || worker.unlisted {
             return;
         }
-        let Some(claim) = worker.claim(now, owner.epoch, session, &mut self.judge) else {
+        let Some(claim) = worker.claim(now, owner.epoch, session, &mut self.checker) else {
             return;
         };
         self.next_session += 1;
         if claim.leaving {
-            worker.told_leaving.insert(owner.epoch);
+            worker.epochs_told_leaving.insert(owner.epoch);
         }
         owner.sessions.insert(id.clone(), session);
         owner.orders.insert(id.clone(), VecDeque::new());
         let mut out = Vec::new();
         owner.engine.worker_claimed(now, id, &claim, &mut out);
-        self.carry_out(i, out);
+        self.execute(i, out);
     }
 
     /// Ends the session of an owner with a worker; orders on their way are lost.
-    pub fn cut(&mut self, i: usize, id: &InstanceId) {
+    pub fn disconnect(&mut self, i: usize, id: &InstanceId) {
         let now = self.now;
         let owner = &mut self.owners[i];
         if owner.sessions.remove(id).is_none() || owner.deposed {
@@ -307,7 +308,7 @@
         owner.orders.remove(id);
         let mut out = Vec::new();
         owner.engine.session_ended(now, id, &mut out);
-        self.carry_out(i, out);
+        self.execute(i, out);
     }
 
     /// Delivers all orders that are on their way to a worker, and its reports.
@@ -317,21 +318,21 @@
         if worker.frozen || worker.unreachable {
             return;
         }
-        worker.wake(now, &mut self.judge);
+        worker.end_due_tasks(now, &mut self.checker);
         let owner = &mut self.owners[i];
         let Some(&session) = owner.sessions.get(id) else {
             return;
         };
         if worker.session != session {
             // The worker has ended this session.
-            self.cut(i, id);
+            self.disconnect(i, id);
             return;
         }
         for order in std::mem::take(owner.orders.entry(id.clone()).or_default()) {
-            worker.obey(now, order, &mut self.judge);
+            worker.execute_order(now, order, &mut self.checker);
         }
         if !owner.paused && !owner.deposed {
-            worker.stamp(now);
+            worker.stamp_reports(now);
             let reports = worker.take_reports();
             self.report(i, id, reports);
         }
@@ -354,9 +355,9 @@
         engine.usage_reported(now, id, reports.leaving, &[], &mut out);
         if reports.leaving {
             let epoch = self.owners[i].epoch;
-            self.workers.get_mut(id).unwrap().told_leaving.insert(epoch);
+            self.workers.get_mut(id).unwrap().epochs_told_leaving.insert(epoch);
         }
-        self.carry_out(i, out);
+        self.execute(i, out);
     }
 
     /// Lets a step of time pass, in which everything that can happen does.
@@ -365,7 +366,7 @@
         let ids: Vec<InstanceId> = self.workers.keys().cloned().collect();
         for id in &ids {
             let worker = self.workers.get_mut(id).unwrap();
-            worker.pass_time(self.now, &mut self.judge);
+            worker.advance_time(self.now, &mut self.checker);
         }
         for i in 0..self.owners.len() {
             self.decide(i);
@@ -378,7 +379,7 @@
                     session.is_some_and(|s| *s != w.session)
                 };
                 if ended {
-                    self.cut(i, id);
+                    self.disconnect(i, id);
                 }
                 self.deliver(i, id);
             }
@@ -401,13 +402,13 @@
     }
 
     /// Lets enough time pass for claims and starts.
-    pub fn settle(&mut self) {
+    pub fn run_briefly(&mut self) {
         self.run(STEP.0 * 6);
     }
 
     /// Checks what must always hold.
     pub fn check(&self) {
-        self.judge.check(&self.workers, self.now);
+        self.checker.check(&self.workers, self.now);
     }
 
     pub fn answer(&mut self, id: &str) -> Option<FinalAnswer> {
--- a/crates/hollowford-engine/tests/common/worker.rs
+++ b/crates/hollowford-engine/tests/common/worker.rs
@@ -1,6 +1,6 @@
 //! A worker of the small world.
 
-use super::judge::Judge;
+use super::invariants::InvariantChecker;
 use hollowford_core::prelude::*;
 use hollowford_engine::{Action, ClaimReport, ClaimedTask, EndReport, TaskEnd, TaskResult};
 use std::collections::{BTreeMap, BTreeSet};
@@ -66,9 +66,9 @@
     pub unreachable: bool,
     pub unlisted: bool,
     /// Every task fails at once.
-    pub bad: bool,
+    pub fails_all: bool,
     /// Owners, by epoch, that know that this worker is leaving.
-    pub told_leaving: BTreeSet<Epoch>,
+    pub epochs_told_leaving: BTreeSet<Epoch>,
     offset: u64,
 }
 
@@ -87,8 +87,8 @@
             frozen: false,
             unreachable: false,
             unlisted: false,
-            bad: false,
-            told_leaving: BTreeSet::new(),
+            fails_all: false,
+            epochs_told_leaving: BTreeSet::new(),
             offset: 1_000_000 * (i + 1),
         }
     }
@@ -98,31 +98,31 @@
     }
 
     /// Stops what has lapsed and ends what is done, as a worker that wakes does.
-    pub fn wake(&mut self, now: Millis, judge: &mut Judge) {
+    pub fn end_due_tasks(&mut self, now: Millis, checker: &mut InvariantChecker) {
         let clock = self.clock(now);
-        let over: Vec<TaskId> = self
+        let due: Vec<TaskId> = self
             .running
             .iter()
             .filter(|(_, r)| r.lease_until.min(r.ends_at) <= clock)
             .map(|(task, _)| *task)
             .collect();
-        for task in over {
+        for task in due {
             let r = &self.running[&task];
             let lapsed = r.lease_until < r.ends_at;
             let end = if lapsed { TaskEnd::Lost } else { TaskEnd::Done(TaskResult::default()) };
-            self.end(now, &task, end, judge);
+            self.end(now, &task, end, checker);
         }
     }
 
-    pub fn pass_time(&mut self, now: Millis, judge: &mut Judge) {
+    pub fn advance_time(&mut self, now: Millis, checker: &mut InvariantChecker) {
         if !self.frozen {
-            self.wake(now, judge);
+            self.end_due_tasks(now, checker);
         }
     }
 
-    fn end(&mut self, now: Millis, task: &TaskId, end: TaskEnd, judge: &mut Judge) {
+    fn end(&mut self, now: Millis, task: &TaskId, end: TaskEnd, checker: &mut InvariantChecker) {
         if let Some(r) = self.running.remove(task) {
-            judge.ended(task, &end);
+            checker.ended(task, &end);
             let ran = Millis(self.clock(now).saturating_sub(r.started_at));
             let report = EndReport { task: *task, end, ran };
             self.ended.insert(*task, report.clone());
@@ -135,12 +135,12 @@
         now: Millis,
         epoch: Epoch,
         session: u64,
-        judge: &mut Judge,
+        checker: &mut InvariantChecker,
     ) -> Option<ClaimReport> {
         if epoch < self.epoch {
             return None;
         }
-        self.wake(now, judge);
+        self.end_due_tasks(now, checker);
         self.epoch = epoch;
         self.session = session;
         self.reports = Reports::default();
@@ -158,10 +158,10 @@
         })
     }
 
-    pub fn obey(&mut self, now: Millis, order: Order, judge: &mut Judge) {
+    pub fn execute_order(&mut self, now: Millis, order: Order, checker: &mut InvariantChecker) {
         match order {
             Order::Start { task, lease_until, fixed_lease, spec } => {
-                self.start(now, task, lease_until, spec, judge);
+                self.start(now, task, lease_until, spec, checker);
                 if let Some(r) = self.running.get_mut(&task) {
                     r.fixed_lease = fixed_lease;
                 }
@@ -171,7 +171,7 @@
                     r.lease_until = r.lease_until.max(lease_until);
                 }
             }
-            Order::Stop { task } => self.end(now, &task, TaskEnd::Stopped("".into()), judge),
+            Order::Stop { task } => self.end(now, &task, TaskEnd::Stopped("".into()), checker),
             Order::Forget { task } => {
                 self.ended.remove(&task);
             }
@@ -185,28 +185,28 @@
         task: TaskId,
         lease_until: u64,
         spec: Arc<Spec>,
-        judge: &mut Judge,
+        checker: &mut InvariantChecker,
     ) {
         let clock = self.clock(now);
         if lease_until <= clock {
             self.reports.refused.push(task);
             return;
         }
-        judge.started(&task, &spec);
+        checker.started(&task, &spec);
         let run = if spec.run_time_ms == 0 { u64::MAX - clock } else { spec.run_time_ms };
         let (ends_at, started_at) = (clock + run, clock);
         let r = Running { spec, ends_at, lease_until, fixed_lease: false, started_at };
         self.running.insert(task, r);
         self.reports.started.push(task);
-        if self.bad {
-            self.end(now, &task, TaskEnd::Failed("bad worker".into()), judge);
+        if self.fails_all {
+            self.end(now, &task, TaskEnd::Failed("bad worker".into()), checker);
         }
     }
 
     /// Loses all memory, as a restart does.
-    pub fn restart(&mut self, judge: &mut Judge) {
+    pub fn restart(&mut self, checker: &mut InvariantChecker) {
         for task in self.running.keys() {
-            judge.ended(task, &TaskEnd::Lost);
+            checker.ended(task, &TaskEnd::Lost);
         }
         self.running.clear();
         self.ended.clear();
@@ -222,7 +222,7 @@
 
 impl FakeWorker {
     /// Takes the reports with the clock at the time they are sent.
-    pub fn stamp(&mut self, now: Millis) {
+    pub fn stamp_reports(&mut self, now: Millis) {
         self.reports.clock = self.clock(now);
         self.reports.leaving = self.leaving;
     }
--- a/crates/hollowford-engine/tests/loads/engine_run.rs
+++ b/crates/hollowford-engine/tests/loads/engine_run.rs
@@ -1,8 +1,8 @@
 //! Runs a load on the engine: a heap of finish times, and a ledger that is durable
 //! after a fixed time.
 
-use super::measure::{Measures, used};
-use super::work::{Job, Load};
+use super::measure::{Measures, used_resources};
+use super::workloads::{Job, Load};
 use hollowford_core::Kind;
 use hollowford_core::prelude::*;
 use hollowford_engine::{
@@ -12,16 +12,16 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
 /// Time from an append to its durability: spacing of the writes and one write.
-const LEDGER_MS: u64 = 7;
-const TICK_MS: u64 = 50;
-const SAMPLE_MS: u64 = 250;
+const LEDGER_DELAY_MS: u64 = 7;
+const TICK_INTERVAL_MS: u64 = 50;
+const SAMPLE_INTERVAL_MS: u64 = 250;
 /// Virtual time after the last arrival at which a run ends in any case.
-const TAIL_MS: u64 = 600_000;
-const CLOCK: u64 = 1_000_000;
+const MAX_TAIL_MS: u64 = 600_000;
+const WORKER_CLOCK_START: u64 = 1_000_000;
 
 /// Something that is to happen.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum Event {
     Durable(u64),
     Finish { worker: usize, task: TaskId, failed: bool },
     Stopped { worker: usize, task: TaskId },
@@ -30,12 +30,12 @@
 struct Run<'a> {
     load: &'a Load,
     engine: Engine,
-    due: BinaryHeap<Reverse<(u64, u64, Due)>>,
-    order: u64,
+    events: BinaryHeap<Reverse<(u64, u64, Event)>>,
+    event_count: u64,
     now: u64,
     ids: Vec<InstanceId>,
     /// True run time by request number.
-    truth: HashMap<RequestNo, u64>,
+    actual_run_ms: HashMap<RequestNo, u64>,
     running: HashMap<TaskId, usize>,
     measures: Measures,
     shares: BTreeMap<&'static str, f64>,
@@ -46,19 +46,19 @@
     let mut run = Run {
         load,
         engine: Engine::new(PartitionId(0), Epoch(1), policy),
-        due: BinaryHeap::new(),
-        order: 0,
+        events: BinaryHeap::new(),
+        event_count: 0,
         now: 0,
         ids: (0..load.workers).map(|i| format!("w{i:04}").as_str().into()).collect(),
-        truth: HashMap::new(),
+        actual_run_ms: HashMap::new(),
         running: HashMap::new(),
         measures: Measures::default(),
         shares: BTreeMap::new(),
         share_samples: 0,
     };
     run.claim_all();
-    run.go();
-    run.finish()
+    run.run_load();
+    run.into_measures()
 }
 
 impl Run<'_> {
@@ -80,7 +80,7 @@
         for id in &self.ids {
             let claim = ClaimReport {
                 incarnation: 1,
-                clock: CLOCK,
+                clock: WORKER_CLOCK_START,
                 capacity: self.load.capacity,
                 leaving: false,
                 running: Vec::new(),
@@ -88,22 +88,23 @@
             };
             self.engine.worker_claimed(Millis(0), id, &claim, &mut out);
         }
-        self.carry_out(out);
+        self.execute(out);
     }
 
-    fn go(&mut self) {
+    fn run_load(&mut self) {
         let jobs = &self.load.jobs;
         let last = jobs.last().map_or(0, |j| j.at);
         let mut next_job = 0;
         let mut waves = self.load.waves.iter().peekable();
         let (mut next_tick, mut next_sample) = (0, 0);
         loop {
-            let due = self.due.peek().map_or(u64::MAX, |Reverse((at, _, _))| *at);
+            let event = self.events.peek().map_or(u64::MAX, |Reverse((at, _, _))| *at);
             let arrival = jobs.get(next_job).map_or(u64::MAX, |j| j.at);
             let wave = waves.peek().map_or(u64::MAX, |w| w.at);
-            self.now = due.min(arrival).min(wave).min(next_tick).min(next_sample);
-            let idle = next_job == jobs.len() && waves.peek().is_none() && self.only_services();
-            if idle || self.now > last + TAIL_MS {
+            self.now = event.min(arrival).min(wave).min(next_tick).min(next_sample);
+            let idle =
+                next_job == jobs.len() && waves.peek().is_none() && self.only_services_left();
+            if idle || self.now > last + MAX_TAIL_MS {
                 return;
             }
             while jobs.get(next_job).is_some_and(|j| j.at <= self.now) {
@@ -115,27 +116,27 @@
                     let mut out = Vec::new();
                     let account = AccountId::from(w.account);
                     self.engine.cancel_by_label(Millis(self.now), &account, w.label, &mut out);
-                    self.carry_out(out);
+                    self.execute(out);
                 }
             }
-            self.take_due();
+            self.process_due_events();
             if self.now >= next_tick {
-                next_tick = self.now + TICK_MS;
-                self.hear_all();
+                next_tick = self.now + TICK_INTERVAL_MS;
+                self.report_clocks();
                 let mut out = Vec::new();
                 self.engine.tick(Millis(self.now), Authority::Full, &mut out);
-                self.carry_out(out);
+                self.execute(out);
             }
             self.decide();
             if self.now >= next_sample {
-                next_sample = self.now + SAMPLE_MS;
+                next_sample = self.now + SAMPLE_INTERVAL_MS;
                 self.sample();
             }
         }
     }
 
     /// Tells whether everything but services has ended.
-    fn only_services(&self) -> bool {
+    fn only_services_left(&self) -> bool {
         let services = self.load.jobs.iter().filter(|j| j.spec.kind == Kind::Service).count();
         self.engine.requests().1 as usize <= services && self.engine.waiting_tasks() == 0
     }
@@ -145,19 +146,19 @@
         let mut out = Vec::new();
         match self.engine.submit(Millis(self.now), &key, &job.spec, &mut out) {
             Ok(no) => {
-                self.truth.insert(no, job.true_ms);
+                self.actual_run_ms.insert(no, job.actual_ms);
             }
             Err(e) => {
                 assert_eq!(e.kind, ErrorKind::Impossible, "{e}");
                 self.measures.refused += 1;
             }
         }
-        self.carry_out(out);
+        self.execute(out);
     }
 
-    fn hear_all(&mut self) {
+    fn report_clocks(&mut self) {
         for id in &self.ids {
-            self.engine.record_clock(Millis(self.now), id, CLOCK + self.now);
+            self.engine.record_clock(Millis(self.now), id, WORKER_CLOCK_START + self.now);
         }
     }
 
@@ -165,27 +166,27 @@
         loop {
             let mut out = Vec::new();
             self.engine.decide(Millis(self.now), Authority::Full, &mut out);
-            self.carry_out(out);
+            self.execute(out);
             if !self.engine.needs_decide(Millis(self.now)) {
                 return;
             }
         }
     }
 
-    fn at(&mut self, at: u64, due: Due) {
-        self.order += 1;
-        self.due.push(Reverse((at, self.order, due)));
+    fn schedule(&mut self, at: u64, event: Event) {
+        self.event_count += 1;
+        self.events.push(Reverse((at, self.event_count, event)));
     }
 
-    fn take_due(&mut self) {
-        while self.due.peek().is_some_and(|Reverse((at, _, _))| *at <= self.now) {
-            let Some(Reverse((_, _, due))) = self.due.pop() else {
+    fn process_due_events(&mut self) {
+        while self.events.peek().is_some_and(|Reverse((at, _, _))| *at <= self.now) {
+            let Some(Reverse((_, _, event))) = self.events.pop() else {
                 return;
             };
             let mut out = Vec::new();
-            match due {
-                Due::Durable(seq) => self.engine.set_durable(seq, &mut out),
-                Due::Finish { worker, task, failed } => {
+            match event {
+                Event::Durable(seq) => self.engine.set_durable(seq, &mut out),
+                Event::Finish { worker, task, failed } => {
                     // It may have been stopped before its end.
                     if self.running.remove(&task).is_some() {
                         let end = match failed {
@@ -195,11 +196,11 @@
                         self.ended(worker, task, end, &mut out);
                     }
                 }
-                Due::Stopped { worker, task } => {
+                Event::Stopped { worker, task } => {
                     self.ended(worker, task, TaskEnd::Stopped("checkpoint".into()), &mut out);
                 }
             }
-            self.carry_out(out);
+            self.execute(out);
         }
     }
 
@@ -208,7 +209,7 @@
         self.engine.task_ended(Millis(self.now), &self.ids[worker], &report, out);
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
+    fn execute(&mut self, actions: Vec<Action>) {
         let mut durable = None;
         let mut more = Vec::new();
         for action in actions {
@@ -221,17 +222,17 @@
             }
         }
         if let Some(seq) = durable {
-            self.at(self.now + LEDGER_MS, Due::Durable(seq));
+            self.schedule(self.now + LEDGER_DELAY_MS, Event::Durable(seq));
         }
         if !more.is_empty() {
-            self.carry_out(more);
+            self.execute(more);
         }
     }
 
     fn stop(&mut self, worker: &InstanceId, task: TaskId) {
         if self.running.remove(&task).is_some() {
             let worker = index_of(worker);
-            self.at(self.now + 1, Due::Stopped { worker, task });
+            self.schedule(self.now + 1, Event::Stopped { worker, task });
         }
     }
 
@@ -239,12 +240,12 @@
         let i = index_of(worker);
         self.running.insert(task, i);
         self.engine.task_started(Millis(self.now), worker, &task, out);
-        let failed = i < self.load.bad;
-        let true_ms = self.truth[&task.request];
+        let failed = i < self.load.failing_workers;
+        let actual_ms = self.actual_run_ms[&task.request];
         if failed {
-            self.at(self.now + 10, Due::Finish { worker: i, task, failed });
-        } else if true_ms > 0 {
-            self.at(self.now + true_ms, Due::Finish { worker: i, task, failed });
+            self.schedule(self.now + 10, Event::Finish { worker: i, task, failed });
+        } else if actual_ms > 0 {
+            self.schedule(self.now + actual_ms, Event::Finish { worker: i, task, failed });
         }
     }
 
@@ -253,10 +254,10 @@
             return;
         }
         let (whole, free) = self.engine.totals();
-        self.measures.sample(&used(&whole, &free), &whole);
-        let equals: Vec<(&'static str, f64)> = self
+        self.measures.sample(&used_resources(&whole, &free), &whole);
+        let compared_accounts: Vec<(&'static str, f64)> = self
             .load
-            .equals
+            .compared_accounts
             .iter()
             .filter_map(|name| {
                 let found = self.engine.accounts().find(|a| a.id.as_str() == *name)?;
@@ -264,16 +265,16 @@
             })
             .collect();
         // Shares are compared only while every one of them wants more.
-        if equals.len() == self.load.equals.len() {
+        if compared_accounts.len() == self.load.compared_accounts.len() {
             self.share_samples += 1;
-            self.measures.sample_mixed(&used(&whole, &free), &whole);
-            for (name, share) in equals {
+            self.measures.sample_mixed(&used_resources(&whole, &free), &whole);
+            for (name, share) in compared_accounts {
                 *self.shares.entry(name).or_insert(0.0) += share;
             }
         }
     }
 
-    fn finish(mut self) -> Measures {
+    fn into_measures(mut self) -> Measures {
         let s = self.engine.stats();
         let n = self.share_samples.max(1) as f64;
         let means: Vec<f64> = self.shares.values().map(|sum| sum / n).collect();
@@ -285,7 +286,7 @@
         self.measures.placed = s.placed;
         self.measures.preempted = s.preempted;
         self.measures.preempted_ms = s.preempted_ms;
-        self.measures.set_aside = s.quarantined;
+        self.measures.quarantined = s.quarantined;
         self.measures.failed = s.failed;
         self.measures.ended_at = self.now;
         self.measures
--- a/crates/hollowford-engine/tests/loads/fifo_run.rs
+++ b/crates/hollowford-engine/tests/loads/fifo_run.rs
@@ -1,13 +1,13 @@
 //! The baseline: first-fit FIFO over the same work. The oldest task starts on the
 //! first worker with room, gangs start whole, and nothing overtakes.
 
-use super::measure::{Measures, used, whole};
-use super::work::{Job, Load};
+use super::measure::{Measures, total_capacity, used_resources};
+use super::workloads::{Job, Load};
 use hollowford_core::{Kind, Resources};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-const SAMPLE_MS: u64 = 250;
+const SAMPLE_INTERVAL_MS: u64 = 250;
 
 struct Run<'a> {
     load: &'a Load,
@@ -15,7 +15,7 @@
     free: Vec<Resources>,
     queue: VecDeque<(&'a Job, u32)>,
     /// (time, worker, taken)
-    ends: BinaryHeap<Reverse<(u64, usize, Resources)>>,
+    running: BinaryHeap<Reverse<(u64, usize, Resources)>>,
     measures: Measures,
 }
 
@@ -25,21 +25,21 @@
         now: 0,
         free: vec![load.capacity; load.workers],
         queue: VecDeque::new(),
-        ends: BinaryHeap::new(),
+        running: BinaryHeap::new(),
         measures: Measures::default(),
     };
-    run.go();
+    run.run_load();
     run.measures
 }
 
 impl<'a> Run<'a> {
-    fn go(&mut self) {
+    fn run_load(&mut self) {
         let jobs = &self.load.jobs;
         let mut next_job = 0;
         let mut next_sample = 0;
         while next_job < jobs.len() || !self.queue.is_empty() {
             let arrival = jobs.get(next_job).map_or(u64::MAX, |j| j.at);
-            let end = self.ends.peek().map_or(u64::MAX, |Reverse((at, _, _))| *at);
+            let end = self.running.peek().map_or(u64::MAX, |Reverse((at, _, _))| *at);
             self.now = arrival.min(end).min(next_sample);
             while jobs.get(next_job).is_some_and(|j| j.at <= self.now) {
                 let job = &jobs[next_job];
@@ -49,14 +49,14 @@
                 }
                 next_job += 1;
             }
-            while self.ends.peek().is_some_and(|Reverse((at, _, _))| *at <= self.now) {
-                if let Some(Reverse((_, w, taken))) = self.ends.pop() {
+            while self.running.peek().is_some_and(|Reverse((at, _, _))| *at <= self.now) {
+                if let Some(Reverse((_, w, taken))) = self.running.pop() {
                     self.free[w] = self.free[w].plus(&taken);
                 }
             }
-            while self.start_head() {}
+            while self.start_first() {}
             if self.now >= next_sample {
-                next_sample = self.now + SAMPLE_MS;
+                next_sample = self.now + SAMPLE_INTERVAL_MS;
                 self.sample();
             }
             for wave in self.load.waves.iter().filter(|w| w.at <= self.now) {
@@ -69,12 +69,12 @@
         self.measures.ended_at = self.now;
     }
 
-    fn start_head(&mut self) -> bool {
+    fn start_first(&mut self) -> bool {
         let Some(&(job, left)) = self.queue.front() else {
             return false;
         };
-        let together = if job.spec.kind == Kind::Gang { left } else { 1 };
-        let Some(places) = self.places(&job.spec.per_task, together) else {
+        let concurrent_tasks = if job.spec.kind == Kind::Gang { left } else { 1 };
+        let Some(places) = self.places(&job.spec.per_task, concurrent_tasks) else {
             return false;
         };
         if left == job.spec.tasks {
@@ -83,12 +83,12 @@
         for w in places {
             self.free[w] = self.free[w].minus(&job.spec.per_task);
             self.measures.placed += 1;
-            let runs = if w < self.load.bad { 10 } else { job.true_ms };
+            let runs = if w < self.load.failing_workers { 10 } else { job.actual_ms };
             if runs > 0 {
-                self.ends.push(Reverse((self.now + runs, w, job.spec.per_task)));
+                self.running.push(Reverse((self.now + runs, w, job.spec.per_task)));
             }
         }
-        match left - together {
+        match left - concurrent_tasks {
             0 => {
                 self.queue.pop_front();
             }
@@ -113,9 +113,9 @@
         if self.queue.is_empty() {
             return;
         }
-        let whole = whole(&self.load.capacity, self.load.workers);
+        let whole = total_capacity(&self.load.capacity, self.load.workers);
         let mut free = hollowford_core::Totals::default();
         self.free.iter().for_each(|f| free.add(f));
-        self.measures.sample(&used(&whole, &free), &whole);
+        self.measures.sample(&used_resources(&whole, &free), &whole);
     }
 }
--- a/crates/hollowford-engine/tests/loads/main.rs
+++ b/crates/hollowford-engine/tests/loads/main.rs
@@ -9,14 +9,14 @@
 mod engine_run;
 mod fifo_run;
 mod measure;
-mod work;
+mod workloads;
 
 use hollowford_core::Kind;
 use hollowford_engine::Policy;
 use measure::Measures;
-use work::Load;
+use workloads::Load;
 
-fn both(load: &Load, policy: Policy) -> (Measures, Measures) {
+fn run_both(load: &Load, policy: Policy) -> (Measures, Measures) {
     println!("\n{} (seed {})", load.name, load.seed);
     let engine = engine_run::run(load, policy);
     let fifo = fifo_run::run(load);
@@ -27,7 +27,7 @@
 
 #[test]
 fn kivu_event_burst_over_a_nightly_survey() {
-    let (engine, fifo) = both(&work::kivu(), Policy::kivu());
+    let (engine, fifo) = run_both(&workloads::kivu(), Policy::kivu());
     let checks = engine.p99(Kind::Check);
     assert!(checks <= 100, "checks wait {checks} ms");
     assert!(fifo.p99(Kind::Check) >= 20 * checks.max(1), "{}", fifo.p99(Kind::Check));
@@ -40,11 +40,11 @@
 
 #[test]
 fn ortak_sahne_rebuild_wave_with_cancellations_and_confirmations() {
-    let (engine, fifo) = both(&work::ortak_sahne(), Policy::ortak_sahne());
+    let (engine, fifo) = run_both(&workloads::ortak_sahne(), Policy::ortak_sahne());
     let checks = engine.p99(Kind::Check);
     assert!(checks <= 500, "confirmations wait {checks} ms");
     assert!(fifo.p99(Kind::Check) >= 20 * checks.max(1), "{}", fifo.p99(Kind::Check));
-    assert!(engine.packing_mixed() >= 0.95, "{}", engine.packing_mixed());
+    assert!(engine.mixed_packing() >= 0.95, "{}", engine.mixed_packing());
     // At the end only the soloists' tasks are left, and three of them fill 93.75%
     // of an instance, so the whole run can't reach what the mix does.
     assert!(engine.packing() >= 0.945, "{}", engine.packing());
@@ -54,19 +54,19 @@
 }
 
 #[test]
-fn wrong_declarations_with_bad_workers_and_impossible_jobs() {
-    let (engine, _) = both(&work::wrong(), Policy::kivu());
+fn wrong_run_times_with_failing_workers_and_impossible_jobs() {
+    let (engine, _) = run_both(&workloads::wrong_declarations(), Policy::kivu());
     assert!(engine.p99(Kind::Check) <= 1_500, "{}", engine.p99(Kind::Check));
     assert_eq!(engine.unanswered, 0);
-    assert_eq!(engine.refused, work::IMPOSSIBLE);
+    assert_eq!(engine.refused, workloads::IMPOSSIBLE_JOBS);
     assert!(engine.packing() >= 0.95, "{}", engine.packing());
     let gangs = engine.max(Kind::Gang);
     assert!(gangs <= 70_000, "gangs wait {gangs} ms at most");
 }
 
 #[test]
-fn one_zone_at_the_size_of_two_years_from_now() {
-    let (engine, _) = both(&work::zone(), Policy::default());
+fn one_large_zone_with_a_burst() {
+    let (engine, _) = run_both(&workloads::large_zone(), Policy::default());
     let urgent = engine.max(Kind::Check);
     assert!(urgent <= 1_000, "urgent work waits {urgent} ms at most");
     assert_eq!(engine.unanswered, 0);
--- a/crates/hollowford-engine/tests/loads/measure.rs
+++ b/crates/hollowford-engine/tests/loads/measure.rs
@@ -4,18 +4,18 @@
 use hollowford_core::{Kind, Resources, Totals};
 use std::collections::BTreeMap;
 
-const LONGEST_MS: u64 = 3_600_000;
+const MAX_WAIT_MS: u64 = 3_600_000;
 
 /// Exact figures of one run.
 #[derive(Debug, Default)]
 pub struct Measures {
     waits: BTreeMap<Kind, Option<Histogram<u64>>>,
     /// Sum over samples of the dominant resource's part in use while work queued.
-    packed: f64,
+    packing_sum: f64,
     samples: u64,
     /// The same, while every one of the compared accounts has work queued.
-    packed_mixed: f64,
-    samples_mixed: u64,
+    mixed_packing_sum: f64,
+    mixed_samples: u64,
     /// Largest difference of equal accounts' mean shares, as a part of the cell.
     pub share_error: f64,
     pub unanswered: usize,
@@ -23,7 +23,7 @@
     pub placed: u64,
     pub preempted: u64,
     pub preempted_ms: u64,
-    pub set_aside: u64,
+    pub quarantined: u64,
     pub failed: u64,
     pub ended_at: u64,
 }
@@ -31,49 +31,49 @@
 impl Measures {
     pub fn waited(&mut self, kind: Kind, ms: u64) {
         let h = self.waits.entry(kind).or_default();
-        let h = h.get_or_insert_with(|| Histogram::new_with_bounds(1, LONGEST_MS, 3).unwrap());
+        let h = h.get_or_insert_with(|| Histogram::new_with_bounds(1, MAX_WAIT_MS, 3).unwrap());
         h.record(ms).unwrap();
     }
 
     pub fn sample(&mut self, used: &Totals, whole: &Totals) {
-        self.packed += used.dominant_share(whole);
+        self.packing_sum += used.dominant_share(whole);
         self.samples += 1;
     }
 
     pub fn sample_mixed(&mut self, used: &Totals, whole: &Totals) {
-        self.packed_mixed += used.dominant_share(whole);
-        self.samples_mixed += 1;
+        self.mixed_packing_sum += used.dominant_share(whole);
+        self.mixed_samples += 1;
     }
 
     /// Packing while all kinds of work queue, not only the last of one kind.
-    pub fn packing_mixed(&self) -> f64 {
-        match self.samples_mixed {
+    pub fn mixed_packing(&self) -> f64 {
+        match self.mixed_samples {
             0 => 0.0,
-            n => self.packed_mixed / n as f64,
+            n => self.mixed_packing_sum / n as f64,
         }
     }
 
     pub fn packing(&self) -> f64 {
-        if self.samples == 0 { 0.0 } else { self.packed / self.samples as f64 }
+        if self.samples == 0 { 0.0 } else { self.packing_sum / self.samples as f64 }
     }
 
-    fn of(&self, kind: Kind, f: impl Fn(&Histogram<u64>) -> u64) -> u64 {
+    fn wait_stat(&self, kind: Kind, f: impl Fn(&Histogram<u64>) -> u64) -> u64 {
         self.waits.get(&kind).and_then(Option::as_ref).map_or(0, f)
     }
 
     pub fn p99(&self, kind: Kind) -> u64 {
-        self.of(kind, |h| h.value_at_quantile(0.99))
+        self.wait_stat(kind, |h| h.value_at_quantile(0.99))
     }
 
     pub fn max(&self, kind: Kind) -> u64 {
-        self.of(kind, Histogram::max)
+        self.wait_stat(kind, Histogram::max)
     }
 
     pub fn print(&self, name: &str) {
         println!(
             "  {name}: packing {:.1}% while work queued, {:.1}% while a mix did",
             self.packing() * 100.0,
-            self.packing_mixed() * 100.0
+            self.mixed_packing() * 100.0
         );
         for (kind, h) in &self.waits {
             let Some(h) = h else {
@@ -94,7 +94,7 @@
             self.placed,
             self.preempted,
             self.preempted_ms,
-            self.set_aside,
+            self.quarantined,
             self.failed,
             self.refused,
             self.share_error,
@@ -105,7 +105,7 @@
 }
 
 /// Sums what is in use.
-pub fn used(whole: &Totals, free: &Totals) -> Totals {
+pub fn used_resources(whole: &Totals, free: &Totals) -> Totals {
     Totals {
         cpu_milli: whole.cpu_milli - free.cpu_milli,
         memory_mib: whole.memory_mib - free.memory_mib,
@@ -114,7 +114,7 @@
 }
 
 /// Sums a capacity over so many workers.
-pub fn whole(capacity: &Resources, workers: usize) -> Totals {
+pub fn total_capacity(capacity: &Resources, workers: usize) -> Totals {
     let mut t = Totals::default();
     (0..workers).for_each(|_| t.add(capacity));
     t
--- a/crates/hollowford-engine/tests/loads/work.rs
+++ b/crates/hollowford-engine/tests/loads/workloads.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 /// Jobs in the load of wrong declarations that fit nowhere.
-pub const IMPOSSIBLE: usize = 20;
+pub const IMPOSSIBLE_JOBS: usize = 20;
 
 /// One request.
 #[derive(Clone, Debug)]
@@ -14,12 +14,12 @@
     pub id: String,
     pub spec: Spec,
     /// How long a task really runs.
-    pub true_ms: u64,
+    pub actual_ms: u64,
 }
 
 /// A wave of cancellations.
 #[derive(Clone, Debug)]
-pub struct Wave {
+pub struct CancelWave {
     pub at: u64,
     pub account: &'static str,
     pub label: &'static str,
@@ -34,11 +34,11 @@
     pub per_rack: usize,
     pub capacity: Resources,
     /// So many of the workers fail all that they start.
-    pub bad: usize,
+    pub failing_workers: usize,
     pub jobs: Vec<Job>,
-    pub waves: Vec<Wave>,
+    pub waves: Vec<CancelWave>,
     /// Accounts whose shares are compared while they all wait.
-    pub equals: Vec<&'static str>,
+    pub compared_accounts: Vec<&'static str>,
 }
 
 impl Load {
@@ -49,17 +49,17 @@
             workers,
             per_rack,
             capacity: Resources::new(16_000, 65_536, 0),
-            bad: 0,
+            failing_workers: 0,
             jobs: Vec::new(),
             waves: Vec::new(),
-            equals: Vec::new(),
+            compared_accounts: Vec::new(),
         }
     }
 
     fn add(&mut self, at: u64, account: &'static str, spec: Spec) -> &mut Job {
-        let true_ms = spec.run_time_ms;
+        let actual_ms = spec.run_time_ms;
         let id = format!("{}-{}", spec.kind.name(), self.jobs.len());
-        self.jobs.push(Job { at, account, id, spec, true_ms });
+        self.jobs.push(Job { at, account, id, spec, actual_ms });
         self.jobs.last_mut().unwrap()
     }
 
@@ -114,9 +114,9 @@
 pub fn ortak_sahne() -> Load {
     let mut load = Load::new("Ortak Sahne: rebuild wave, cancellations, confirmations", 12, 50, 8);
     let mut rng = fastrand::Rng::with_seed(load.seed);
-    load.equals = vec!["choirs", "bands", "soloists"];
+    load.compared_accounts = vec!["choirs", "bands", "soloists"];
     for i in 0..150 {
-        let account = load.equals[i % 3];
+        let account = load.compared_accounts[i % 3];
         // Each agency's work has a size of its own.
         let (cpu, memory) = [(1_500, 2_000), (2_500, 15_000), (5_000, 9_000)][i % 3];
         let mut job = spec(Kind::Batch, 120, cpu, memory, rng.u64(3_000..12_000));
@@ -126,15 +126,15 @@
         load.add(rng.u64(0..5_000), account, job);
     }
     for label_account in ["choirs", "bands", "soloists"] {
-        load.waves.push(Wave { at: 40_000, account: label_account, label: "withdrawn" });
+        load.waves.push(CancelWave { at: 40_000, account: label_account, label: "withdrawn" });
     }
     for i in 0..40 {
-        let account = load.equals[i % 3];
+        let account = load.compared_accounts[i % 3];
         let job = spec(Kind::Batch, 100, 1_000, 4_000, rng.u64(1_000..4_000));
         load.add(41_000 + rng.u64(0..1_000), account, job);
     }
     for i in 0..3_000 {
-        let account = load.equals[rng.usize(0..3)];
+        let account = load.compared_accounts[rng.usize(0..3)];
         let mut job = spec(Kind::Check, 1, 500, 256, rng.u64(20..100));
         job.repeatable = false;
         load.add(2_000 + i * 30, account, job);
@@ -144,25 +144,25 @@
 
 /// True run times are 0.2 to 5 times the declared ones, one worker in twenty fails
 /// everything, and some jobs fit nowhere.
-pub fn wrong() -> Load {
+pub fn wrong_declarations() -> Load {
     let mut load = Load::new("wrong declarations, bad workers, impossible jobs", 13, 60, 6);
     let mut rng = fastrand::Rng::with_seed(load.seed);
-    load.bad = 3;
+    load.failing_workers = 3;
     for i in 0..150 {
         let account = ["one", "two", "three", "four"][i % 4];
         let cpu = [1_000, 2_000, 4_000][rng.usize(0..3)];
         let declared = rng.u64(2_000..10_000);
         let job = spec(Kind::Batch, 60, cpu, cpu * 3, declared);
         let factor = 0.2 * 25_f64.powf(rng.f64());
-        load.add(rng.u64(0..20_000), account, job).true_ms = (declared as f64 * factor) as u64;
+        load.add(rng.u64(0..20_000), account, job).actual_ms = (declared as f64 * factor) as u64;
     }
-    for i in 0..IMPOSSIBLE {
+    for i in 0..IMPOSSIBLE_JOBS {
         let job = spec(Kind::Batch, 5, 20_000 + i as u32, 1_000, 1_000);
         load.add(rng.u64(0..40_000), "four", job);
     }
     for i in 0..8 {
         let job = spec(Kind::Gang, 16, 4_000, 12_000, 4_000);
-        load.add(10_000 + i * 2_000, "two", job).true_ms = 8_000;
+        load.add(10_000 + i * 2_000, "two", job).actual_ms = 8_000;
     }
     for i in 0..2_000 {
         load.add(1_000 + i * 25, "one", spec(Kind::Check, 1, 500, 256, 80));
@@ -172,7 +172,7 @@
 
 /// 700 workers with some 20,000 tasks running, 500 starts a second, ten times that
 /// for two seconds.
-pub fn zone() -> Load {
+pub fn large_zone() -> Load {
     let mut load = Load::new("one zone: 700 workers, 500 starts/s, ten-times burst", 14, 700, 20);
     let mut rng = fastrand::Rng::with_seed(load.seed);
     let accounts = ["one", "two", "three", "four", "five", "six", "seven", "eight"];
--- a/crates/hollowford-engine/tests/orders.rs
+++ b/crates/hollowford-engine/tests/random_events.rs
@@ -6,7 +6,7 @@
 
 mod common;
 
-use common::{World, policy, spec};
+use common::{Simulation, policy, spec};
 use hollowford_core::Kind;
 use hollowford_engine::Authority;
 use proptest::prelude::*;
@@ -28,35 +28,35 @@
         within: u64,
     },
     Cancel(usize),
-    Pass(u64),
+    RunFor(u64),
     Step,
     /// The newest owner loses its link to a worker.
-    Cut(usize),
+    Disconnect(usize),
     /// Orders reach a worker, out of step with the others.
     Deliver(usize),
     Freeze(usize),
-    Thaw(usize),
+    Unfreeze(usize),
     Unreachable(usize),
     Reachable(usize),
     Restart(usize),
     Leave(usize),
     Unlist(usize),
-    Stall(bool),
+    StallLedger(bool),
     /// Every member promises not to take over for so long.
-    Promise(u64),
+    PromiseNoTakeover(u64),
     /// A caller repeats a request.
-    Repeat(usize),
+    Resubmit(usize),
     /// A new owner takes over; the old one goes on for as long as it can.
     Takeover,
     /// A new owner takes over while the old one is paused.
     TakeoverPaused,
     /// A paused owner wakes in the middle of a decision.
-    WakeOld,
+    ResumeOldOwners,
     /// Earlier owners try to claim a worker back.
-    OldClaims(usize),
+    ClaimByOldOwners(usize),
     /// The owner's lease lapses, and it may only renew.
-    Lapse,
-    Write,
+    LapseOwnerLease,
+    WriteLedger,
 }
 
 fn op() -> impl Strategy<Value = Op> {
@@ -69,46 +69,46 @@
         ),
         2 => (0..20usize).prop_map(Op::Cancel),
         6 => Just(Op::Step),
-        3 => (1..60u64).prop_map(|n| Op::Pass(n * 50)),
-        1 => (60..600u64).prop_map(|n| Op::Pass(n * 50)),
-        2 => worker.clone().prop_map(Op::Cut),
+        3 => (1..60u64).prop_map(|n| Op::RunFor(n * 50)),
+        1 => (60..600u64).prop_map(|n| Op::RunFor(n * 50)),
+        2 => worker.clone().prop_map(Op::Disconnect),
         2 => worker.clone().prop_map(Op::Deliver),
         1 => worker.clone().prop_map(Op::Freeze),
-        2 => worker.clone().prop_map(Op::Thaw),
+        2 => worker.clone().prop_map(Op::Unfreeze),
         1 => worker.clone().prop_map(Op::Unreachable),
         2 => worker.clone().prop_map(Op::Reachable),
         1 => worker.clone().prop_map(Op::Restart),
         1 => worker.clone().prop_map(Op::Leave),
         1 => worker.clone().prop_map(Op::Unlist),
-        1 => worker.prop_map(Op::OldClaims),
-        2 => any::<bool>().prop_map(Op::Stall),
-        3 => (10..100u64).prop_map(|n| Op::Promise(n * 50)),
-        2 => (0..20usize).prop_map(Op::Repeat),
+        1 => worker.prop_map(Op::ClaimByOldOwners),
+        2 => any::<bool>().prop_map(Op::StallLedger),
+        3 => (10..100u64).prop_map(|n| Op::PromiseNoTakeover(n * 50)),
+        2 => (0..20usize).prop_map(Op::Resubmit),
         1 => Just(Op::Takeover),
         1 => Just(Op::TakeoverPaused),
-        2 => Just(Op::WakeOld),
-        1 => Just(Op::Lapse),
-        3 => Just(Op::Write),
+        2 => Just(Op::ResumeOldOwners),
+        1 => Just(Op::LapseOwnerLease),
+        3 => Just(Op::WriteLedger),
     ]
 }
 
 struct Run {
-    world: World,
+    sim: Simulation,
     submitted: usize,
 }
 
 impl Run {
     fn new() -> Run {
-        Run { world: World::new(policy(), WORKERS), submitted: 0 }
+        Run { sim: Simulation::new(policy(), WORKERS), submitted: 0 }
     }
 
     fn newest(&self) -> usize {
-        self.world.owners.len() - 1
+        self.sim.owners.len() - 1
     }
 
     fn apply(&mut self, op: &Op) {
         let newest = self.newest();
-        let world = &mut self.world;
+        let sim = &mut self.sim;
         match op {
             Op::Submit { kind, tasks, cpu, run, repeatable, within } => {
                 let kind = Kind::ALL[*kind as usize];
@@ -117,114 +117,114 @@
                 s.run_time_ms = if kind == Kind::Service { 0 } else { *run };
                 s.start_within_ms = *within;
                 // A refusal is an answer.
-                let _ = world.submit(&format!("r{}", self.submitted), &s);
+                let _ = sim.submit(&format!("r{}", self.submitted), &s);
                 self.submitted += 1;
             }
-            Op::Cancel(i) => world.cancel(&format!("r{i}")),
-            Op::Pass(ms) => world.run(*ms),
-            Op::Step => world.step(),
-            Op::Cut(i) => {
-                let id = world.worker_id(*i);
-                world.cut(newest, &id);
+            Op::Cancel(i) => sim.cancel(&format!("r{i}")),
+            Op::RunFor(ms) => sim.run(*ms),
+            Op::Step => sim.step(),
+            Op::Disconnect(i) => {
+                let id = sim.worker_id(*i);
+                sim.disconnect(newest, &id);
             }
             Op::Deliver(i) => {
-                let id = world.worker_id(*i);
-                world.decide(newest);
-                world.deliver(newest, &id);
+                let id = sim.worker_id(*i);
+                sim.decide(newest);
+                sim.deliver(newest, &id);
             }
             Op::Freeze(i) => self.with_worker(*i, |w| w.frozen = true),
-            Op::Thaw(i) => self.with_worker(*i, |w| w.frozen = false),
+            Op::Unfreeze(i) => self.with_worker(*i, |w| w.frozen = false),
             Op::Unreachable(i) => self.with_worker(*i, |w| w.unreachable = true),
             Op::Reachable(i) => self.with_worker(*i, |w| w.unreachable = false),
             Op::Restart(i) => {
-                let id = world.worker_id(*i);
-                let worker = world.workers.get_mut(&id).unwrap();
-                worker.restart(&mut world.judge);
+                let id = sim.worker_id(*i);
+                let worker = sim.workers.get_mut(&id).unwrap();
+                worker.restart(&mut sim.checker);
             }
             Op::Leave(i) => self.with_worker(*i, |w| w.leaving = true),
             Op::Unlist(i) => self.with_worker(*i, |w| w.unlisted = !w.unlisted),
-            Op::Stall(on) => world.stalled = *on,
-            Op::Promise(ms) => world.promise(*ms),
-            Op::Repeat(i) => {
+            Op::StallLedger(on) => sim.stalled = *on,
+            Op::PromiseNoTakeover(ms) => sim.promise_no_takeover(*ms),
+            Op::Resubmit(i) => {
                 let id = format!("r{i}");
-                if let Some(spec) = world.judge.spec_of(&common::key(&id)) {
+                if let Some(spec) = sim.checker.spec_of(&common::key(&id)) {
                     // A refusal is an answer.
-                    let _ = world.submit(&id, &spec);
+                    let _ = sim.submit(&id, &spec);
                 }
             }
             // Members keep their promises.
-            Op::Takeover | Op::TakeoverPaused if world.now < world.no_takeover_until => {}
-            Op::Takeover => world.takeover(),
+            Op::Takeover | Op::TakeoverPaused if sim.now < sim.no_takeover_until => {}
+            Op::Takeover => sim.takeover(),
             Op::TakeoverPaused => {
-                world.owners[newest].paused = true;
-                world.takeover();
+                sim.owners[newest].paused = true;
+                sim.takeover();
             }
-            Op::WakeOld => {
+            Op::ResumeOldOwners => {
                 for i in 0..newest {
                     // One that was paused right after it had read its lease goes on
                     // by it, once.
-                    match std::mem::take(&mut world.owners[i].paused) {
-                        true => world.decide_as(i, Authority::Full),
-                        false => world.decide(i),
+                    match std::mem::take(&mut sim.owners[i].paused) {
+                        true => sim.decide_as(i, Authority::Full),
+                        false => sim.decide(i),
                     }
                     for n in 0..WORKERS {
-                        let id = world.worker_id(n);
-                        world.deliver(i, &id);
+                        let id = sim.worker_id(n);
+                        sim.deliver(i, &id);
                     }
                 }
             }
-            Op::OldClaims(n) => {
-                let id = world.worker_id(*n);
+            Op::ClaimByOldOwners(n) => {
+                let id = sim.worker_id(*n);
                 for i in 0..newest {
-                    world.cut(i, &id);
-                    world.claim(i, &id);
+                    sim.disconnect(i, &id);
+                    sim.claim(i, &id);
                 }
             }
-            Op::Lapse => world.owners[newest].authority = Authority::RenewOnly,
-            Op::Write => {
-                world.decide(newest);
-                world.write_ledger(newest);
-                world.decide(newest);
+            Op::LapseOwnerLease => sim.owners[newest].authority = Authority::RenewOnly,
+            Op::WriteLedger => {
+                sim.decide(newest);
+                sim.write_ledger(newest);
+                sim.decide(newest);
             }
         }
-        self.world.check();
+        self.sim.check();
     }
 
     fn with_worker(&mut self, i: usize, f: impl FnOnce(&mut common::worker::FakeWorker)) {
-        let id = self.world.worker_id(i);
-        f(self.world.workers.get_mut(&id).unwrap());
+        let id = self.sim.worker_id(i);
+        f(self.sim.workers.get_mut(&id).unwrap());
     }
 
     /// Mends everything. Then every request must get its answer.
-    fn heal(&mut self) {
-        self.world.stalled = false;
-        self.world.now = self.world.now.max(self.world.no_takeover_until);
-        for w in self.world.workers.values_mut() {
+    fn repair_and_finish(&mut self) {
+        self.sim.stalled = false;
+        self.sim.now = self.sim.now.max(self.sim.no_takeover_until);
+        for w in self.sim.workers.values_mut() {
             w.frozen = false;
             w.unreachable = false;
             w.unlisted = false;
             w.leaving = false;
         }
-        self.world.takeover();
+        self.sim.takeover();
         for i in 0..self.submitted {
             let id = format!("r{i}");
-            let service = self.world.running(&id) > 0 && self.world.answer(&id).is_none();
+            let service = self.sim.running(&id) > 0 && self.sim.answer(&id).is_none();
             if service {
-                self.world.cancel(&id);
+                self.sim.cancel(&id);
             }
         }
-        self.world.run(90_000);
+        self.sim.run(90_000);
         for i in 0..self.submitted {
-            self.world.cancel(&format!("r{i}"));
+            self.sim.cancel(&format!("r{i}"));
         }
-        self.world.run(5_000);
-        let (_, open) = self.world.engine().requests();
+        self.sim.run(5_000);
+        let (_, open) = self.sim.engine().requests();
         assert_eq!(open, 0, "requests without an answer");
     }
 }
 
 #[test]
-fn what_must_hold_holds_under_any_order_of_events() {
+fn invariants_hold_under_random_events() {
     let config = Config { cases: CASES, failure_persistence: None, ..Config::default() };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     println!("{CASES} cases, proptest's deterministic ChaCha seed");
@@ -235,7 +235,7 @@
         for op in &ops {
             run.apply(op);
         }
-        run.heal();
+        run.repair_and_finish();
         Ok(())
     });
     if let Err(e) = result {
