--- a/crates/hollowford-engine/benches/decisions.rs
+++ b/crates/hollowford-engine/benches/decisions.rs
@@ -1,8 +1,9 @@
-//! Time per decision over workers and queue length, beside first-fit FIFO.
+//! Time for each placement by number of workers and queue length, compared with a first-fit
+//! FIFO scheduler.
 //!
-//! A decision here is everything that one placement costs the engine in a full
-//! cell: a task's end, the pass that fills its room, the intent made durable, the
-//! start sent, and the report that it runs. `cargo bench -p hollowford-engine`.
+//! Measures everything that one placement costs the engine in a full cell: the end of a task,
+//! the pass that fills its room, the durable intent, the start, and the report that the task
+//! runs. Run with `cargo bench -p hollowford-engine --bench decisions`.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -16,17 +17,18 @@
 use std::time::Instant;
 
 const ACCOUNTS: usize = 20;
-const DECISIONS: usize = 20_000;
-const CAPACITY: Resources = Resources { cpu_milli: 16_000, memory_mib: 65_536, accelerators: 0 };
-/// Tasks of 500 to 1,000 mcpu, as at the letter's size: some 29 on a worker.
-const CPUS: [u32; 3] = [500, 500, 1_000];
-const TASKS: u32 = 10;
+const MEASURED_PLACEMENTS: usize = 20_000;
+const WORKER_CAPACITY: Resources =
+    Resources { cpu_milli: 16_000, memory_mib: 65_536, accelerators: 0 };
+/// CPU of the tasks in thousandths of a core. About 29 tasks fit on a worker.
+const TASK_CPU_MILLI: [u32; 3] = [500, 500, 1_000];
+const TASKS_PER_REQUEST: u32 = 10;
 
 fn spec(i: usize) -> Spec {
-    let cpu = CPUS[i % CPUS.len()];
+    let cpu = TASK_CPU_MILLI[i % TASK_CPU_MILLI.len()];
     Spec {
         kind: Kind::Batch,
-        tasks: TASKS,
+        tasks: TASKS_PER_REQUEST,
         per_task: Resources::new(cpu, cpu * 3, 0),
         run_time_ms: 5_000,
         repeatable: true,
@@ -71,7 +73,7 @@
             let claim = ClaimReport {
                 incarnation: 1,
                 clock: 1,
-                capacity: CAPACITY,
+                capacity: WORKER_CAPACITY,
                 leaving: false,
                 running: Vec::new(),
                 ended: Vec::new(),
@@ -128,7 +130,7 @@
         }
     }
 
-    /// One task ends and the room is filled again.
+    /// Ends one task and fills the free room again.
     fn replace_one_task(&mut self) {
         let (worker, task) = self.running.pop_front().unwrap();
         let report = EndReport { task, end: TaskEnd::Done(TaskResult::default()), ran: Millis(1) };
@@ -140,12 +142,12 @@
     }
 }
 
-/// First-fit FIFO over the same turns, in nanoseconds a turn.
+/// Returns the time in nanoseconds that a first-fit FIFO scheduler takes to replace one task.
 fn fifo(workers: usize) -> f64 {
     let mut free = vec![Resources::default(); workers];
     let mut running: VecDeque<(usize, Resources)> = VecDeque::new();
     for (w, left) in free.iter_mut().enumerate() {
-        let mut room = CAPACITY;
+        let mut room = WORKER_CAPACITY;
         for i in 0.. {
             let r = spec(i).per_task;
             if !r.fits(&room) {
@@ -157,7 +159,7 @@
         *left = room;
     }
     let started = Instant::now();
-    for i in 0..DECISIONS {
+    for i in 0..MEASURED_PLACEMENTS {
         let (w, r) = running.pop_front().unwrap();
         free[w] = free[w].plus(&r);
         let need = spec(i).per_task;
@@ -166,12 +168,12 @@
             running.push_back((w, need));
         }
     }
-    started.elapsed().as_nanos() as f64 / DECISIONS as f64
+    started.elapsed().as_nanos() as f64 / MEASURED_PLACEMENTS as f64
 }
 
 fn run(workers: usize, queued: usize) {
     let mut bench = Bench::new(workers);
-    let fill = workers * 32 / TASKS as usize;
+    let fill = workers * 32 / TASKS_PER_REQUEST as usize;
     for _ in 0..fill {
         bench.submit();
     }
@@ -184,9 +186,9 @@
     let mut h = Histogram::<u64>::new_with_bounds(1, 1_000_000_000, 3).unwrap();
     let placed = bench.engine.stats().placed;
     let started = Instant::now();
-    for i in 0..DECISIONS {
-        // The queue stays as long as it is.
-        if i % TASKS as usize == 0 {
+    for i in 0..MEASURED_PLACEMENTS {
+        // Keep the length of the queue constant.
+        if i % TASKS_PER_REQUEST as usize == 0 {
             bench.submit();
         }
         let t = Instant::now();
--- a/crates/hollowford-engine/benches/memory.rs
+++ b/crates/hollowford-engine/benches/memory.rs
@@ -1,5 +1,5 @@
-//! Memory of one partition's engine over running tasks, queued tasks, workers and
-//! kept answers: resident bytes, each size in an engine of its own.
+//! Resident memory of one engine by number of running tasks, queued requests, workers and
+//! kept answers. Each measurement uses a new engine.
 //!
 //! `cargo bench -p hollowford-engine --bench memory`
 
@@ -70,7 +70,7 @@
     }
 }
 
-/// Starts all that fits and returns what runs.
+/// Starts all tasks that fit. Returns the running tasks.
 fn start_all(e: &mut Engine) -> Vec<(InstanceId, TaskId)> {
     let mut running = Vec::new();
     loop {
@@ -105,7 +105,7 @@
     let e = make();
     let bytes = resident_bytes().saturating_sub(before);
     println!("{what:<44} {size:>8} {:>9} {:>8}", bytes / 1_024, bytes / size);
-    // Kept alive and never given back, so that no measure reuses another's memory.
+    // Leaked on purpose, so that no measurement reuses the memory of another one.
     std::mem::forget(e);
 }
 
--- a/crates/hollowford-engine/tests/allocations.rs
+++ b/crates/hollowford-engine/tests/allocations.rs
@@ -1,4 +1,4 @@
-//! Memory allocations of one decision: exact, so that they can be bounded.
+//! Bounds the number of memory allocations of a placement. The count is exact.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -8,11 +8,11 @@
 use hollowford_core::Kind;
 use hollowford_engine::{Action, Authority};
 
-/// Most allocations of one placement in a pass that places many.
+/// Maximum allocations for each placement in a pass that places many tasks.
 const MAX_ALLOCATIONS_PER_PLACEMENT: u64 = 1;
 
 #[test]
-fn a_placement_allocates_little() {
+fn a_placement_makes_few_allocations() {
     let mut sim = Simulation::new(policy(), 50);
     for i in 0..20 {
         sim.submit(&format!("b-{i}"), &spec(Kind::Batch, 10, 1_000, 1_000)).unwrap();
--- a/crates/hollowford-engine/tests/common/invariants.rs
+++ b/crates/hollowford-engine/tests/common/invariants.rs
@@ -1,4 +1,4 @@
-//! Sees what really runs, and what callers were told.
+//! Checks invariants: compares what runs on the workers with the answers to callers.
 
 use super::worker::FakeWorker;
 use hollowford_core::prelude::*;
@@ -7,14 +7,18 @@
 
 #[derive(Default)]
 pub struct InvariantChecker {
-    /// Starts of each task over all attempts.
+    /// Number of starts of each task over all attempts.
     starts: BTreeMap<(RequestNo, u32), u32>,
     done: BTreeSet<(RequestNo, u32)>,
-    /// What each request number stands for.
+    /// Specifications by request number.
     specs: BTreeMap<RequestNo, Spec>,
+    /// Specifications by request key.
     submitted_specs: BTreeMap<RequestKey, Spec>,
+    /// Durable final answers.
     answers: BTreeMap<RequestKey, FinalAnswer>,
+    /// All numbers that a key has had.
     numbers: BTreeMap<RequestKey, BTreeSet<RequestNo>>,
+    /// Starts sent to a worker that the owner knew to be leaving.
     starts_while_leaving: u32,
 }
 
@@ -40,12 +44,12 @@
 
     pub fn answered(&mut self, key: &RequestKey, answer: &FinalAnswer) {
         if let Some(before) = self.answers.get(key) {
-            assert_eq!(before, answer, "{key}: the answer has changed");
+            assert_eq!(before, answer, "{key}: the final answer changed");
         }
         self.answers.insert(key.clone(), answer.clone());
     }
 
-    /// What was asked by a key.
+    /// Returns the specification that was submitted with a key.
     pub fn spec_of(&self, key: &RequestKey) -> Option<Spec> {
         self.submitted_specs.get(key).cloned()
     }
@@ -58,12 +62,12 @@
         self.starts.iter().filter(|((r, _), _)| *r == no).map(|(_, n)| n).sum()
     }
 
-    /// Notes which number a key has, for the check of "not run".
+    /// Records a number of a key. A repeated request may have another one after a takeover.
     pub fn record_number(&mut self, key: &RequestKey, no: RequestNo) {
         self.numbers.entry(key.clone()).or_default().insert(no);
     }
 
-    /// Checks what must always hold.
+    /// Checks all invariants.
     pub fn check(&self, workers: &BTreeMap<InstanceId, FakeWorker>, now: Millis) {
         self.check_capacity(workers);
         self.check_no_duplicate_runs(workers, now);
@@ -72,7 +76,10 @@
             assert!(repeatable || *n == 1, "{no:?}/{index} was started {n} times");
         }
         self.check_answers();
-        assert_eq!(self.starts_while_leaving, 0, "a start was sent to a worker known to leave");
+        assert_eq!(
+            self.starts_while_leaving, 0,
+            "a start was sent to a worker known to be leaving"
+        );
     }
 
     fn check_capacity(&self, workers: &BTreeMap<InstanceId, FakeWorker>) {
@@ -83,7 +90,7 @@
         }
     }
 
-    /// A request that a caller repeats after a takeover may have another number.
+    /// Returns the key of a request number.
     fn key_of(&self, no: RequestNo) -> Option<&RequestKey> {
         self.numbers.iter().find(|(_, numbers)| numbers.contains(&no)).map(|(key, _)| key)
     }
@@ -91,11 +98,11 @@
     fn check_no_duplicate_runs(&self, workers: &BTreeMap<InstanceId, FakeWorker>, now: Millis) {
         let mut places: BTreeMap<(Option<&RequestKey>, u32), &InstanceId> = BTreeMap::new();
         for (id, w) in workers {
-            // What has lapsed on a frozen worker does not run.
+            // A task with a lapsed lease on a frozen worker is not running.
             let live = w.running.iter().filter(|(_, r)| r.lease_until > w.clock(now));
             for (task, _) in live {
                 let before = places.insert((self.key_of(task.request), task.index), id);
-                assert_eq!(before, None, "{task:?} runs on {id} and elsewhere");
+                assert_eq!(before, None, "{task:?} runs on {id} and on another worker");
             }
         }
     }
@@ -107,10 +114,13 @@
             let starts: u32 = numbers.iter().map(|no| self.starts_of(*no)).sum();
             let not_run = answer.outcome == Outcome::NotRun
                 || (answer.outcome == Outcome::Cancelled && !answer.had_begun);
-            assert!(!not_run || starts == 0, "{key} was told not run, and ran: {answer:?}");
+            assert!(
+                !not_run || starts == 0,
+                "{key} was answered as not run, but has run: {answer:?}"
+            );
             if answer.outcome == Outcome::Done {
                 let done = |no: &RequestNo| (0..spec.tasks).all(|i| self.done.contains(&(*no, i)));
-                assert!(numbers.iter().any(done), "{key} was told done, and is not");
+                assert!(numbers.iter().any(done), "{key} was answered as done, but is not done");
             }
         }
     }
--- a/crates/hollowford-engine/tests/common/mod.rs
+++ b/crates/hollowford-engine/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A small world around engines: a ledger, workers with clocks of their own, and a
-//! judge that sees what really runs. Time is virtual, and nothing is random here.
+//! A deterministic simulation around engines with virtual time: a ledger, workers with their
+//! own clocks, and a checker that observes the workers and verifies invariants.
 
 #![allow(dead_code, clippy::unwrap_used, clippy::expect_used)]
 
@@ -13,38 +13,40 @@
 use std::collections::{BTreeMap, VecDeque};
 use worker::{FakeWorker, Order};
 
-/// How far each step of time goes.
+/// Virtual time of one step.
 const STEP: Millis = Millis(50);
 
-/// An owner, or one that still believes that it is.
+/// The owner of the partition, or an earlier one that does not know that it was replaced.
 pub struct Owner {
     pub engine: Engine,
     pub epoch: Epoch,
     /// Records that are not durable yet.
     pub pending: VecDeque<(u64, Record)>,
     pub deposed: bool,
-    /// Paused: it does nothing until it is resumed.
+    /// Whether the process is paused and does nothing.
     pub paused: bool,
-    /// Orders on their way, by worker and session.
+    /// Orders in transit, by worker.
     pub orders: BTreeMap<InstanceId, VecDeque<Order>>,
-    /// Session that stands with each worker.
+    /// Open sessions by worker.
     pub sessions: BTreeMap<InstanceId, u64>,
-    /// What its lease lets it do, while no one has taken over.
+    /// Authority as long as no other owner has taken over.
     pub authority: Authority,
-    /// When its lease lapsed, at the latest: another has taken over.
+    /// When another owner took over, so that its lease had lapsed by then.
     pub lapsed_at: Option<Millis>,
 }
 
-/// Everything outside the engines.
+/// The simulated cell: owners with their engines, the ledger and the workers.
 pub struct Simulation {
     pub now: Millis,
     pub policy: Policy,
     pub owners: Vec<Owner>,
-    /// The ledger: the epoch in force and what is durable.
+    /// Current epoch of the ledger.
     pub epoch: Epoch,
+    /// Durable records.
     pub ledger: Vec<Record>,
+    /// Whether the ledger can't be written.
     pub stalled: bool,
-    /// Until when no one takes over.
+    /// Until when every member has promised not to take over.
     pub no_takeover_until: Millis,
     pub workers: BTreeMap<InstanceId, FakeWorker>,
     pub checker: InvariantChecker,
@@ -75,7 +77,7 @@
 }
 
 impl Simulation {
-    /// Makes a world with so many workers of 4 cores, two to a rack, and one owner.
+    /// Creates a cell with one owner and `workers` workers of 4 cores, two in each rack.
     pub fn new(policy: Policy, workers: usize) -> Simulation {
         let mut sim = Simulation {
             now: Millis(1_000),
@@ -121,7 +123,7 @@
             .collect()
     }
 
-    /// A new owner takes over, at the next epoch, from what is durable.
+    /// Lets a new owner take over at the next epoch, with the durable records.
     pub fn takeover(&mut self) {
         self.epoch = Epoch(self.epoch.0 + 1);
         let mut engine = Engine::new(PartitionId(0), self.epoch, self.policy.clone());
@@ -150,14 +152,14 @@
         self.execute(last, out);
     }
 
-    /// Every member promises the newest owner not to take over for so long.
+    /// Lets every member promise the newest owner not to take over for `ms` milliseconds.
     pub fn promise_no_takeover(&mut self, ms: u64) {
         self.no_takeover_until = self.no_takeover_until.max(self.now + Millis(ms));
         let until = self.no_takeover_until;
         self.engine().set_no_takeover_until(until);
     }
 
-    /// The newest owner.
+    /// Returns the engine of the newest owner.
     pub fn engine(&mut self) -> &mut Engine {
         &mut self.owners.last_mut().unwrap().engine
     }
@@ -184,12 +186,12 @@
         let last = self.owners.len() - 1;
         let mut out = Vec::new();
         let now = self.now;
-        // An unknown id is no fault of the test.
+        // The id may be unknown, for example after a takeover without the record.
         let _ = self.owners[last].engine.cancel(now, &key(id), &mut out);
         self.execute(last, out);
     }
 
-    /// Lets an owner decide.
+    /// Runs the periodic work and the decisions of an owner with its current authority.
     pub fn decide(&mut self, i: usize) {
         let owner = &self.owners[i];
         let authority = match owner.lapsed_at {
@@ -200,7 +202,8 @@
         self.decide_as(i, authority);
     }
 
-    /// Lets an owner decide with an authority that it may not have any more.
+    /// Runs the periodic work and the decisions of an owner with an authority that may be
+    /// out of date.
     pub fn decide_as(&mut self, i: usize, authority: Authority) {
         let now = self.now;
         let stalled = self.stalled;
@@ -215,7 +218,7 @@
         self.execute(i, out);
     }
 
-    /// Writes what an owner has appended, as far as its epoch is in force.
+    /// Makes the appended records of an owner durable, unless its epoch is out of date.
     pub fn write_ledger(&mut self, i: usize) {
         let owner = &mut self.owners[i];
         if self.stalled || owner.paused || owner.pending.is_empty() || owner.deposed {
@@ -235,7 +238,7 @@
         self.execute(i, out);
     }
 
-    /// Does what an engine asks for.
+    /// Executes the actions of an engine.
     pub fn execute(&mut self, i: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
@@ -252,7 +255,7 @@
         if let Some(view) = engine.view(no)
             && let Some(answer) = view.answer
         {
-            // An answer that is not durable says so, and may be lost.
+            // An answer that is not durable is marked as such and may be lost.
             if view.durable {
                 let answer: FinalAnswer = answer.clone();
                 let key = view.key.clone();
@@ -269,13 +272,13 @@
             self.checker
                 .start_sent(self.workers[&worker].epochs_told_leaving.contains(&owner.epoch));
         }
-        // Without a session the order is dropped, as in the server.
+        // The server drops orders without a session, too.
         if owner.sessions.contains_key(&worker) {
             owner.orders.entry(worker).or_default().push_back(order);
         }
     }
 
-    /// Lets an owner claim a worker, if both can.
+    /// Lets an owner claim a worker if both are able to.
     pub fn claim(&mut self, i: usize, id: &InstanceId) {
         let now = self.now;
         let session = self.next_session;
@@ -298,7 +301,7 @@
         self.execute(i, out);
     }
 
-    /// Ends the session of an owner with a worker; orders on their way are lost.
+    /// Ends the session of an owner with a worker. Orders in transit are lost.
     pub fn disconnect(&mut self, i: usize, id: &InstanceId) {
         let now = self.now;
         let owner = &mut self.owners[i];
@@ -311,7 +314,7 @@
         self.execute(i, out);
     }
 
-    /// Delivers all orders that are on their way to a worker, and its reports.
+    /// Delivers all orders in transit to a worker, and its reports to the owner.
     pub fn deliver(&mut self, i: usize, id: &InstanceId) {
         let now = self.now;
         let worker = self.workers.get_mut(id).unwrap();
@@ -324,7 +327,7 @@
             return;
         };
         if worker.session != session {
-            // The worker has ended this session.
+            // The worker has a newer session.
             self.disconnect(i, id);
             return;
         }
@@ -360,7 +363,7 @@
         self.execute(i, out);
     }
 
-    /// Lets a step of time pass, in which everything that can happen does.
+    /// Advances time by one step and processes everything that can happen in it.
     pub fn step(&mut self) {
         self.now = self.now + STEP;
         let ids: Vec<InstanceId> = self.workers.keys().cloned().collect();
@@ -393,7 +396,7 @@
         self.check();
     }
 
-    /// Lets time pass.
+    /// Runs steps for `ms` milliseconds.
     pub fn run(&mut self, ms: u64) {
         let until = self.now + Millis(ms);
         while self.now < until {
@@ -401,12 +404,12 @@
         }
     }
 
-    /// Lets enough time pass for claims and starts.
+    /// Runs enough steps for claims and starts.
     pub fn run_briefly(&mut self) {
         self.run(STEP.0 * 6);
     }
 
-    /// Checks what must always hold.
+    /// Checks the invariants.
     pub fn check(&self) {
         self.checker.check(&self.workers, self.now);
     }
--- a/crates/hollowford-engine/tests/common/worker.rs
+++ b/crates/hollowford-engine/tests/common/worker.rs
@@ -1,4 +1,4 @@
-//! A worker of the small world.
+//! A simulated worker.
 
 use super::invariants::InvariantChecker;
 use hollowford_core::prelude::*;
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// An order on its way.
+/// An order in transit to a worker.
 #[derive(Clone, Debug)]
 pub enum Order {
     Start { task: TaskId, lease_until: u64, fixed_lease: bool, spec: Arc<Spec> },
@@ -26,12 +26,12 @@
             Action::Stop { worker, task, .. } => (worker, Order::Stop { task }),
             Action::Forget { worker, task } => (worker, Order::Forget { task }),
             Action::Throttle { worker, .. } => (worker, Order::Throttle),
-            other => panic!("{other:?} is no order"),
+            other => panic!("{other:?} is not an order"),
         }
     }
 }
 
-/// A task that runs.
+/// A running task.
 #[derive(Clone, Debug)]
 pub struct Running {
     pub spec: Arc<Spec>,
@@ -41,7 +41,7 @@
     pub started_at: u64,
 }
 
-/// Reports on their way.
+/// Reports in transit to the owner.
 #[derive(Clone, Debug, Default)]
 pub struct Reports {
     pub clock: u64,
@@ -51,7 +51,8 @@
     pub refused: Vec<TaskId>,
 }
 
-/// A worker: leases on its own clock, epochs, sessions and remembered outcomes.
+/// A worker with its own clock. It enforces leases and epochs, has one session, and keeps
+/// outcomes until they are acknowledged.
 pub struct FakeWorker {
     pub capacity: Resources,
     pub rack: String,
@@ -65,9 +66,9 @@
     pub frozen: bool,
     pub unreachable: bool,
     pub unlisted: bool,
-    /// Every task fails at once.
+    /// Whether every task fails at once.
     pub fails_all: bool,
-    /// Owners, by epoch, that know that this worker is leaving.
+    /// Epochs of the owners that know that this worker is leaving.
     pub epochs_told_leaving: BTreeSet<Epoch>,
     offset: u64,
 }
@@ -97,7 +98,7 @@
         now.0 + self.offset
     }
 
-    /// Stops what has lapsed and ends what is done, as a worker that wakes does.
+    /// Ends tasks whose lease has lapsed or that are complete.
     pub fn end_due_tasks(&mut self, now: Millis, checker: &mut InvariantChecker) {
         let clock = self.clock(now);
         let due: Vec<TaskId> = self
@@ -203,7 +204,7 @@
         }
     }
 
-    /// Loses all memory, as a restart does.
+    /// Restarts the worker: it loses its tasks, outcomes and session.
     pub fn restart(&mut self, checker: &mut InvariantChecker) {
         for task in self.running.keys() {
             checker.ended(task, &TaskEnd::Lost);
@@ -221,7 +222,7 @@
 }
 
 impl FakeWorker {
-    /// Takes the reports with the clock at the time they are sent.
+    /// Sets the clock reading and the leaving flag of the reports that are about to be sent.
     pub fn stamp_reports(&mut self, now: Millis) {
         self.reports.clock = self.clock(now);
         self.reports.leaving = self.leaving;
--- a/crates/hollowford-engine/tests/loads/engine_run.rs
+++ b/crates/hollowford-engine/tests/loads/engine_run.rs
@@ -1,5 +1,5 @@
-//! Runs a load on the engine: a heap of finish times, and a ledger that is durable
-//! after a fixed time.
+//! Runs a load on the engine, as a discrete event simulation. Ledger records are durable
+//! after a fixed delay.
 
 use super::measure::{Measures, used_resources};
 use super::workloads::{Job, Load};
@@ -11,15 +11,15 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
-/// Time from an append to its durability: spacing of the writes and one write.
+/// Time from an append until the record is durable: interval between writes plus one write.
 const LEDGER_DELAY_MS: u64 = 7;
 const TICK_INTERVAL_MS: u64 = 50;
 const SAMPLE_INTERVAL_MS: u64 = 250;
-/// Virtual time after the last arrival at which a run ends in any case.
+/// Maximum virtual time of a run after the last arrival.
 const MAX_TAIL_MS: u64 = 600_000;
-const WORKER_CLOCK_START: u64 = 1_000_000;
+const WORKER_CLOCK_START_MS: u64 = 1_000_000;
 
-/// Something that is to happen.
+/// A scheduled event.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Durable(u64),
@@ -34,7 +34,7 @@
     event_count: u64,
     now: u64,
     ids: Vec<InstanceId>,
-    /// True run time by request number.
+    /// Actual run time of a task by request number.
     actual_run_ms: HashMap<RequestNo, u64>,
     running: HashMap<TaskId, usize>,
     measures: Measures,
@@ -80,7 +80,7 @@
         for id in &self.ids {
             let claim = ClaimReport {
                 incarnation: 1,
-                clock: WORKER_CLOCK_START,
+                clock: WORKER_CLOCK_START_MS,
                 capacity: self.load.capacity,
                 leaving: false,
                 running: Vec::new(),
@@ -98,10 +98,10 @@
         let mut waves = self.load.waves.iter().peekable();
         let (mut next_tick, mut next_sample) = (0, 0);
         loop {
-            let event = self.events.peek().map_or(u64::MAX, |Reverse((at, _, _))| *at);
+            let next_event = self.events.peek().map_or(u64::MAX, |Reverse((at, _, _))| *at);
             let arrival = jobs.get(next_job).map_or(u64::MAX, |j| j.at);
             let wave = waves.peek().map_or(u64::MAX, |w| w.at);
-            self.now = event.min(arrival).min(wave).min(next_tick).min(next_sample);
+            self.now = next_event.min(arrival).min(wave).min(next_tick).min(next_sample);
             let idle =
                 next_job == jobs.len() && waves.peek().is_none() && self.only_services_left();
             if idle || self.now > last + MAX_TAIL_MS {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Tells whether everything but services has ended.
+    /// Returns true if all requests except services have ended.
     fn only_services_left(&self) -> bool {
         let services = self.load.jobs.iter().filter(|j| j.spec.kind == Kind::Service).count();
         self.engine.requests().1 as usize <= services && self.engine.waiting_tasks() == 0
@@ -158,7 +158,7 @@
 
     fn report_clocks(&mut self) {
         for id in &self.ids {
-            self.engine.record_clock(Millis(self.now), id, WORKER_CLOCK_START + self.now);
+            self.engine.record_clock(Millis(self.now), id, WORKER_CLOCK_START_MS + self.now);
         }
     }
 
@@ -187,7 +187,7 @@
             match event {
                 Event::Durable(seq) => self.engine.set_durable(seq, &mut out),
                 Event::Finish { worker, task, failed } => {
-                    // It may have been stopped before its end.
+                    // The task may have been stopped before.
                     if self.running.remove(&task).is_some() {
                         let end = match failed {
                             true => TaskEnd::Failed("bad worker".into()),
@@ -264,7 +264,7 @@
                 found.waits.then(|| (*name, found.used.dominant_share(&whole)))
             })
             .collect();
-        // Shares are compared only while every one of them wants more.
+        // Shares are compared only while each of these accounts has queued work.
         if compared_accounts.len() == self.load.compared_accounts.len() {
             self.share_samples += 1;
             self.measures.sample_mixed(&used_resources(&whole, &free), &whole);
--- a/crates/hollowford-engine/tests/loads/fifo_run.rs
+++ b/crates/hollowford-engine/tests/loads/fifo_run.rs
@@ -1,5 +1,5 @@
-//! The baseline: first-fit FIFO over the same work. The oldest task starts on the
-//! first worker with room, gangs start whole, and nothing overtakes.
+//! Runs a load on the baseline, a first-fit FIFO scheduler. The oldest task starts on the
+//! first worker with room, gangs start together, and no task overtakes another.
 
 use super::measure::{Measures, total_capacity, used_resources};
 use super::workloads::{Job, Load};
@@ -14,7 +14,7 @@
     now: u64,
     free: Vec<Resources>,
     queue: VecDeque<(&'a Job, u32)>,
-    /// (time, worker, taken)
+    /// Running tasks: (end time, worker, resources).
     running: BinaryHeap<Reverse<(u64, usize, Resources)>>,
     measures: Measures,
 }
@@ -43,7 +43,7 @@
             self.now = arrival.min(end).min(next_sample);
             while jobs.get(next_job).is_some_and(|j| j.at <= self.now) {
                 let job = &jobs[next_job];
-                // Jobs that fit nowhere would block the queue for ever.
+                // A job that fits on no worker would block the queue forever.
                 if job.spec.per_task.fits(&self.load.capacity) {
                     self.queue.push_back((job, job.spec.tasks));
                 }
--- a/crates/hollowford-engine/tests/loads/main.rs
+++ b/crates/hollowford-engine/tests/loads/main.rs
@@ -1,6 +1,6 @@
-//! Four loads on a virtual clock, with the engine alone: waiting time, packing and
-//! fairness, beside first-fit FIFO over the same work. Every figure is exact and the
-//! same in every run, so the bounds here are tight.
+//! Four simulated loads on the engine with a virtual clock. They measure waiting time,
+//! packing and fairness, and compare them with a first-fit FIFO scheduler. Runs are
+//! deterministic, so the asserted bounds are tight.
 //!
 //! `cargo test -p hollowford-engine --test loads -- --nocapture` prints the figures.
 
@@ -45,8 +45,8 @@
     assert!(checks <= 500, "confirmations wait {checks} ms");
     assert!(fifo.p99(Kind::Check) >= 20 * checks.max(1), "{}", fifo.p99(Kind::Check));
     assert!(engine.mixed_packing() >= 0.95, "{}", engine.mixed_packing());
-    // At the end only the soloists' tasks are left, and three of them fill 93.75%
-    // of an instance, so the whole run can't reach what the mix does.
+    // At the end only the tasks of one account are left, and three of them fill 93.75%
+    // of an instance, so packing over the whole run is lower than with mixed work.
     assert!(engine.packing() >= 0.945, "{}", engine.packing());
     assert!(engine.packing() >= fifo.packing() + 0.03, "{}", fifo.packing());
     assert!(engine.share_error <= 0.03, "{}", engine.share_error);
@@ -61,13 +61,13 @@
     assert_eq!(engine.refused, workloads::IMPOSSIBLE_JOBS);
     assert!(engine.packing() >= 0.95, "{}", engine.packing());
     let gangs = engine.max(Kind::Gang);
-    assert!(gangs <= 70_000, "gangs wait {gangs} ms at most");
+    assert!(gangs <= 70_000, "gangs wait up to {gangs} ms");
 }
 
 #[test]
 fn one_large_zone_with_a_burst() {
     let (engine, _) = run_both(&workloads::large_zone(), Policy::default());
     let urgent = engine.max(Kind::Check);
-    assert!(urgent <= 1_000, "urgent work waits {urgent} ms at most");
+    assert!(urgent <= 1_000, "urgent work waits up to {urgent} ms");
     assert_eq!(engine.unanswered, 0);
 }
--- a/crates/hollowford-engine/tests/loads/measure.rs
+++ b/crates/hollowford-engine/tests/loads/measure.rs
@@ -1,4 +1,4 @@
-//! What a run of a load has shown.
+//! Measurements of one run of a load.
 
 use hdrhistogram::Histogram;
 use hollowford_core::{Kind, Resources, Totals};
@@ -6,17 +6,18 @@
 
 const MAX_WAIT_MS: u64 = 3_600_000;
 
-/// Exact figures of one run.
+/// Measurements of one run.
 #[derive(Debug, Default)]
 pub struct Measures {
     waits: BTreeMap<Kind, Option<Histogram<u64>>>,
-    /// Sum over samples of the dominant resource's part in use while work queued.
+    /// Sum over all samples of the used share of the dominant resource. Sampled while work is
+    /// queued.
     packing_sum: f64,
     samples: u64,
-    /// The same, while every one of the compared accounts has work queued.
+    /// The same sum, sampled while each of the compared accounts has queued work.
     mixed_packing_sum: f64,
     mixed_samples: u64,
-    /// Largest difference of equal accounts' mean shares, as a part of the cell.
+    /// Largest difference between the mean shares of the compared accounts, 0 to 1.
     pub share_error: f64,
     pub unanswered: usize,
     pub refused: usize,
@@ -45,7 +46,7 @@
         self.mixed_samples += 1;
     }
 
-    /// Packing while all kinds of work queue, not only the last of one kind.
+    /// Returns the mean packing while each of the compared accounts has queued work.
     pub fn mixed_packing(&self) -> f64 {
         match self.mixed_samples {
             0 => 0.0,
@@ -71,7 +72,7 @@
 
     pub fn print(&self, name: &str) {
         println!(
-            "  {name}: packing {:.1}% while work queued, {:.1}% while a mix did",
+            "  {name}: packing {:.1}% while work was queued, {:.1}% with mixed work",
             self.packing() * 100.0,
             self.mixed_packing() * 100.0
         );
@@ -89,7 +90,7 @@
             );
         }
         println!(
-            "    placed {}, displaced {} ({} ms lost at most), put aside {}, failed {}, \
+            "    placed {}, preempted {} (run time lost up to {} ms), quarantined {}, failed {}, \
              refused {}, share error {:.3}, ended at {} ms, unanswered {}",
             self.placed,
             self.preempted,
@@ -104,7 +105,7 @@
     }
 }
 
-/// Sums what is in use.
+/// Returns the resources in use.
 pub fn used_resources(whole: &Totals, free: &Totals) -> Totals {
     Totals {
         cpu_milli: whole.cpu_milli - free.cpu_milli,
@@ -113,7 +114,7 @@
     }
 }
 
-/// Sums a capacity over so many workers.
+/// Returns the total capacity of equal workers.
 pub fn total_capacity(capacity: &Resources, workers: usize) -> Totals {
     let mut t = Totals::default();
     (0..workers).for_each(|_| t.add(capacity));
--- a/crates/hollowford-engine/tests/loads/workloads.rs
+++ b/crates/hollowford-engine/tests/loads/workloads.rs
@@ -1,31 +1,33 @@
-//! The work of the four loads, made from the sizes in the users' brief and letter.
+//! The four simulated loads: cells, requests and cancellations.
 
 use hollowford_core::{Kind, Placement, Resources, Spec};
 use std::sync::Arc;
 
-/// Jobs in the load of wrong declarations that fit nowhere.
+/// Jobs in [`wrong_declarations`] that fit on no worker.
 pub const IMPOSSIBLE_JOBS: usize = 20;
 
-/// One request.
+/// A request.
 #[derive(Clone, Debug)]
 pub struct Job {
+    /// Submission time in milliseconds.
     pub at: u64,
     pub account: &'static str,
     pub id: String,
     pub spec: Spec,
-    /// How long a task really runs.
+    /// Actual run time of a task in milliseconds; 0 if it does not end.
     pub actual_ms: u64,
 }
 
-/// A wave of cancellations.
+/// Cancellation of all requests of an account with a label.
 #[derive(Clone, Debug)]
 pub struct CancelWave {
+    /// Time in milliseconds.
     pub at: u64,
     pub account: &'static str,
     pub label: &'static str,
 }
 
-/// One load.
+/// A cell and the requests that are submitted to it.
 #[derive(Clone, Debug)]
 pub struct Load {
     pub name: &'static str,
@@ -33,11 +35,11 @@
     pub workers: usize,
     pub per_rack: usize,
     pub capacity: Resources,
-    /// So many of the workers fail all that they start.
+    /// Number of workers on which every task fails.
     pub failing_workers: usize,
     pub jobs: Vec<Job>,
     pub waves: Vec<CancelWave>,
-    /// Accounts whose shares are compared while they all wait.
+    /// Accounts whose shares are compared while all of them have queued work.
     pub compared_accounts: Vec<&'static str>,
 }
 
@@ -84,8 +86,8 @@
     }
 }
 
-/// A noise survey fills the cell; at 60 s an event orders relocations; quick checks
-/// come all along.
+/// A batch survey fills the cell, gangs arrive from 60 s on, and short checks arrive all the
+/// time.
 pub fn kivu() -> Load {
     let mut load = Load::new("Kivu: event burst over a nightly survey", 11, 50, 6);
     let mut rng = fastrand::Rng::with_seed(load.seed);
@@ -109,15 +111,15 @@
     load.sorted()
 }
 
-/// Agencies' season plans queue; a soloist withdraws and one plan is cancelled; the
-/// calendars are rebuilt; directors confirm bookings.
+/// Batch work of three accounts is queued, labelled requests are cancelled at 40 s, a wave of
+/// rebuilds follows, and short checks that are not repeatable arrive all the time.
 pub fn ortak_sahne() -> Load {
     let mut load = Load::new("Ortak Sahne: rebuild wave, cancellations, confirmations", 12, 50, 8);
     let mut rng = fastrand::Rng::with_seed(load.seed);
     load.compared_accounts = vec!["choirs", "bands", "soloists"];
     for i in 0..150 {
         let account = load.compared_accounts[i % 3];
-        // Each agency's work has a size of its own.
+        // The tasks of each account have a different size.
         let (cpu, memory) = [(1_500, 2_000), (2_500, 15_000), (5_000, 9_000)][i % 3];
         let mut job = spec(Kind::Batch, 120, cpu, memory, rng.u64(3_000..12_000));
         if i % 10 == 0 {
@@ -142,8 +144,8 @@
     load.sorted()
 }
 
-/// True run times are 0.2 to 5 times the declared ones, one worker in twenty fails
-/// everything, and some jobs fit nowhere.
+/// Actual run times are 0.2 to 5 times the declared ones, every task fails on one worker in
+/// twenty, and some jobs fit on no worker.
 pub fn wrong_declarations() -> Load {
     let mut load = Load::new("wrong declarations, bad workers, impossible jobs", 13, 60, 6);
     let mut rng = fastrand::Rng::with_seed(load.seed);
@@ -170,8 +172,8 @@
     load.sorted()
 }
 
-/// 700 workers with some 20,000 tasks running, 500 starts a second, ten times that
-/// for two seconds.
+/// 700 workers with about 20,000 running tasks and 500 starts a second; ten times as many for
+/// two seconds.
 pub fn large_zone() -> Load {
     let mut load = Load::new("one zone: 700 workers, 500 starts/s, ten-times burst", 14, 700, 20);
     let mut rng = fastrand::Rng::with_seed(load.seed);
--- a/crates/hollowford-engine/tests/placement.rs
+++ b/crates/hollowford-engine/tests/placing.rs
@@ -1,4 +1,4 @@
-//! What starts where, and when.
+//! Placement: which task starts on which worker, and when.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -153,7 +153,7 @@
     let (_, open) = sim.engine().requests();
     assert_eq!(open, 0);
     let failed = sim.engine().stats().failed;
-    assert!(failed <= 10, "{failed} attempts failed on one bad worker");
+    assert!(failed <= 10, "{failed} attempts failed on one failing worker");
 }
 
 #[test]
@@ -216,7 +216,7 @@
     let last = sim.owners.len() - 1;
     sim.execute(last, out);
     sim.run(1_000);
-    // The one that used too much memory has failed and is not tried again.
+    // The task that used too much memory has failed and is not tried again.
     assert_eq!(sim.running("greedy"), 1);
     sim.run(70_000);
     let answer = sim.answer("greedy").unwrap();
@@ -234,7 +234,7 @@
     for _ in 0..200 {
         sim.step();
         let running: usize = sim.workers.values().map(|w| w.running.len()).sum();
-        assert!(running == 0 || running == 12, "{running} tasks of gangs of 12 run");
+        assert!(running == 0 || running == 12, "{running} tasks run, of gangs with 12 tasks");
     }
     assert_eq!(sim.engine().requests().1, 0);
 }
@@ -260,7 +260,7 @@
     sim.run(100);
     sim.promise_no_takeover(4_000);
     assert!(sim.submit("batch", &spec(Kind::Batch, 1, 500, 100)).is_err());
-    // One that may outlive the promises is refused, and so is one that may not repeat.
+    // Checks that may outlast the promises or are not repeatable are refused.
     assert!(sim.submit("long", &spec(Kind::Check, 1, 500, 3_000)).is_err());
     let mut non_repeatable = spec(Kind::Check, 1, 500, 100);
     non_repeatable.repeatable = false;
@@ -272,7 +272,7 @@
     let view = engine.view(no).unwrap();
     assert_eq!(view.answer.unwrap().outcome, Outcome::Done);
     assert!(!view.durable);
-    // Once the promises have ended there is nothing to do, however much waits.
+    // After the promises have expired, nothing can be placed.
     sim.run(5_000);
     let now = sim.now;
     assert!(!sim.engine().needs_decide(now));
@@ -306,7 +306,7 @@
     let owner = sim.owners.len() - 1;
     sim.submit("check", &spec(Kind::Check, 1, 500, 100)).unwrap();
     sim.submit("batch", &spec(Kind::Batch, 1, 500, 100)).unwrap();
-    // Both are placed, and their intents meet a ledger that can't be written.
+    // Both are placed, but the ledger stalls before their intents are durable.
     sim.decide(owner);
     sim.stalled = true;
     sim.run(300);
--- a/crates/hollowford-engine/tests/random_events.rs
+++ b/crates/hollowford-engine/tests/random_events.rs
@@ -1,6 +1,7 @@
-//! Random orders of events: what must always hold, checked after every one.
+//! Applies random sequences of events and checks the invariants after each event.
 //!
-//! The random numbers are proptest's deterministic ones, so every run is the same.
+//! The random numbers come from the deterministic generator of proptest, so every run is
+//! the same.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -12,11 +13,11 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// Cases in one run. The seed is proptest's fixed one for ChaCha.
+/// Number of event sequences. The seed is the fixed one of proptest for ChaCha.
 const CASES: u32 = 400;
 const WORKERS: usize = 4;
 
-/// Something that happens.
+/// An event in the simulation.
 #[derive(Clone, Debug)]
 enum Op {
     Submit {
@@ -30,9 +31,9 @@
     Cancel(usize),
     RunFor(u64),
     Step,
-    /// The newest owner loses its link to a worker.
+    /// The session between the newest owner and a worker ends.
     Disconnect(usize),
-    /// Orders reach a worker, out of step with the others.
+    /// Orders reach one worker, and its reports reach the owner.
     Deliver(usize),
     Freeze(usize),
     Unfreeze(usize),
@@ -42,19 +43,19 @@
     Leave(usize),
     Unlist(usize),
     StallLedger(bool),
-    /// Every member promises not to take over for so long.
+    /// Every member promises not to take over for a time in milliseconds.
     PromiseNoTakeover(u64),
-    /// A caller repeats a request.
+    /// A caller submits an earlier request again.
     Resubmit(usize),
-    /// A new owner takes over; the old one goes on for as long as it can.
+    /// A new owner takes over while the old one keeps running.
     Takeover,
     /// A new owner takes over while the old one is paused.
     TakeoverPaused,
-    /// A paused owner wakes in the middle of a decision.
+    /// Paused owners resume in the middle of a decision; the other old owners decide.
     ResumeOldOwners,
-    /// Earlier owners try to claim a worker back.
+    /// Earlier owners try to claim a worker again.
     ClaimByOldOwners(usize),
-    /// The owner's lease lapses, and it may only renew.
+    /// The owner's lease lapses, so that it may only renew task leases.
     LapseOwnerLease,
     WriteLedger,
 }
@@ -116,7 +117,7 @@
                 s.repeatable = *repeatable || kind == Kind::Service;
                 s.run_time_ms = if kind == Kind::Service { 0 } else { *run };
                 s.start_within_ms = *within;
-                // A refusal is an answer.
+                // The request may be refused.
                 let _ = sim.submit(&format!("r{}", self.submitted), &s);
                 self.submitted += 1;
             }
@@ -148,7 +149,7 @@
             Op::Resubmit(i) => {
                 let id = format!("r{i}");
                 if let Some(spec) = sim.checker.spec_of(&common::key(&id)) {
-                    // A refusal is an answer.
+                    // The request may be refused.
                     let _ = sim.submit(&id, &spec);
                 }
             }
@@ -161,8 +162,8 @@
             }
             Op::ResumeOldOwners => {
                 for i in 0..newest {
-                    // One that was paused right after it had read its lease goes on
-                    // by it, once.
+                    // An owner that was paused right after it checked its lease decides
+                    // once as if the lease were valid.
                     match std::mem::take(&mut sim.owners[i].paused) {
                         true => sim.decide_as(i, Authority::Full),
                         false => sim.decide(i),
@@ -195,7 +196,7 @@
         f(self.sim.workers.get_mut(&id).unwrap());
     }
 
-    /// Mends everything. Then every request must get its answer.
+    /// Ends all faults, then checks that every request gets its answer.
     fn repair_and_finish(&mut self) {
         self.sim.stalled = false;
         self.sim.now = self.sim.now.max(self.sim.no_takeover_until);
@@ -219,7 +220,7 @@
         }
         self.sim.run(5_000);
         let (_, open) = self.sim.engine().requests();
-        assert_eq!(open, 0, "requests without an answer");
+        assert_eq!(open, 0, "some requests got no answer");
     }
 }
 
--- a/crates/hollowford-engine/tests/recovery.rs
+++ b/crates/hollowford-engine/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! Takeovers, claims and the hard case: what a new owner may conclude, and when.
+//! Recovery: takeovers, claims, network partitions, and crashes of workers.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -15,8 +15,8 @@
     s
 }
 
-/// The old owner and worker 0 on one side of a cut; the new owner, the ledger and
-/// the other workers on the other side.
+/// Splits the network: the old owner and worker 0 on one side; a new owner, the ledger and
+/// the other workers on the other side. Returns the index of the old owner.
 fn partition_network(sim: &mut Simulation) -> usize {
     let a = sim.worker_id(0);
     let old = sim.owners.len() - 1;
@@ -29,7 +29,7 @@
     old
 }
 
-/// Lets time pass in which the new owner can't reach worker 0.
+/// Advances time while the new owner can't reach worker 0.
 fn run_partitioned(sim: &mut Simulation, old: usize, ms: u64) {
     let a = sim.worker_id(0);
     let new = sim.owners.len() - 1;
@@ -67,10 +67,10 @@
     sim.submit("new", &spec(Kind::Batch, 1, 500, 100)).unwrap();
     sim.submit("urgent", &spec(Kind::Check, 1, 500, 100)).unwrap();
     run_partitioned(&mut sim, old, 2_000);
-    // The old owner keeps what runs alive, so it runs nowhere else.
+    // The old owner renews the leases, so the tasks must not run on another worker.
     assert_eq!(sim.workers[&a].running.len(), 4);
     assert_eq!(sim.answer("urgent").unwrap().outcome, Outcome::Done);
-    // The cut ends: the claim tells that the tasks run.
+    // The network recovers. The claim reports that the tasks are running.
     sim.step();
     assert_eq!(sim.running("far"), 8);
 }
@@ -87,7 +87,7 @@
     let bound = policy().renewal_bound;
     run_partitioned(&mut sim, old, bound.0 / 2);
     assert_eq!(sim.workers[&a].running.len(), on_a);
-    // The old owner's renewals end with the bound, and then the task leases do.
+    // The old owner stops renewing after the renewal bound, then the task leases end.
     run_partitioned(&mut sim, old, bound.0 + 15_000);
     assert_eq!(sim.workers[&a].running.len(), 0);
     assert_eq!(sim.running("far"), 8);
@@ -99,7 +99,8 @@
     sim.submit("far", &non_repeatable(8, 200_000)).unwrap();
     sim.run_briefly();
     let old = partition_network(&mut sim);
-    // What runs on the near side ends as well: it may not be started again.
+    // Tasks that the new owner can reach keep running. Those on worker 0 may not be started
+    // again, since they may have run.
     let b = sim.worker_id(1);
     run_partitioned(&mut sim, old, 40_000);
     assert!(!sim.workers[&b].running.is_empty());
@@ -109,8 +110,8 @@
     assert_eq!(sim.answer("far").unwrap().outcome, Outcome::MayHaveRun);
 }
 
-/// The intents of a request are durable, and the owner is paused before it sends the
-/// starts, until another has taken over. Returns the paused one, awake again.
+/// Pauses the owner after the intents of a request are durable and before it sends the
+/// starts. Resumes it after another owner has taken over. Returns the index of the old owner.
 fn pause_owner_before_starts(sim: &mut Simulation, tasks: u32) -> usize {
     sim.submit("late", &non_repeatable(tasks, 1_000)).unwrap();
     let old = sim.owners.len() - 1;
@@ -171,7 +172,7 @@
     assert_eq!(sim.answer("again").unwrap().outcome, Outcome::Done);
 }
 
-/// Restarts the first worker that runs something.
+/// Restarts the first worker that has a running task.
 fn restart_busy_worker(sim: &mut Simulation) {
     let Simulation { workers, checker, .. } = sim;
     if let Some(w) = workers.values_mut().find(|w| !w.running.is_empty()) {
@@ -179,7 +180,7 @@
     }
 }
 
-/// Restarts workers that run something, until the request has its answer. Returns how often.
+/// Restarts busy workers until the request has its answer. Returns the number of restarts.
 fn restart_until_answered(sim: &mut Simulation, id: &str) -> usize {
     for restarts in 0..20 {
         if sim.answer(id).is_some() {
@@ -192,7 +193,8 @@
     panic!("no answer after twenty restarts");
 }
 
-// What it runs restarts the worker, and a restarted worker knows of no task: nobody tells that it failed.
+// Guards against endless attempts of a task that crashes its worker: the restarted worker does not
+// know the task, so nothing reports its failure.
 #[test]
 fn a_repeatable_task_that_crashes_its_workers_fails() {
     for tasks in [1, 2] {
@@ -206,7 +208,8 @@
     }
 }
 
-// Each restart is followed by a takeover, so that the count has to come from the ledger.
+// Guards against a crash count that is lost in a takeover: each restart is followed by one, so the
+// count must come from the ledger.
 #[test]
 fn crashes_of_a_task_are_counted_across_takeovers() {
     for from_snapshot in [false, true] {
@@ -302,7 +305,7 @@
         copy.replay(now, record);
     }
     assert_eq!(copy.snapshot(), snapshot);
-    // The work goes on from it.
+    // A new owner can continue from the snapshot.
     sim.ledger = snapshot;
     let last = sim.owners.len() - 1;
     sim.owners[last].deposed = true;
@@ -327,13 +330,13 @@
     sim.step();
     let id = sim.worker_id(0);
     assert_eq!(sim.workers[&id].running.len(), 1);
-    // It runs longer than it was declared to, and the owner renews as it does.
+    // The task runs longer than declared, and the owner keeps renewing leases.
     for r in sim.workers.get_mut(&id).unwrap().running.values_mut() {
         r.ends_at = u64::MAX;
     }
     sim.run(4_000);
     assert_eq!(sim.workers[&id].running.len(), 0);
-    // The next owner knows nothing of it, and the caller may repeat it.
+    // The next owner does not know the request, and the caller may submit it again.
     sim.stalled = false;
     sim.owners.last_mut().unwrap().paused = true;
     sim.takeover();
@@ -351,8 +354,8 @@
     sim.run_briefly();
     let id = sim.worker_id(0);
     let old = sim.owners.len() - 1;
-    // It ends and is reported; the ledger has taken an earlier record only when the
-    // owner is gone.
+    // The task ends and reports it, but only an earlier record is durable when the owner
+    // is replaced.
     sim.submit("other", &spec(Kind::Batch, 1, 500, 100)).unwrap();
     sim.now = sim.now + Millis(1_000);
     let Simulation { workers, checker, now, .. } = &mut sim;
