--- a/crates/hollowford-engine/src/account.rs
+++ b/crates/hollowford-engine/src/account.rs
@@ -5,10 +5,10 @@
 use hollowford_core::{AccountId, Kind, Millis, RequestNo, Resources, Spec, Totals};
 use std::collections::{HashMap, VecDeque};
 
-/// Position of a client account in the engine's table.
+/// Index of a client account in the engine's table.
 pub(crate) type AccountIdx = u32;
 
-/// One client account.
+/// A client account with its resource usage and queues.
 #[derive(Debug)]
 pub(crate) struct Account {
     pub id: AccountId,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Adds the share held since the last call to the decayed past share.
+    /// Decays the past share and adds the share held since the last call.
     pub fn update_past_share(&mut self, now: Millis, total_capacity: &Totals, half_life: Millis) {
         let dt = now.since(self.past_share_at).0 as f64;
         if dt > 0.0 {
--- a/crates/hollowford-engine/src/engine.rs
+++ b/crates/hollowford-engine/src/engine.rs
@@ -71,16 +71,23 @@
     pub(crate) workers: Workers,
     pub(crate) accounts: Accounts,
     pub(crate) requests: Requests,
+    /// Request numbers by key.
     pub(crate) keys: HashMap<RequestKey, RequestNo>,
+    /// Number of the next request in this epoch.
     pub(crate) next_no: u64,
+    /// Position of the next ledger record.
     pub(crate) next_seq: u64,
+    /// Position up to which all ledger records are durable.
     pub(crate) durable_seq: u64,
+    /// Whether the ledger can't be written.
     pub(crate) ledger_stalled: bool,
     /// While the ledger is stalled: no member takes the partition over before this time.
     /// Zero if that is unknown.
     pub(crate) no_takeover_until: Millis,
     pub(crate) pending_starts: VecDeque<PendingStart>,
+    /// Acknowledgements of outcomes that wait for the record at a position.
     pub(crate) pending_forgets: VecDeque<(u64, InstanceId, TaskId)>,
+    /// Changes of requests that are reported once the record at a position is durable.
     pub(crate) pending_changes: VecDeque<(u64, RequestNo)>,
     /// Requests with a final answer and the time of that answer, oldest first.
     pub(crate) kept_answers: VecDeque<(Millis, RequestNo)>,
--- a/crates/hollowford-engine/src/gang.rs
+++ b/crates/hollowford-engine/src/gang.rs
@@ -17,7 +17,8 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// At most one worker in this number is reserved, unless a single gang needs more.
+/// At most 1 / `RESERVED_SHARE_DIVISOR` of the workers are reserved at the same time, unless a
+/// single gang needs more.
 const RESERVED_SHARE_DIVISOR: usize = 2;
 /// Interval at which a gang that does not fit is tried again.
 const RESERVATION_RETRY_INTERVAL: Millis = Millis(1_000);
@@ -58,9 +59,9 @@
     /// Finds free room for all waiting tasks, in as few racks as possible.
     fn find_gang_slots(&self, r: &Request, now: Millis) -> Option<Vec<WorkerSlots>> {
         let need = r.waiting.len() as u32;
-        let allowed = |idx: &WorkerIdx| self.is_eligible(r, self.workers.get(*idx), *idx, now);
+        let eligible = |idx: &WorkerIdx| self.is_eligible(r, self.workers.get(*idx), *idx, now);
         let mut racks: BTreeMap<Arc<str>, Vec<WorkerSlots>> = BTreeMap::new();
-        for idx in self.workers.with_room(&r.spec.per_task).filter(allowed) {
+        for idx in self.workers.with_room(&r.spec.per_task).filter(eligible) {
             let w = self.workers.get(idx);
             let n = slot_count(r, w, &w.free);
             racks.entry(w.rack.clone()).or_default().push((idx, n));
@@ -100,10 +101,10 @@
     }
 
     fn reserve(&mut self, no: RequestNo, now: Millis, out: &mut Vec<Action>) -> TryOutcome {
-        if let Some(v) = self.reservations.get(&no) {
+        if let Some(reservation) = self.reservations.get(&no) {
             // Keep the reservation while its workers are usable. They are draining, and
             // other workers would have to start from the beginning.
-            if v.workers.iter().all(|&w| self.workers.get(w).is_usable()) {
+            if reservation.workers.iter().all(|&w| self.workers.get(w).is_usable()) {
                 return TryOutcome::Waits(WaitCause::GangReservation);
             }
             self.drop_reservation(no);
@@ -115,7 +116,8 @@
         let Some((ready_at, workers)) = self.earliest_fit(r, now) else {
             return TryOutcome::Waits(WaitCause::NoRoom);
         };
-        let reserved: usize = self.reservations.values().map(|v| v.workers.len()).sum();
+        let reserved: usize =
+            self.reservations.values().map(|reservation| reservation.workers.len()).sum();
         let first = self.reservations.is_empty();
         if !first && (reserved + workers.len()) * RESERVED_SHARE_DIVISOR > self.workers.len() {
             return TryOutcome::Waits(WaitCause::NoRoom);
@@ -134,8 +136,8 @@
 
     /// Releases the reservation of a gang.
     pub(crate) fn drop_reservation(&mut self, no: RequestNo) {
-        if let Some(v) = self.reservations.remove(&no) {
-            for idx in v.workers {
+        if let Some(reservation) = self.reservations.remove(&no) {
+            for idx in reservation.workers {
                 self.workers.get_mut_unindexed(idx).reserved_for = None;
             }
             self.needs_pass = true;
@@ -150,15 +152,15 @@
         if holder == r.no || r.class == PriorityClass::Urgent {
             return true;
         }
-        let Some(v) = self.reservations.get(&holder) else {
+        let Some(reservation) = self.reservations.get(&holder) else {
             return true;
         };
         if self.ranks_before(r, holder) {
             return true;
         }
-        let bounded = r.spec.run_time_ms > 0 && r.spec.kind == Kind::Batch;
-        let is_draining = now.since(v.accepted_at) >= self.policy.gang_drain_after;
-        bounded && !is_draining && self.expected_end(r, now) <= v.ready_at
+        let has_run_time = r.spec.run_time_ms > 0 && r.spec.kind == Kind::Batch;
+        let is_draining = now.since(reservation.accepted_at) >= self.policy.gang_drain_after;
+        has_run_time && !is_draining && self.expected_end(r, now) <= reservation.ready_at
     }
 
     /// Returns true if the account of the request has a lower rank than the account that
@@ -185,7 +187,7 @@
             .collect();
         let mut ends: Vec<Millis> = usable
             .iter()
-            .flat_map(|&idx| self.workers.get(idx).held.iter().map(|h| h.estimated_end(now)))
+            .flat_map(|&idx| self.workers.get(idx).held.iter().map(|h| h.expected_end_at(now)))
             .collect();
         ends.push(now);
         ends.sort_unstable();
@@ -208,7 +210,7 @@
         let mut racks: BTreeMap<Arc<str>, Vec<WorkerSlots>> = BTreeMap::new();
         for &idx in usable {
             let w = self.workers.get(idx);
-            let ended = w.held.iter().filter(|h| h.estimated_end(now) <= t);
+            let ended = w.held.iter().filter(|h| h.expected_end_at(now) <= t);
             let free = ended.fold(w.free, |a, h| a.plus(&h.resources));
             let n = slot_count(r, w, &free);
             if n > 0 {
@@ -218,7 +220,7 @@
         pick_slots(r, racks.into_values().collect(), r.waiting.len() as u32)
     }
 
-    /// Stops all tasks of a gang because one of them does not run any more.
+    /// Stops all tasks of a gang so that it can start again as a whole.
     pub(crate) fn restart_gang(&mut self, now: Millis, no: RequestNo, out: &mut Vec<Action>) {
         if let Some(r) = self.requests.get_mut(&no) {
             r.restarting = true;
--- a/crates/hollowford-engine/src/placement.rs
+++ b/crates/hollowford-engine/src/placement.rs
@@ -148,9 +148,9 @@
             && pass.is_unplaceable(r.class, &r.spec.per_task)
     }
 
-    /// Returns true if whether the request fits depends only on the size of its tasks, so
-    /// that the result holds for other requests. Gangs, placement constraints and workers
-    /// on which it failed limit the choice for that one request.
+    /// Returns true if only the size of its tasks decides whether the request fits, so that
+    /// the result holds for other requests. That is not the case for gangs, for placement
+    /// constraints, and for requests that failed on some worker.
     fn depends_on_shape_only(&self, r: &Request) -> bool {
         !r.is_gang() && r.spec.placement.is_free() && r.failed_workers.is_empty()
     }
--- a/crates/hollowford-engine/src/preemption.rs
+++ b/crates/hollowford-engine/src/preemption.rs
@@ -20,7 +20,7 @@
 /// Rate limit of preemptions, and the preemptions in progress.
 #[derive(Debug, Default)]
 pub(crate) struct PreemptionState {
-    /// The second that `spent` counts, in seconds on the clock.
+    /// Second of the owner's clock to which `spent` applies.
     budget_second: Millis,
     /// Preemptions in that second.
     spent: u32,
--- a/crates/hollowford-engine/src/recover.rs
+++ b/crates/hollowford-engine/src/recover.rs
@@ -1,4 +1,4 @@
-//! Recovery from the ledger, and snapshots for it.
+//! Recovery from the ledger, and snapshots of the state.
 
 use crate::engine::Engine;
 use crate::event::{Action, Change, FinalAnswer, Record, TaskEnd};
--- a/crates/hollowford-engine/src/submit.rs
+++ b/crates/hollowford-engine/src/submit.rs
@@ -74,7 +74,7 @@
             self.policy.account_queue_bound
         };
         if a.open >= limit || self.open >= self.policy.queue_bound {
-            let message = format!("the client account already has {} open requests", a.open);
+            let message = format!("too many open requests; the client account has {}", a.open);
             return Err(
                 Error::new(ErrorKind::QueueFull, message).retry_after(self.retry_delay_ms())
             );
@@ -104,7 +104,8 @@
             || over(need.accelerators, q.accelerators)
         {
             let message = format!(
-                "the request needs {} mcpu, {} MiB, {} accelerators at once; the quota is {}, {}, {}",
+                "the request needs {} mcpu, {} MiB, {} accelerators at once; \
+                 the quota is {}, {}, {}",
                 need.cpu_milli,
                 need.memory_mib,
                 need.accelerators,
@@ -148,7 +149,10 @@
         out: &mut Vec<Action>,
     ) -> Result<RequestNo, Error> {
         let Some(&no) = self.keys.get(key) else {
-            return Err(Error::new(ErrorKind::NotFound, format!("no request {}", key.id)));
+            return Err(Error::new(
+                ErrorKind::NotFound,
+                format!("request {} does not exist", key.id),
+            ));
         };
         self.cancel_request(now, no, out);
         Ok(no)
@@ -224,7 +228,7 @@
         }
     }
 
-    /// Closes a request that never ran with the outcome `NotRun`.
+    /// Closes a request that never ran. Its outcome is `NotRun`.
     pub(crate) fn close_not_run(
         &mut self,
         now: Millis,
--- a/crates/hollowford-engine/src/task_ends.rs
+++ b/crates/hollowford-engine/src/task_ends.rs
@@ -6,9 +6,8 @@
 use crate::worker::WorkerIdx;
 use hollowford_core::{ErrorKind, Kind, Millis, RequestNo, TaskId};
 
-/// Maximum number of attempts of a repeatable task that coincide with a restart of their
-/// worker. The task fails at that number: it probably causes the restarts, and would go on to
-/// crash one worker after another, with all tasks there.
+/// Number of worker restarts shortly after a start at which a repeatable task fails. The task
+/// probably causes them, and would go on to crash one worker after another, with all tasks there.
 const MAX_CRASHES: u32 = 4;
 
 impl Engine {
--- a/crates/hollowford-engine/src/tick.rs
+++ b/crates/hollowford-engine/src/tick.rs
@@ -133,14 +133,14 @@
             return;
         }
         self.feasibility_checked_at = now;
-        let waits = self.accounts.iter().flat_map(|a| a.queues.iter().flatten().copied());
-        let never = |no: &RequestNo| {
+        let queued = self.accounts.iter().flat_map(|a| a.queues.iter().flatten().copied());
+        let infeasibility = |no: &RequestNo| {
             let r = self.requests.get(no)?;
-            let fresh = !r.begun && r.active == 0 && r.answer.is_none() && !r.cancelled;
-            if fresh { self.check_feasible(&r.spec).err() } else { None }
+            let not_started = !r.begun && r.active == 0 && r.answer.is_none() && !r.cancelled;
+            if not_started { self.check_feasible(&r.spec).err() } else { None }
         };
         let found: Vec<(RequestNo, Error)> =
-            waits.filter_map(|no| never(&no).map(|e| (no, e))).collect();
+            queued.filter_map(|no| infeasibility(&no).map(|e| (no, e))).collect();
         for (no, e) in found {
             self.close_not_run(now, no, &e, out);
         }
@@ -149,8 +149,8 @@
     fn remove_old_answers(&mut self, now: Millis) {
         while let Some(&(at, no)) = self.kept_answers.front() {
             let old = now.since(at) >= self.policy.answer_retention;
-            let many = self.kept_answers.len() > self.policy.max_kept_answers;
-            if !old && !many {
+            let over_limit = self.kept_answers.len() > self.policy.max_kept_answers;
+            if !old && !over_limit {
                 return;
             }
             self.kept_answers.pop_front();
--- a/crates/hollowford-engine/src/worker.rs
+++ b/crates/hollowford-engine/src/worker.rs
@@ -22,9 +22,9 @@
 }
 
 impl HeldTask {
-    /// Returns when the task is expected to end. An overdue task is expected to run for
-    /// another half of the time since it was placed.
-    pub fn estimated_end(&self, now: Millis) -> Millis {
+    /// Returns when the task is expected to end, as estimated at `now`. An overdue task is
+    /// expected to run for another half of the time since it was placed.
+    pub fn expected_end_at(&self, now: Millis) -> Millis {
         if self.expected_end > now {
             return self.expected_end;
         }
