--- a/crates/hollowford-engine/src/engine.rs
+++ b/crates/hollowford-engine/src/engine.rs
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Returns the partition.
+    /// Returns the id of the engine's partition.
     pub fn partition(&self) -> PartitionId {
         self.partition
     }
--- a/crates/hollowford-engine/src/event.rs
+++ b/crates/hollowford-engine/src/event.rs
@@ -6,9 +6,9 @@
 /// One change of the partition's state, as stored in the ledger.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    /// The request that is changed.
+    /// Number of the request that is changed.
     pub request: RequestNo,
-    /// The change.
+    /// Kind and content of the change.
     pub change: Change,
 }
 
@@ -24,7 +24,7 @@
     },
     /// An attempt was placed on a worker; its start is sent once this record is durable.
     Intent {
-        /// The attempt.
+        /// The task and the number of the attempt.
         task: TaskId,
         /// The worker that is to run it.
         worker: InstanceId,
@@ -33,14 +33,14 @@
     },
     /// The attempt was never started and the task is waiting again.
     Withdrawn {
-        /// The attempt.
+        /// The task and the number of the attempt.
         task: TaskId,
     },
     /// The attempt ended.
     Ended {
-        /// The attempt.
+        /// The task and the number of the attempt.
         task: TaskId,
-        /// How it ended.
+        /// How the attempt ended.
         end: TaskEnd,
     },
     /// The caller cancelled the request.
@@ -49,7 +49,7 @@
     Close(FinalAnswer),
     /// The task is waiting for another attempt.
     Queued {
-        /// The last attempt.
+        /// The task and the number of its last attempt.
         task: TaskId,
         /// Failed attempts of the task.
         failures: u32,
@@ -108,7 +108,7 @@
 /// The final answer to a request, without the results of its tasks.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FinalAnswer {
-    /// The outcome.
+    /// How the request ended.
     pub outcome: Outcome,
     /// Stable name of the error kind; empty if there is no error.
     pub reason: Arc<str>,
@@ -125,14 +125,14 @@
     Append {
         /// Position of the record; starts at 1 and has no gaps.
         seq: u64,
-        /// The record.
+        /// The record to append.
         record: Record,
     },
     /// Send a start to a worker.
     Start {
         /// The worker that is to run it.
         worker: InstanceId,
-        /// The attempt.
+        /// The task and the number of the attempt.
         task: TaskId,
         /// Reading of the worker's clock at which the lease ends.
         lease_until: u64,
@@ -145,7 +145,7 @@
     },
     /// Renew the leases of all tasks of a worker, except fixed ones.
     Renew {
-        /// The worker.
+        /// The worker whose leases are renewed.
         worker: InstanceId,
         /// Reading of the worker's clock at which the leases end.
         lease_until: u64,
@@ -154,7 +154,7 @@
     Stop {
         /// The worker that runs it.
         worker: InstanceId,
-        /// The attempt.
+        /// The task and the number of the attempt.
         task: TaskId,
         /// Whether to save a checkpoint.
         checkpoint: bool,
@@ -163,14 +163,14 @@
     Forget {
         /// The worker that reported it.
         worker: InstanceId,
-        /// The attempt.
+        /// The task and the number of the attempt.
         task: TaskId,
     },
     /// Limit a task to the CPU time that it declared.
     Throttle {
         /// The worker that runs it.
         worker: InstanceId,
-        /// The attempt.
+        /// The task and the number of the attempt.
         task: TaskId,
         /// Limit in thousandths of a core.
         cpu_milli: u32,
@@ -208,7 +208,7 @@
 /// A task that a worker is running at the time of a claim.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClaimedTask {
-    /// The attempt.
+    /// The task and the number of the attempt.
     pub task: TaskId,
     /// Resources that it occupies.
     pub resources: Resources,
@@ -217,18 +217,18 @@
 /// A worker's report of an attempt's end.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndReport {
-    /// The attempt.
+    /// The task and the number of the attempt.
     pub task: TaskId,
-    /// How it ended.
+    /// How the attempt ended.
     pub end: TaskEnd,
-    /// Run time.
+    /// Run time of the attempt.
     pub ran: Millis,
 }
 
 /// Measured resource usage of a running task.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TaskUsage {
-    /// The attempt.
+    /// The task and the number of the attempt.
     pub task: TaskId,
     /// CPU usage in thousandths of a core.
     pub cpu_milli: u32,
--- a/crates/hollowford-engine/src/request.rs
+++ b/crates/hollowford-engine/src/request.rs
@@ -95,7 +95,7 @@
     }
 }
 
-/// One task of a request.
+/// State and attempts of one task of a request.
 #[derive(Clone, Debug)]
 pub(crate) struct Task {
     pub state: TaskState,
--- a/crates/hollowford-engine/tests/common/worker.rs
+++ b/crates/hollowford-engine/tests/common/worker.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// A running task.
+/// A task that runs on the worker. Times are on its clock.
 #[derive(Clone, Debug)]
 pub struct Running {
     pub spec: Arc<Spec>,
--- a/crates/hollowford-engine/tests/loads/measure.rs
+++ b/crates/hollowford-engine/tests/loads/measure.rs
@@ -6,7 +6,7 @@
 
 const MAX_WAIT_MS: u64 = 3_600_000;
 
-/// Measurements of one run.
+/// Waiting times, packing and counters of one run.
 #[derive(Debug, Default)]
 pub struct Measures {
     waits: BTreeMap<Kind, Option<Histogram<u64>>>,
--- a/crates/hollowford-engine/tests/loads/workloads.rs
+++ b/crates/hollowford-engine/tests/loads/workloads.rs
@@ -6,7 +6,7 @@
 /// Jobs in [`wrong_declarations`] that fit on no worker.
 pub const IMPOSSIBLE_JOBS: usize = 20;
 
-/// A request.
+/// A request that a client account submits.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// Submission time in milliseconds.
