--- a/crates/hollowford-engine/benches/decisions.rs
+++ b/crates/hollowford-engine/benches/decisions.rs
@@ -1,8 +1,9 @@
-//! Time per decision over workers and queue length, beside first-fit FIFO.
+//! Time for each placement by number of workers and queue length, compared with a first-fit
+//! FIFO scheduler.
 //!
-//! A decision here is everything that one placement costs the engine in a full
-//! cell: a task's end, the pass that fills its room, the intent made durable, the
-//! start sent, and the report that it runs. `cargo bench -p hollowford-engine`.
+//! Measures everything that one placement costs the engine in a full cell: the end of a task,
+//! the pass that fills its room, the durable intent, the start, and the report that the task
+//! runs. Run with `cargo bench -p hollowford-engine --bench decisions`.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -10,23 +11,24 @@
 use hollowford_core::prelude::*;
 use hollowford_core::{Kind, Placement};
 use hollowford_engine::{
-    Action, Authority, Claim, EndReport, Engine, Listed, Policy, TaskEnd, TaskResult,
+    Action, Authority, ClaimReport, EndReport, Engine, Policy, TaskEnd, TaskResult, WorkerListing,
 };
 use std::collections::VecDeque;
 use std::time::Instant;
 
 const ACCOUNTS: usize = 20;
-const DECISIONS: usize = 20_000;
-const CAPACITY: Resources = Resources { cpu_milli: 16_000, memory_mib: 65_536, accelerators: 0 };
-/// Tasks of 500 to 1,000 mcpu, as at the letter's size: some 29 on a worker.
-const CPUS: [u32; 3] = [500, 500, 1_000];
-const TASKS: u32 = 10;
+const MEASURED_PLACEMENTS: usize = 20_000;
+const WORKER_CAPACITY: Resources =
+    Resources { cpu_milli: 16_000, memory_mib: 65_536, accelerators: 0 };
+/// CPU of the tasks in thousandths of a core. About 29 tasks fit on a worker.
+const TASK_CPU_MILLI: [u32; 3] = [500, 500, 1_000];
+const TASKS_PER_REQUEST: u32 = 10;
 
 fn spec(i: usize) -> Spec {
-    let cpu = CPUS[i % CPUS.len()];
+    let cpu = TASK_CPU_MILLI[i % TASK_CPU_MILLI.len()];
     Spec {
         kind: Kind::Batch,
-        tasks: TASKS,
+        tasks: TASKS_PER_REQUEST,
         per_task: Resources::new(cpu, cpu * 3, 0),
         run_time_ms: 5_000,
         repeatable: true,
@@ -50,28 +52,33 @@
         let policy = Policy {
             headroom: 0.0,
             queue_bound: 1_000_000,
-            keep_answers_max: 1_000,
+            max_kept_answers: 1_000,
             ..Policy::default()
         };
         let mut engine = Engine::new(PartitionId(0), Epoch(1), policy);
         let mut out = Vec::new();
         engine.activate(Millis(0), &mut out);
         let ids: Vec<InstanceId> = (0..workers).map(|i| format!("w{i}").as_str().into()).collect();
-        let listed: Vec<Listed> = ids
+        let listed: Vec<WorkerListing> = ids
             .iter()
-            .map(|id| Listed { id: id.clone(), zone: "z".into(), rack: "r".into(), leaving: false })
+            .map(|id| WorkerListing {
+                id: id.clone(),
+                zone: "z".into(),
+                rack: "r".into(),
+                leaving: false,
+            })
             .collect();
-        engine.listed(Millis(0), &listed, &mut out);
+        engine.set_worker_list(Millis(0), &listed, &mut out);
         for id in &ids {
-            let claim = Claim {
+            let claim = ClaimReport {
                 incarnation: 1,
                 clock: 1,
-                capacity: CAPACITY,
+                capacity: WORKER_CAPACITY,
                 leaving: false,
                 running: Vec::new(),
                 ended: Vec::new(),
             };
-            engine.claimed(Millis(0), id, &claim, &mut out);
+            engine.worker_claimed(Millis(0), id, &claim, &mut out);
         }
         Bench { engine, running: VecDeque::new(), submitted: 0, now: Millis(1) }
     }
@@ -83,64 +90,64 @@
         let key = RequestKey::new(&account, &format!("r{i}"));
         let mut out = Vec::new();
         self.engine.submit(self.now, &key, &spec(i), &mut out).unwrap();
-        self.carry_out(out);
+        self.execute(out);
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
+    fn execute(&mut self, actions: Vec<Action>) {
         let mut durable = 0;
         let mut out = Vec::new();
         for action in actions {
             match action {
                 Action::Append { seq, .. } => durable = seq,
                 Action::Start { worker, task, .. } => {
-                    self.engine.started(self.now, &worker, &task, &mut out);
+                    self.engine.task_started(self.now, &worker, &task, &mut out);
                     self.running.push_back((worker, task));
                 }
                 _ => {}
             }
         }
         if durable > 0 {
-            self.engine.durable(durable, &mut out);
+            self.engine.set_durable(durable, &mut out);
         }
         if !out.is_empty() {
-            self.carry_out(out);
+            self.execute(out);
         }
     }
 
     fn decide(&mut self) {
         let mut out = Vec::new();
         self.engine.decide(self.now, Authority::Full, &mut out);
-        self.carry_out(out);
+        self.execute(out);
     }
 
     fn fill(&mut self) {
         loop {
             self.decide();
             self.decide();
-            if !self.engine.has_more(self.now) {
+            if !self.engine.needs_decide(self.now) {
                 return;
             }
         }
     }
 
-    /// One task ends and the room is filled again.
-    fn turn(&mut self) {
+    /// Ends one task and fills the free room again.
+    fn replace_one_task(&mut self) {
         let (worker, task) = self.running.pop_front().unwrap();
         let report = EndReport { task, end: TaskEnd::Done(TaskResult::default()), ran: Millis(1) };
         let mut out = Vec::new();
-        self.engine.ended(self.now, &worker, &report, &mut out);
-        self.carry_out(out);
+        self.engine.task_ended(self.now, &worker, &report, &mut out);
+        self.execute(out);
         self.decide();
         self.decide();
     }
 }
 
-/// First-fit FIFO over the same turns, in nanoseconds a turn.
+/// Returns the time in nanoseconds that a first-fit FIFO scheduler takes to replace one task.
 fn fifo(workers: usize) -> f64 {
     let mut free = vec![Resources::default(); workers];
     let mut running: VecDeque<(usize, Resources)> = VecDeque::new();
     for (w, left) in free.iter_mut().enumerate() {
-        let mut room = CAPACITY;
+        let mut room = WORKER_CAPACITY;
         for i in 0.. {
             let r = spec(i).per_task;
             if !r.fits(&room) {
@@ -152,7 +159,7 @@
         *left = room;
     }
     let started = Instant::now();
-    for i in 0..DECISIONS {
+    for i in 0..MEASURED_PLACEMENTS {
         let (w, r) = running.pop_front().unwrap();
         free[w] = free[w].plus(&r);
         let need = spec(i).per_task;
@@ -161,12 +168,12 @@
             running.push_back((w, need));
         }
     }
-    started.elapsed().as_nanos() as f64 / DECISIONS as f64
+    started.elapsed().as_nanos() as f64 / MEASURED_PLACEMENTS as f64
 }
 
 fn run(workers: usize, queued: usize) {
     let mut bench = Bench::new(workers);
-    let fill = workers * 32 / TASKS as usize;
+    let fill = workers * 32 / TASKS_PER_REQUEST as usize;
     for _ in 0..fill {
         bench.submit();
     }
@@ -179,25 +186,25 @@
     let mut h = Histogram::<u64>::new_with_bounds(1, 1_000_000_000, 3).unwrap();
     let placed = bench.engine.stats().placed;
     let started = Instant::now();
-    for i in 0..DECISIONS {
-        // The queue stays as long as it is.
-        if i % TASKS as usize == 0 {
+    for i in 0..MEASURED_PLACEMENTS {
+        // Keep the length of the queue constant.
+        if i % TASKS_PER_REQUEST as usize == 0 {
             bench.submit();
         }
         let t = Instant::now();
-        bench.turn();
+        bench.replace_one_task();
         h.record(t.elapsed().as_nanos() as u64).unwrap();
     }
     let took = started.elapsed().as_secs_f64();
     let placed = bench.engine.stats().placed - placed;
-    let each = took * 1e9 / placed as f64;
+    let ns_per_placement = took * 1e9 / placed as f64;
     println!(
         "{workers:>7} {queued:>8} {running:>8} {:>12.0} {:>9.1} {:>9.1} {:>9.1} {:>10.1}",
         placed as f64 / took,
-        each / 1_000.0,
+        ns_per_placement / 1_000.0,
         h.value_at_quantile(0.5) as f64 / 1_000.0,
         h.value_at_quantile(0.99) as f64 / 1_000.0,
-        each / fifo(workers)
+        ns_per_placement / fifo(workers)
     );
 }
 
--- a/crates/hollowford-engine/src/recover.rs
+++ b/crates/hollowford-engine/src/recover.rs
@@ -1,14 +1,15 @@
-//! Recovery from the ledger, and snapshots of it.
+//! Recovery from the ledger, and snapshots of the state.
 
 use crate::engine::Engine;
 use crate::event::{Action, Change, FinalAnswer, Record, TaskEnd};
-use crate::place::held;
+use crate::placement::held_task;
 use crate::request::{Request, TaskState};
 use hollowford_core::{Epoch, InstanceId, Millis, RequestNo, TaskId};
 use std::sync::Arc;
 
 impl Engine {
-    /// Applies one record of the ledger, in order, before [`Engine::activate`].
+    /// Applies one record of the ledger. Called in the order of the ledger, before
+    /// [`Engine::activate`].
     pub fn replay(&mut self, now: Millis, record: Record) {
         let no = record.request;
         match record.change {
@@ -17,7 +18,7 @@
                 self.replay_intent(now, &task, &worker, incarnation);
             }
             Change::Withdrawn { task } => {
-                if self.detach(now, &task).is_some() {
+                if self.remove_from_worker(now, &task).is_some() {
                     self.replay_requeue(task);
                 }
             }
@@ -67,13 +68,13 @@
         r.active += 1;
         let t = &mut r.tasks[task.index as usize];
         t.attempt = task.attempt;
-        // The start may have been sent, so it counts as sent.
+        // The start may have been sent, so treat it as sent.
         t.state = TaskState::Starting(w);
         t.since = now;
-        let ends = self.accounts.get(r.account).expected_end(&r.spec, now);
-        let held = held(r, task.index, now, ends, incarnation);
+        let expected_end = self.accounts.get(r.account).expected_end(&r.spec, now);
+        let held = held_task(r, task.index, now, expected_end, incarnation);
         self.accounts.get_mut(r.account).used.add(&held.resources);
-        self.workers.hold(w, held);
+        self.workers.assign(w, held);
     }
 
     fn replay_requeue(&mut self, task: TaskId) {
@@ -85,18 +86,18 @@
     }
 
     fn replay_ended(&mut self, now: Millis, task: &TaskId, end: TaskEnd) {
-        // A snapshot has no intent before the end of a task.
-        if self.holder(task).is_none() {
-            self.take_waiting(task);
+        // In a snapshot, an ended task has no intent before its end.
+        if self.worker_of(task).is_none() {
+            self.end_waiting_task(task);
         }
-        self.detach(now, task);
+        self.remove_from_worker(now, task);
         if self.apply_end(task, end) {
             self.replay_requeue(*task);
         }
     }
 
-    /// Marks a waiting task as ended, with the attempt of a snapshot.
-    fn take_waiting(&mut self, task: &TaskId) {
+    /// Marks a waiting task as ended and sets its attempt.
+    fn end_waiting_task(&mut self, task: &TaskId) {
         let Some(r) = self.requests.get_mut(&task.request) else {
             return;
         };
@@ -130,42 +131,42 @@
         }
     }
 
-    /// Ends recovery: from now on this owner decides. Tasks with an intent are held
-    /// until their workers are claimed, or the earlier owner's leases have surely
-    /// ended.
+    /// Ends recovery and starts operation. Tasks with an intent stay on their workers until
+    /// these are claimed, or until every lease of an earlier owner has ended.
     pub fn activate(&mut self, now: Millis, out: &mut Vec<Action>) {
         let p = &self.policy;
-        let lapse_at = now + p.renewal_bound + p.task_lease + p.drift_margin;
+        let lease_expiry = now + p.renewal_bound + p.task_lease + p.drift_margin;
         for idx in 0..self.workers.len() as u32 {
-            self.workers.touch(idx).lapse_at = lapse_at;
+            self.workers.get_mut_unindexed(idx).lease_expiry = lease_expiry;
         }
         let mut open: Vec<RequestNo> =
             self.requests.values().filter(|r| r.answer.is_none()).map(|r| r.no).collect();
         open.sort_unstable();
         for no in open {
-            self.resume(now, no, out);
+            self.resume_request(now, no, out);
         }
-        self.feasible_checked = now;
-        self.dirty = true;
+        self.feasibility_checked_at = now;
+        self.needs_pass = true;
     }
 
-    /// Goes on with a request where an earlier owner stopped.
-    fn resume(&mut self, now: Millis, no: RequestNo, out: &mut Vec<Action>) {
+    /// Completes a gang restart or a close that an earlier owner did not finish.
+    fn resume_request(&mut self, now: Millis, no: RequestNo, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get_mut(&no) else {
             return;
         };
-        let broken = r.failed > 0 || r.unsure > 0 || (r.active > 0 && !r.waiting.is_empty());
-        if r.is_gang() && broken {
-            r.regroup = true;
+        let must_restart =
+            r.failed > 0 || r.uncertain > 0 || (r.active > 0 && !r.waiting.is_empty());
+        if r.is_gang() && must_restart {
+            r.restarting = true;
         }
-        self.finish_regroup(now, no, out);
+        self.finish_gang_restart(now, no, out);
         self.close_if_ended(now, no, out);
     }
 
-    /// Returns records that make the present state when they are replayed.
+    /// Returns records whose replay results in the current state.
     ///
-    /// What is not durable yet is contained as well; the caller writes the snapshot
-    /// after the records before it.
+    /// They include changes that are not durable yet, so the caller must write the snapshot
+    /// after all records that were appended before it.
     pub fn snapshot(&self) -> Vec<Record> {
         let mut requests: Vec<&Request> = self.requests.values().collect();
         requests.sort_unstable_by_key(|r| r.no);
@@ -200,7 +201,7 @@
                 let incarnation = held.map_or(0, |h| h.incarnation);
                 push(Change::Intent { task, worker: worker.id.clone(), incarnation });
             } else if t.state == TaskState::Ended {
-                push(Change::Ended { task, end: ended_as(r) });
+                push(Change::Ended { task, end: snapshot_end(r) });
             }
         }
         if r.cancelled {
@@ -208,13 +209,13 @@
         }
     }
 
-    /// Returns the epoch part of the first request number that this owner gives.
-    pub fn first_request(&self) -> RequestNo {
+    /// Returns the first request number that this owner assigns.
+    pub fn first_request_number(&self) -> RequestNo {
         RequestNo::new(Epoch(self.epoch.0), 1)
     }
 }
 
-/// Describes a request that has its final answer, with its results.
+/// Appends the records of a closed request, with its results.
 fn snapshot_ended(r: &Request, answer: &FinalAnswer, records: &mut Vec<Record>) {
     let mut push = |change| records.push(Record { request: r.no, change });
     push(Change::Accept { key: r.key.clone(), spec: r.spec.clone() });
@@ -228,9 +229,9 @@
     push(Change::Close(answer.clone()));
 }
 
-/// Describes an ended task without a result, so that its replay ends it again.
-fn ended_as(r: &Request) -> TaskEnd {
-    if r.unsure > 0 {
+/// Returns an end for an ended task without a result, so that a replay ends it again.
+fn snapshot_end(r: &Request) -> TaskEnd {
+    if r.uncertain > 0 {
         return TaskEnd::Lost;
     }
     if r.cancelled {
--- a/crates/hollowford-engine/src/submit.rs
+++ b/crates/hollowford-engine/src/submit.rs
@@ -1,4 +1,4 @@
-//! Commands of client accounts: submit and cancel.
+//! Commands of callers: submit and cancel.
 
 use crate::engine::Engine;
 use crate::event::{Action, Change, FinalAnswer, Outcome};
@@ -7,14 +7,14 @@
 use std::sync::Arc;
 
 impl Engine {
-    /// Accepts a request, or finds the one that has this key and body already.
+    /// Accepts a request, or returns the existing one with the same key and body.
     ///
-    /// The acceptance may be told once [`Engine::is_accepted`] says so.
+    /// The caller may be told once [`Engine::is_accepted`] returns true.
     ///
     /// # Errors
-    /// `Conflict` for a key in use with another body, `Unavailable` while the
-    /// ledger can't be written, `QueueFull`, `OverQuota` and `Impossible`. After an
-    /// error the request did not run.
+    /// `Conflict` if the key is in use with another body, `Unavailable` if the ledger
+    /// can't be written, `QueueFull`, `OverQuota` or `Impossible`. After an error the
+    /// request has not run.
     pub fn submit(
         &mut self,
         now: Millis,
@@ -22,11 +22,11 @@
         spec: &Spec,
         out: &mut Vec<Action>,
     ) -> Result<RequestNo, Error> {
-        if let Some(found) = self.find_same(key, spec) {
+        if let Some(found) = self.find_existing(key, spec) {
             return found;
         }
-        let unledgered = self.goes_unledgered(now, spec);
-        if let Err(e) = self.admit(key, spec, unledgered) {
+        let write_behind = self.may_write_behind(now, spec);
+        if let Err(e) = self.check_admission(key, spec, write_behind) {
             self.stats.refused += 1;
             return Err(e);
         }
@@ -38,56 +38,63 @@
         self.insert_request(no, key, spec, now);
         if let Some(r) = self.requests.get_mut(&no) {
             r.accepted_seq = seq;
-            r.unledgered = unledgered;
+            r.write_behind = write_behind;
         }
-        self.changed_when_durable(no, seq);
+        self.mark_changed_when_durable(no, seq);
         self.enqueue(no, false);
         Ok(no)
     }
 
-    fn find_same(&self, key: &RequestKey, spec: &Spec) -> Option<Result<RequestNo, Error>> {
+    fn find_existing(&self, key: &RequestKey, spec: &Spec) -> Option<Result<RequestNo, Error>> {
         let no = *self.keys.get(key)?;
         let r = self.requests.get(&no)?;
         if *r.spec == *spec {
             return Some(Ok(no));
         }
-        let message = format!("request {} exists with another body", key.id);
+        let message = format!("request {} exists with a different body", key.id);
         Some(Err(Error::new(ErrorKind::Conflict, message)))
     }
 
-    fn admit(&mut self, key: &RequestKey, spec: &Spec, unledgered: bool) -> Result<(), Error> {
-        let stalled = self.stalled && !unledgered;
+    fn check_admission(
+        &mut self,
+        key: &RequestKey,
+        spec: &Spec,
+        write_behind: bool,
+    ) -> Result<(), Error> {
+        let stalled = self.ledger_stalled && !write_behind;
         if stalled || self.next_seq - self.durable_seq > self.policy.unsynced_bound {
-            let message = "the ledger can't be written now; the request did not run";
+            let message = "the ledger can't be written; the request did not run";
             return Err(Error::new(ErrorKind::Unavailable, message));
         }
         let idx = self.accounts.intern(&key.account);
         let a = self.accounts.get(idx);
-        let own = if a.policy.max_queued > 0 {
+        let limit = if a.policy.max_queued > 0 {
             a.policy.max_queued
         } else {
             self.policy.account_queue_bound
         };
-        if a.open >= own || self.open >= self.policy.queue_bound {
-            let message = format!("{} requests are open already", a.open);
-            return Err(Error::new(ErrorKind::QueueFull, message).retry_after(self.drain_time()));
+        if a.open >= limit || self.open >= self.policy.queue_bound {
+            let message = format!("too many open requests; the client account has {}", a.open);
+            return Err(
+                Error::new(ErrorKind::QueueFull, message).retry_after(self.retry_delay_ms())
+            );
         }
         self.check_quota(idx, spec)?;
-        self.check_possible(spec)
+        self.check_feasible(spec)
     }
 
-    /// Guesses when a full queue has room again, in milliseconds.
-    fn drain_time(&self) -> u64 {
-        const SOONEST: u64 = 500;
-        const LATEST: u64 = 10_000;
-        SOONEST.saturating_add(u64::from(self.open) / 10).min(LATEST)
+    /// Estimates the time in milliseconds until a full queue has room again.
+    fn retry_delay_ms(&self) -> u64 {
+        const MIN_RETRY_MS: u64 = 500;
+        const MAX_RETRY_MS: u64 = 10_000;
+        MIN_RETRY_MS.saturating_add(u64::from(self.open) / 10).min(MAX_RETRY_MS)
     }
 
     fn check_quota(&self, idx: u32, spec: &Spec) -> Result<(), Error> {
         let a = self.accounts.get(idx);
-        let together = if spec.kind == Kind::Gang { spec.tasks } else { 1 };
+        let concurrent_tasks = if spec.kind == Kind::Gang { spec.tasks } else { 1 };
         let mut need = hollowford_core::Totals::default();
-        for _ in 0..together {
+        for _ in 0..concurrent_tasks {
             need.add(&spec.per_task);
         }
         let q = &a.policy.quota;
@@ -97,7 +104,8 @@
             || over(need.accelerators, q.accelerators)
         {
             let message = format!(
-                "it takes {} mcpu, {} MiB, {} accelerators at once; the quota is {}, {}, {}",
+                "the request needs {} mcpu, {} MiB, {} accelerators at once; \
+                 the quota is {}, {}, {}",
                 need.cpu_milli,
                 need.memory_mib,
                 need.accelerators,
@@ -110,7 +118,7 @@
         Ok(())
     }
 
-    /// Adds a request to the tables, without queueing it.
+    /// Adds a request to the tables without queueing it.
     pub(crate) fn insert_request(
         &mut self,
         no: RequestNo,
@@ -122,7 +130,7 @@
         let mut r = Request::new(no, key.clone(), spec, account);
         r.accepted_at = now;
         if r.spec.start_within_ms > 0 {
-            self.start_by.insert((now + Millis(r.spec.start_within_ms), no));
+            self.start_deadlines.insert((now + Millis(r.spec.start_within_ms), no));
         }
         self.accounts.get_mut(account).open += 1;
         self.open += 1;
@@ -130,10 +138,10 @@
         self.requests.insert(r);
     }
 
-    /// Cancels a request. The answer comes once its running tasks have stopped.
+    /// Cancels a request. It gets its final answer once its running tasks have stopped.
     ///
     /// # Errors
-    /// `NotFound` when the account has no such request.
+    /// `NotFound` if the account has no such request.
     pub fn cancel(
         &mut self,
         now: Millis,
@@ -141,15 +149,17 @@
         out: &mut Vec<Action>,
     ) -> Result<RequestNo, Error> {
         let Some(&no) = self.keys.get(key) else {
-            return Err(Error::new(ErrorKind::NotFound, format!("no request {}", key.id)));
+            return Err(Error::new(
+                ErrorKind::NotFound,
+                format!("request {} does not exist", key.id),
+            ));
         };
-        self.cancel_no(now, no, out);
+        self.cancel_request(now, no, out);
         Ok(no)
     }
 
-    /// Cancels every open request of the account that carries the label, in one
-    /// pass, and returns how many there were.
-    pub fn cancel_label(
+    /// Cancels all open requests of the account that have the label. Returns their number.
+    pub fn cancel_by_label(
         &mut self,
         now: Millis,
         account: &AccountId,
@@ -159,21 +169,22 @@
         let Some(idx) = self.accounts.find(account) else {
             return 0;
         };
-        let hit = |r: &&Request| {
+        let matches_label = |r: &&Request| {
             r.account == idx
                 && r.answer.is_none()
                 && !r.cancelled
                 && r.spec.labels.iter().any(|l| &**l == label)
         };
-        let mut nos: Vec<RequestNo> = self.requests.values().filter(hit).map(|r| r.no).collect();
+        let mut nos: Vec<RequestNo> =
+            self.requests.values().filter(matches_label).map(|r| r.no).collect();
         nos.sort_unstable();
         for no in &nos {
-            self.cancel_no(now, *no, out);
+            self.cancel_request(now, *no, out);
         }
         nos.len() as u32
     }
 
-    fn cancel_no(&mut self, now: Millis, no: RequestNo, out: &mut Vec<Action>) {
+    fn cancel_request(&mut self, now: Millis, no: RequestNo, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get_mut(&no) else {
             return;
         };
@@ -185,10 +196,10 @@
         self.drop_waiting(no);
         self.stop_all(now, no, false, out);
         self.close_if_ended(now, no, out);
-        self.changed(no, out);
+        self.mark_changed(no, out);
     }
 
-    /// Marks the tasks that wait as ended.
+    /// Marks all waiting tasks as ended.
     pub(crate) fn drop_waiting(&mut self, no: RequestNo) {
         let Some(r) = self.requests.get_mut(&no) else {
             return;
@@ -198,7 +209,7 @@
         }
     }
 
-    /// Withdraws a request's placed tasks and stops those that may run.
+    /// Withdraws the placed tasks of a request and stops those that may be running.
     pub(crate) fn stop_all(
         &mut self,
         now: Millis,
@@ -217,7 +228,7 @@
         }
     }
 
-    /// Gives a request that never ran its final answer.
+    /// Closes a request that never ran. Its outcome is `NotRun`.
     pub(crate) fn close_not_run(
         &mut self,
         now: Millis,
--- a/crates/hollowford-engine/src/worker.rs
+++ b/crates/hollowford-engine/src/worker.rs
@@ -1,71 +1,75 @@
-//! Workers, what they hold, and the index by which room is found.
+//! Workers, the tasks that they hold, and an index of workers by free resources.
 
 use hollowford_core::{InstanceId, Millis, RequestNo, Resources, TaskId, Totals};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// Position of a worker in the engine's table.
+/// Index of a worker in the engine's table.
 pub(crate) type WorkerIdx = u32;
 
-/// A task that a worker holds.
+/// A task that is placed on a worker.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Held {
+pub(crate) struct HeldTask {
     pub task: TaskId,
     pub resources: Resources,
-    /// Incarnation of the worker when the intent was written.
+    /// Incarnation of the worker when the task was placed.
     pub incarnation: u64,
     pub preemptible: bool,
-    /// When it was placed.
-    pub since: Millis,
-    /// When the task is expected to end; `Millis::MAX`: not known, or a service.
-    pub ends: Millis,
+    /// When the task was placed.
+    pub placed_at: Millis,
+    /// When the task is expected to end; `Millis::MAX` if unknown or a service.
+    pub expected_end: Millis,
 }
 
-impl Held {
-    /// Returns when the task is expected to end, seen from `now`. One that has run
-    /// past its time is expected to run half as long again.
-    pub fn ends_by(&self, now: Millis) -> Millis {
-        if self.ends > now {
-            return self.ends;
+impl HeldTask {
+    /// Returns when the task is expected to end, as estimated at `now`. An overdue task is
+    /// expected to run for another half of the time since it was placed.
+    pub fn expected_end_at(&self, now: Millis) -> Millis {
+        if self.expected_end > now {
+            return self.expected_end;
         }
-        now + Millis(now.since(self.since).0 / 2 + 1)
+        now + Millis(now.since(self.placed_at).0 / 2 + 1)
     }
 }
 
-/// One worker.
+/// A worker and the tasks that it holds.
 #[derive(Debug)]
 pub(crate) struct Worker {
     pub id: InstanceId,
     pub zone: Arc<str>,
     pub rack: Arc<str>,
+    /// Whether the platform's list has the instance.
     pub listed: bool,
+    /// Whether the instance is about to be removed.
     pub leaving: bool,
-    /// Claimed by this owner, with a session that stands.
+    /// Whether this owner has claimed the worker and the session is open.
     pub claimed: bool,
     pub incarnation: u64,
     pub capacity: Resources,
     pub free: Resources,
-    pub held: Vec<Held>,
-    /// Tasks that the worker runs but the ledger doesn't know; they are being stopped.
-    pub foreign: Vec<Held>,
+    pub held: Vec<HeldTask>,
+    /// Tasks that run on the worker without an intent in the ledger; they are being stopped.
+    pub foreign: Vec<HeldTask>,
     /// The worker's clock in its last report.
     pub clock: u64,
-    /// This process's clock when that report came.
-    pub clock_at: Millis,
-    /// When every lease given to this worker has surely ended.
-    pub lapse_at: Millis,
+    /// Time on the owner's clock at which that report arrived.
+    pub clock_read_at: Millis,
+    /// Time on the owner's clock by which every lease of this worker has ended.
+    pub lease_expiry: Millis,
+    /// When the leases were last renewed.
     pub renewed_at: Millis,
-    /// Different requests that failed here since the last success.
-    pub fails: Vec<RequestNo>,
-    /// Put aside until this time.
-    pub aside_until: Option<Millis>,
-    /// Times it was put aside without a success since.
-    pub aside_count: u32,
-    /// Back from being put aside: takes one task at a time until one succeeds.
+    /// Distinct requests that failed on this worker since its last success.
+    pub failed_requests: Vec<RequestNo>,
+    /// End of the quarantine, if the worker is in quarantine.
+    pub quarantined_until: Option<Millis>,
+    /// Quarantines since the last success.
+    pub quarantine_count: u32,
+    /// After a quarantine: the worker gets one task at a time until one succeeds.
     pub probing: bool,
-    /// Kept for a gang.
+    /// Gang that the worker is reserved for.
     pub reserved_for: Option<RequestNo>,
-    indexed: Option<(u32, bool)>,
+    /// Entry in the index: free CPU and whether accelerators are free.
+    index_entry: Option<(u32, bool)>,
 }
 
 impl Worker {
@@ -83,37 +87,37 @@
             held: Vec::new(),
             foreign: Vec::new(),
             clock: 0,
-            clock_at: Millis(0),
-            lapse_at: Millis(0),
+            clock_read_at: Millis(0),
+            lease_expiry: Millis(0),
             renewed_at: Millis(0),
-            fails: Vec::new(),
-            aside_until: None,
-            aside_count: 0,
+            failed_requests: Vec::new(),
+            quarantined_until: None,
+            quarantine_count: 0,
             probing: false,
             reserved_for: None,
-            indexed: None,
+            index_entry: None,
         }
     }
 
-    /// Tells whether new work may go here.
-    pub fn usable(&self) -> bool {
-        self.claimed && self.listed && !self.leaving && self.aside_until.is_none()
+    /// Returns true if the worker may get new tasks.
+    pub fn is_usable(&self) -> bool {
+        self.claimed && self.listed && !self.leaving && self.quarantined_until.is_none()
     }
 
-    /// Tells whether a probing worker has its one task already.
-    pub fn probe_taken(&self) -> bool {
+    /// Returns true if the worker is probing and has a task.
+    pub fn has_probe_task(&self) -> bool {
         self.probing && !self.held.is_empty()
     }
 
-    /// Returns the sum of what could be displaced.
+    /// Returns the sum of the resources of preemptible tasks.
     pub fn preemptible(&self) -> Resources {
-        let sum = |a: Resources, h: &Held| {
+        let sum = |a: Resources, h: &HeldTask| {
             if h.preemptible { a.plus(&h.resources) } else { a }
         };
         self.held.iter().fold(Resources::default(), sum)
     }
 
-    fn recount(&mut self) {
+    fn update_free(&mut self) {
         let held = self.held.iter().chain(&self.foreign);
         let used = held.fold(Resources::default(), |a, h| a.plus(&h.resources));
         self.free = self.capacity.minus(&used);
@@ -125,19 +129,20 @@
 pub(crate) struct Workers {
     list: Vec<Worker>,
     by_id: HashMap<InstanceId, WorkerIdx>,
-    /// Usable workers without and with free accelerators, by free processors.
-    rooms: [BTreeSet<(u32, WorkerIdx)>; 2],
-    /// How many workers there are of each capacity that could ever be used.
-    capacities: BTreeMap<Resources, u32>,
-    /// Sum of the capacities.
-    pub whole: Totals,
-    /// Sum of what is free on usable workers.
+    /// Usable workers by free CPU: without free accelerators, and with free accelerators.
+    by_free_cpu: [BTreeSet<(u32, WorkerIdx)>; 2],
+    /// Number of claimed, listed and not leaving workers for each capacity.
+    capacity_counts: BTreeMap<Resources, u32>,
+    /// Total capacity of these workers.
+    pub total_capacity: Totals,
+    /// Total free resources of usable workers.
     pub free: Totals,
-    pub aside: u32,
+    /// Workers in quarantine.
+    pub quarantined: u32,
 }
 
 impl Workers {
-    /// Finds a worker, or adds an unclaimed one.
+    /// Returns the index of a worker; adds it as unclaimed if it is new.
     pub fn intern(&mut self, id: &InstanceId) -> WorkerIdx {
         if let Some(&idx) = self.by_id.get(id) {
             return idx;
@@ -164,27 +169,27 @@
         self.list.len()
     }
 
-    pub fn capacities(&self) -> &BTreeMap<Resources, u32> {
-        &self.capacities
+    pub fn capacity_counts(&self) -> &BTreeMap<Resources, u32> {
+        &self.capacity_counts
     }
 
-    /// Changes a worker and brings the index and the sums up to date.
+    /// Changes a worker and updates the index and the totals.
     pub fn update<R>(&mut self, idx: WorkerIdx, change: impl FnOnce(&mut Worker) -> R) -> R {
         self.unindex(idx);
         let w = &mut self.list[idx as usize];
         let out = change(w);
-        w.recount();
+        w.update_free();
         self.index(idx);
         out
     }
 
-    /// Changes what the index doesn't depend on.
-    pub fn touch(&mut self, idx: WorkerIdx) -> &mut Worker {
+    /// Returns a worker for changes that affect neither the index nor the totals.
+    pub fn get_mut_unindexed(&mut self, idx: WorkerIdx) -> &mut Worker {
         &mut self.list[idx as usize]
     }
 
-    /// Gives a task to a worker, or takes the room for it.
-    pub fn hold(&mut self, idx: WorkerIdx, held: Held) {
+    /// Adds a task to a worker and takes its resources from the free ones.
+    pub fn assign(&mut self, idx: WorkerIdx, held: HeldTask) {
         self.unindex(idx);
         let w = &mut self.list[idx as usize];
         w.free = w.free.minus(&held.resources);
@@ -192,21 +197,21 @@
         self.index(idx);
     }
 
-    /// Takes a task off a worker.
-    pub fn release(&mut self, idx: WorkerIdx, task: &TaskId) -> Option<Held> {
+    /// Removes a task from a worker and returns it.
+    pub fn release(&mut self, idx: WorkerIdx, task: &TaskId) -> Option<HeldTask> {
         let at = self.list[idx as usize].held.iter().position(|h| h.task == *task)?;
         Some(self.update(idx, |w| w.held.swap_remove(at)))
     }
 
     fn unindex(&mut self, idx: WorkerIdx) {
         let w = &mut self.list[idx as usize];
-        if let Some((cpu, accelerated)) = w.indexed.take() {
-            self.rooms[usize::from(accelerated)].remove(&(cpu, idx));
+        if let Some((cpu, accelerated)) = w.index_entry.take() {
+            self.by_free_cpu[usize::from(accelerated)].remove(&(cpu, idx));
             self.free.sub(&w.free);
         }
         if w.claimed && w.listed && !w.leaving {
-            self.whole.sub(&w.capacity);
-            if let Some(n) = self.capacities.get_mut(&w.capacity) {
+            self.total_capacity.sub(&w.capacity);
+            if let Some(n) = self.capacity_counts.get_mut(&w.capacity) {
                 *n -= 1;
             }
         }
@@ -214,30 +219,30 @@
 
     fn index(&mut self, idx: WorkerIdx) {
         let w = &mut self.list[idx as usize];
-        if w.usable() {
+        if w.is_usable() {
             let entry = (w.free.cpu_milli, w.free.accelerators > 0);
-            self.rooms[usize::from(entry.1)].insert((entry.0, idx));
+            self.by_free_cpu[usize::from(entry.1)].insert((entry.0, idx));
             self.free.add(&w.free);
-            w.indexed = Some(entry);
+            w.index_entry = Some(entry);
         }
         if w.claimed && w.listed && !w.leaving {
-            self.whole.add(&w.capacity);
-            *self.capacities.entry(w.capacity).or_insert(0) += 1;
+            self.total_capacity.add(&w.capacity);
+            *self.capacity_counts.entry(w.capacity).or_insert(0) += 1;
         }
     }
 
-    /// Returns usable workers with room, those with the least free processors
-    /// first; workers with free accelerators come last for work that needs none.
+    /// Returns usable workers that have room, those with the least free CPU first. For a
+    /// task without accelerators, workers with free accelerators come last.
     pub fn with_room<'a>(&'a self, need: &'a Resources) -> impl Iterator<Item = WorkerIdx> + 'a {
-        let plain = if need.accelerators == 0 { Some(&self.rooms[0]) } else { None };
-        let sets = plain.into_iter().chain([&self.rooms[1]]);
+        let plain = if need.accelerators == 0 { Some(&self.by_free_cpu[0]) } else { None };
+        let sets = plain.into_iter().chain([&self.by_free_cpu[1]]);
         sets.flat_map(|set| set.range((need.cpu_milli, 0)..))
             .map(|&(_, idx)| idx)
             .filter(|&idx| need.fits(&self.get(idx).free))
     }
 
-    /// Returns the workers that are usable.
+    /// Returns the usable workers.
     pub fn usable(&self) -> impl Iterator<Item = WorkerIdx> + '_ {
-        self.rooms.iter().flatten().map(|&(_, idx)| idx)
+        self.by_free_cpu.iter().flatten().map(|&(_, idx)| idx)
     }
 }
