--- a/crates/hollowford-server/src/accounts.rs
+++ b/crates/hollowford-server/src/accounts.rs
@@ -15,9 +15,9 @@
 
 pub(crate) const HEAD_KEY: &str = "config/head";
 pub(crate) const ACCOUNT_PREFIX: &str = "config/account/";
-pub(crate) const LOG_PREFIX: &str = "config/log/";
+pub(crate) const HISTORY_PREFIX: &str = "config/log/";
 /// Times that a change is tried again when only the head was in its way.
-const HEAD_TRIES: usize = 20;
+const MAX_HEAD_ATTEMPTS: usize = 20;
 
 /// Row `config/head`.
 #[derive(Clone, PartialEq, prost::Message)]
@@ -85,13 +85,13 @@
 
 /// All accounts, as of one change.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct AccountsInForce {
+pub(crate) struct ActiveAccounts {
     pub head: u64,
     pub accounts: HashMap<AccountId, Arc<AccountEntry>>,
     by_token: HashMap<String, AccountId>,
 }
 
-impl AccountsInForce {
+impl ActiveAccounts {
     /// Finds the account that a token names.
     pub fn by_token(&self, token: &str) -> Option<&AccountId> {
         self.by_token.get(&hash_token(token))
@@ -99,7 +99,7 @@
 
     /// Returns a copy with these accounts changed. An older version of an account
     /// never replaces a newer one.
-    pub fn with(&self, head: u64, entries: Vec<AccountEntry>) -> AccountsInForce {
+    pub fn with_changes(&self, head: u64, entries: Vec<AccountEntry>) -> ActiveAccounts {
         let mut next = self.clone();
         next.head = next.head.max(head);
         for entry in entries {
@@ -119,11 +119,11 @@
 
 /// When the configuration in force was last known to be the newest.
 #[derive(Debug, Default)]
-pub(crate) struct Freshness {
+pub(crate) struct ConfigFreshness {
     confirmed_at: AtomicU64,
 }
 
-impl Freshness {
+impl ConfigFreshness {
     /// Notes that what is in force was the newest at `at`.
     pub fn confirm(&self, at: Millis) {
         self.confirmed_at.fetch_max(at.0.max(1), Ordering::AcqRel);
@@ -152,12 +152,12 @@
     const MAX_NAME: usize = 64;
     const MAX_WEIGHT: u32 = 1_000;
     let invalid = |message: &str| Err(Error::new(ErrorKind::Invalid, message));
-    let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-    if account.is_empty() || account.len() > MAX_NAME || !account.chars().all(plain) {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+    if account.is_empty() || account.len() > MAX_NAME || !account.chars().all(is_allowed) {
         return invalid("account: 1 to 64 letters, digits, '-', '_' or '.'");
     }
-    let hex = |c: char| c.is_ascii_digit() || ('a'..='f').contains(&c);
-    if config.token_sha256.len() != 64 || !config.token_sha256.chars().all(hex) {
+    let is_lower_hex = |c: char| c.is_ascii_digit() || ('a'..='f').contains(&c);
+    if config.token_sha256.len() != 64 || !config.token_sha256.chars().all(is_lower_hex) {
         return invalid("config.token_sha256: 64 lower-case hex digits");
     }
     if config.weight == 0 || config.weight > MAX_WEIGHT {
@@ -166,7 +166,7 @@
     Ok(())
 }
 
-fn unavailable(e: &StoreError) -> Error {
+fn write_error(e: &StoreError) -> Error {
     match e {
         StoreError::Refused(_) => Error::new(ErrorKind::Internal, e.to_string()),
         StoreError::Unanswered(_) => {
@@ -196,8 +196,8 @@
         version: req.expected_version + 1,
         author: req.author.clone(),
     };
-    for _ in 0..HEAD_TRIES {
-        if let Some(head) = try_set(store, clock, &entry).await? {
+    for _ in 0..MAX_HEAD_ATTEMPTS {
+        if let Some(head) = try_set_account(store, clock, &entry).await? {
             return Ok((entry, head));
         }
     }
@@ -205,7 +205,7 @@
 }
 
 /// Returns `None` when only the head was in the way.
-async fn try_set(
+async fn try_set_account(
     store: &Platform,
     clock: &Clock,
     entry: &AccountEntry,
@@ -221,35 +221,35 @@
     if version + 1 != entry.version {
         if current.as_ref() == Some(entry) {
             // A change of ours whose reply was lost: it is in force.
-            return Ok(Some(head_of(row(HEAD_KEY)).1));
+            return Ok(Some(decode_head(row(HEAD_KEY)).1));
         }
         return Err(conflict(&entry.id, current.as_ref()));
     }
-    let (head_version, head) = head_of(row(HEAD_KEY));
-    let txn = set_txn(entry, &key, own.map_or(0, |r| r.version), head_version, head + 1, clock);
+    let (head_version, head) = decode_head(row(HEAD_KEY));
+    let txn = change_txn(entry, &key, own.map_or(0, |r| r.version), head_version, head + 1, clock);
     match store.txn(&txn).await {
         Ok(TxnResult::Committed(_)) => Ok(Some(head + 1)),
         Ok(TxnResult::Conflict(_)) => Ok(None),
-        Err(e) => settle_set(store, &key, entry).await.ok_or_else(|| unavailable(&e)).map(Some),
+        Err(e) => read_back(store, &key, entry).await.ok_or_else(|| write_error(&e)).map(Some),
     }
 }
 
 /// Reads back after a lost reply.
-async fn settle_set(store: &Platform, key: &str, entry: &AccountEntry) -> Option<u64> {
+async fn read_back(store: &Platform, key: &str, entry: &AccountEntry) -> Option<u64> {
     let rows = store.read(&[HEAD_KEY, key]).await.ok()?;
     let own = rows.iter().find(|r| r.key == key)?;
     let current = AccountEntry::from_row(entry.id.as_str(), &own.value.0)?;
-    (current == *entry).then(|| head_of(rows.iter().find(|r| r.key == HEAD_KEY)).1)
+    (current == *entry).then(|| decode_head(rows.iter().find(|r| r.key == HEAD_KEY)).1)
 }
 
-fn head_of(row: Option<&hollowford_platform::rows::Row>) -> (u64, u64) {
+fn decode_head(row: Option<&hollowford_platform::rows::Row>) -> (u64, u64) {
     row.map_or((0, 0), |r| {
         let head = HeadRow::decode(&r.value.0[..]).unwrap_or_default();
         (r.version, head.head)
     })
 }
 
-fn set_txn(
+fn change_txn(
     entry: &AccountEntry,
     key: &str,
     own_version: u64,
@@ -274,7 +274,7 @@
         .check(HEAD_KEY, head_version)
         .put(key, row.encode_to_vec())
         .put(HEAD_KEY, HeadRow { head }.encode_to_vec())
-        .put(format!("{LOG_PREFIX}{head:016x}"), change.encode_to_vec())
+        .put(format!("{HISTORY_PREFIX}{head:016x}"), change.encode_to_vec())
 }
 
 fn conflict(id: &AccountId, current: Option<&AccountEntry>) -> Error {
--- a/crates/hollowford-server/src/accounts_tests.rs
+++ b/crates/hollowford-server/src/accounts_tests.rs
@@ -1,6 +1,6 @@
 //! Configuration in force: versions only go up.
 
-use crate::accounts::{AccountEntry, AccountsInForce, hash_token};
+use crate::accounts::{AccountEntry, ActiveAccounts, hash_token};
 use hollowford_core::AccountId;
 use hollowford_protocol::v1;
 
@@ -11,9 +11,9 @@
 }
 
 #[test]
-fn a_read_that_comes_late_changes_nothing_back() {
-    let now = AccountsInForce::default().with(2, vec![entry(2, "new")]);
-    let late = now.with(1, vec![entry(1, "old")]);
+fn a_late_read_reverts_no_newer_version() {
+    let now = ActiveAccounts::default().with_changes(2, vec![entry(2, "new")]);
+    let late = now.with_changes(1, vec![entry(1, "old")]);
     assert_eq!(late.head, 2);
     assert_eq!(late.accounts[&AccountId::from("one")].version, 2);
     assert!(late.by_token("old").is_none());
@@ -21,8 +21,8 @@
 }
 
 #[test]
-fn a_replaced_token_is_no_longer_known() {
-    let now = AccountsInForce::default().with(1, vec![entry(1, "old")]);
-    let now = now.with(2, vec![entry(2, "new")]);
+fn a_replaced_token_is_no_longer_accepted() {
+    let now = ActiveAccounts::default().with_changes(1, vec![entry(1, "old")]);
+    let now = now.with_changes(2, vec![entry(2, "new")]);
     assert!(now.by_token("old").is_none());
 }
--- a/crates/hollowford-server/src/admin.rs
+++ b/crates/hollowford-server/src/admin.rs
@@ -12,7 +12,7 @@
 use tokio::sync::oneshot;
 
 /// Longest wait for the deciding thread's part of the state.
-const DUMP_TIMEOUT: Duration = Duration::from_secs(2);
+const STATE_TIMEOUT: Duration = Duration::from_secs(2);
 
 #[handler]
 async fn metrics(shared: Data<&Arc<Shared>>) -> Response {
@@ -43,25 +43,25 @@
 /// is not about to stop.
 #[handler]
 async fn readyz(shared: Data<&Arc<Shared>>) -> Response {
-    let known = shared.freshness.age(&shared.clock).is_some();
-    if known && !shared.is_stopping() {
+    let is_configured = shared.config_freshness.age(&shared.clock).is_some();
+    if is_configured && !shared.is_stopping() {
         return "ready".into_response();
     }
-    let why = if known { "stopping" } else { "the configuration was never read" };
-    Response::builder().status(StatusCode::SERVICE_UNAVAILABLE).body(why)
+    let reason = if is_configured { "stopping" } else { "the configuration was never read" };
+    Response::builder().status(StatusCode::SERVICE_UNAVAILABLE).body(reason)
 }
 
 #[handler]
 async fn state(shared: Data<&Arc<Shared>>) -> Response {
-    let text = dump(&shared).await.to_string();
+    let text = state_json(&shared).await.to_string();
     text.with_content_type("application/json").into_response()
 }
 
 /// Describes the state of the process. Secrets are left out.
-pub(crate) async fn dump(shared: &Shared) -> serde_json::Value {
+pub(crate) async fn state_json(shared: &Shared) -> serde_json::Value {
     let (tx, rx) = oneshot::channel();
-    let partitions = match shared.decide.push(DecideMsg::Dump(tx)) {
-        Ok(()) => tokio::time::timeout(DUMP_TIMEOUT, rx).await.ok().and_then(Result::ok),
+    let partitions = match shared.decide.push(DecideMsg::DumpState(tx)) {
+        Ok(()) => tokio::time::timeout(STATE_TIMEOUT, rx).await.ok().and_then(Result::ok),
         Err(_) => None,
     };
     let now = shared.clock.now();
@@ -70,9 +70,9 @@
         .all()
         .into_iter()
         .map(|(process, m)| {
-            let heard = m.heard_at.map(|at| now.since(at).0);
+            let heard_ms_ago = m.heard_at.map(|at| now.since(at).0);
             let v = serde_json::json!({
-                "addr": m.addr, "heard_ms_ago": heard, "leaving": m.leaving,
+                "addr": m.addr, "heard_ms_ago": heard_ms_ago, "leaving": m.leaving,
                 "config_head": m.config_head,
             });
             (process, v)
@@ -89,7 +89,7 @@
         "process": shared.settings.process, "zone": shared.settings.zone,
         "up_ms": now.0, "stopping": shared.is_stopping(),
         "config_head": shared.accounts.load().head,
-        "config_age_ms": shared.freshness.age(&shared.clock).map(|a| a.0),
+        "config_age_ms": shared.config_freshness.age(&shared.clock).map(|a| a.0),
         "calls_open": shared.calls_open.load(Ordering::Acquire),
         "store_reads": reads, "store_writes": writes,
         "decide_ring": shared.decide.len(), "members": members, "owners": owners,
--- a/crates/hollowford-server/src/decide/duty.rs
+++ b/crates/hollowford-server/src/decide/event_loop.rs
@@ -1,8 +1,8 @@
 //! The loop of the deciding thread.
 
-use super::owned::Owned;
-use super::waiters::refuse;
-use super::{DecideMsg, ReplyTo, Take, calls};
+use super::owned_partition::OwnedPartition;
+use super::waiting_calls::refuse;
+use super::{DecideMsg, ReplySender, TakenPartition, calls};
 use crate::ledger::LedgerItem;
 use crate::shared::Shared;
 use crate::workers::WorkerMsg;
@@ -14,37 +14,37 @@
 use tokio::sync::oneshot;
 
 /// How often leases, give-ups and retries are looked at.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// Messages taken before decisions are made and sent out.
-const BURST: usize = 512;
+const MAX_MESSAGES_PER_ROUND: usize = 512;
 
 /// The deciding thread's state.
-struct Duty {
+struct EventLoop {
     shared: Arc<Shared>,
-    owned: BTreeMap<PartitionId, Owned>,
+    owned: BTreeMap<PartitionId, OwnedPartition>,
 }
 
 /// Runs the deciding duty.
 pub(crate) async fn run(shared: Arc<Shared>) {
-    let mut duty = Duty { shared: shared.clone(), owned: BTreeMap::new() };
-    let mut ticks = tokio::time::interval(TICK);
+    let mut event_loop = EventLoop { shared: shared.clone(), owned: BTreeMap::new() };
+    let mut ticks = tokio::time::interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         let now = shared.clock.now();
-        let busy = duty.owned.values().any(|o| o.engine.has_more(now));
+        let busy = event_loop.owned.values().any(|o| o.engine.has_more(now));
         let ticked = tokio::select! {
             biased;
             _ = ticks.tick() => true,
             () = shared.decide.ready() => false,
             () = std::future::ready(()), if busy => false,
         };
-        duty.round(ticked).await;
+        event_loop.run_round(ticked).await;
     }
 }
 
-impl Duty {
-    async fn round(&mut self, ticked: bool) {
-        for _ in 0..BURST {
+impl EventLoop {
+    async fn run_round(&mut self, ticked: bool) {
+        for _ in 0..MAX_MESSAGES_PER_ROUND {
             match self.shared.decide.pop() {
                 Some(msg) => self.handle(msg).await,
                 None => break,
@@ -53,13 +53,13 @@
         let now = self.shared.clock.now();
         self.drop_deposed().await;
         for owned in self.owned.values_mut() {
-            owned.read_ledger();
+            owned.read_ledger_progress();
             if ticked {
                 owned.tick(now);
             }
             // The lease is read right before the starts are made.
             owned.decide(self.shared.clock.now());
-            owned.flush().await;
+            owned.send_actions().await;
         }
     }
 
@@ -67,56 +67,58 @@
         let now = self.shared.clock.now();
         match msg {
             DecideMsg::Call { call, reply } => self.call(now, *call, reply),
-            DecideMsg::Take(take) => self.take(now, *take).await,
+            DecideMsg::TakeOver(taken) => self.take_over(now, *taken).await,
             DecideMsg::Release { partition, done } => self.release(partition, done).await,
-            DecideMsg::Claimed { partition, worker, session, report } => {
+            DecideMsg::WorkerClaimed { partition, worker, session, report } => {
                 if let Some(owned) = self.owned.get_mut(&partition) {
-                    owned.claimed(now, worker, session, &report);
+                    owned.worker_claimed(now, worker, session, &report);
                 }
             }
-            DecideMsg::Report { partition, worker, session, report } => {
+            DecideMsg::WorkerReport { partition, worker, session, report } => {
                 if let Some(owned) = self.owned.get_mut(&partition) {
-                    owned.report(now, &worker, session, &report);
+                    owned.worker_reported(now, &worker, session, &report);
                 }
             }
-            DecideMsg::Lost { partition, worker, session } => {
+            DecideMsg::SessionEnded { partition, worker, session } => {
                 if let Some(owned) = self.owned.get_mut(&partition) {
-                    owned.lost(now, &worker, session);
+                    owned.session_ended(now, &worker, session);
                 }
             }
-            DecideMsg::Instances => self.instances(now).await,
-            DecideMsg::Accounts => self.owned.values_mut().for_each(Owned::take_accounts),
-            DecideMsg::Dump(reply) => {
-                let dump = self.owned.values().map(Owned::dump).collect();
+            DecideMsg::InstancesChanged => self.apply_instance_list(now).await,
+            DecideMsg::AccountsChanged => {
+                self.owned.values_mut().for_each(OwnedPartition::apply_accounts)
+            }
+            DecideMsg::DumpState(reply) => {
+                let dump = self.owned.values().map(OwnedPartition::dump).collect();
                 // The caller may have gone.
                 let _ = reply.send(dump);
             }
         }
     }
 
-    fn call(&mut self, now: Millis, call: Call, reply: ReplyTo) {
+    fn call(&mut self, now: Millis, call: Call, reply: ReplySender) {
         match self.owned.get_mut(&PartitionId(call.partition)) {
-            Some(owned) => calls::carry_out(owned, now, call, reply),
+            Some(owned) => calls::execute_call(owned, now, call, reply),
             None => refuse(reply, ErrorKind::Moved, "this process does not own the partition"),
         }
     }
 
-    async fn take(&mut self, now: Millis, take: Take) {
-        let partition = take.partition;
-        let owned = Owned::new(&self.shared, take, now);
+    async fn take_over(&mut self, now: Millis, taken: TakenPartition) {
+        let partition = taken.partition;
+        let owned = OwnedPartition::new(&self.shared, taken, now);
         self.owned.insert(partition, owned);
-        self.instances(now).await;
+        self.apply_instance_list(now).await;
     }
 
     /// Takes in the instance list, and holds sessions with the workers on it.
-    async fn instances(&mut self, now: Millis) {
+    async fn apply_instance_list(&mut self, now: Millis) {
         let list = self.shared.instances.load_full();
         for (partition, owned) in &mut self.owned {
-            owned.take_instances(now, &list);
-            let msg = WorkerMsg::Hold {
+            owned.apply_instance_list(now, &list);
+            let msg = WorkerMsg::SetWorkers {
                 partition: *partition,
                 epoch: owned.engine.epoch(),
-                workers: owned.sessions_wanted(&list),
+                workers: owned.wanted_sessions(&list),
             };
             self.shared.workers.send(msg).await;
         }
@@ -125,27 +127,27 @@
     /// Stops to decide for a partition, and replies once its ledger is written.
     async fn release(&mut self, partition: PartitionId, done: oneshot::Sender<()>) {
         if let Some(mut owned) = self.owned.remove(&partition) {
-            owned.flush().await;
+            owned.send_actions().await;
             owned.ledger.ring.send(LedgerItem::Flush(done)).await;
-            self.let_go(partition, owned).await;
+            self.stop_partition(partition, owned).await;
         }
     }
 
     /// Lets go of partitions that another process has taken over.
     async fn drop_deposed(&mut self) {
-        let over = |o: &Owned| o.lease.has_ended() || o.ledger.deposed();
-        let gone: Vec<PartitionId> =
-            self.owned.iter().filter(|(_, o)| over(o)).map(|(p, _)| *p).collect();
-        for partition in gone {
+        let is_over = |o: &OwnedPartition| o.lease.has_ended() || o.ledger.is_deposed();
+        let ended: Vec<PartitionId> =
+            self.owned.iter().filter(|(_, o)| is_over(o)).map(|(p, _)| *p).collect();
+        for partition in ended {
             if let Some(owned) = self.owned.remove(&partition) {
                 owned.lease.end();
-                self.let_go(partition, owned).await;
+                self.stop_partition(partition, owned).await;
             }
         }
     }
 
-    async fn let_go(&mut self, partition: PartitionId, mut owned: Owned) {
-        owned.waiters.move_all();
-        self.shared.workers.send(WorkerMsg::Drop { partition }).await;
+    async fn stop_partition(&mut self, partition: PartitionId, mut owned: OwnedPartition) {
+        owned.waiting_calls.refuse_all_moved();
+        self.shared.workers.send(WorkerMsg::EndSessions { partition }).await;
     }
 }
--- a/crates/hollowford-server/src/decide/mod.rs
+++ b/crates/hollowford-server/src/decide/mod.rs
@@ -1,11 +1,11 @@
 //! The deciding duty: one thread that holds the engines of all owned partitions.
 
 mod calls;
-mod duty;
-mod owned;
-mod waiters;
+mod event_loop;
+mod owned_partition;
+mod waiting_calls;
 
-pub(crate) use duty::run;
+pub(crate) use event_loop::run;
 
 use crate::ledger::LedgerHandle;
 use crate::ownership::OwnerLease;
@@ -17,11 +17,11 @@
 use tokio::sync::oneshot;
 
 /// Answers one call.
-pub(crate) type ReplyTo = oneshot::Sender<Result<Said, Error>>;
+pub(crate) type ReplySender = oneshot::Sender<Result<Said, Error>>;
 
 /// A partition that this process has taken over.
 #[derive(Debug)]
-pub(crate) struct Take {
+pub(crate) struct TakenPartition {
     pub partition: PartitionId,
     pub lease: Arc<OwnerLease>,
     pub ledger: LedgerHandle,
@@ -32,21 +32,31 @@
 #[derive(Debug)]
 pub(crate) enum DecideMsg {
     /// A caller's call.
-    Call { call: Box<Call>, reply: ReplyTo },
+    Call { call: Box<Call>, reply: ReplySender },
     /// Start to decide for a partition.
-    Take(Box<Take>),
+    TakeOver(Box<TakenPartition>),
     /// Stop to decide for a partition, and reply once its ledger is written.
     Release { partition: PartitionId, done: oneshot::Sender<()> },
     /// A worker replied to the claim of this session.
-    Claimed { partition: PartitionId, worker: InstanceId, session: u64, report: Box<v1::Report> },
+    WorkerClaimed {
+        partition: PartitionId,
+        worker: InstanceId,
+        session: u64,
+        report: Box<v1::Report>,
+    },
     /// A worker of this session reported.
-    Report { partition: PartitionId, worker: InstanceId, session: u64, report: Box<v1::Report> },
+    WorkerReport {
+        partition: PartitionId,
+        worker: InstanceId,
+        session: u64,
+        report: Box<v1::Report>,
+    },
     /// The session with a worker ended.
-    Lost { partition: PartitionId, worker: InstanceId, session: u64 },
+    SessionEnded { partition: PartitionId, worker: InstanceId, session: u64 },
     /// The instance list was read again.
-    Instances,
+    InstancesChanged,
     /// The configuration in force has changed.
-    Accounts,
+    AccountsChanged,
     /// Describe the state of all owned partitions, as JSON.
-    Dump(oneshot::Sender<serde_json::Value>),
+    DumpState(oneshot::Sender<serde_json::Value>),
 }
--- a/crates/hollowford-server/src/decide/owned.rs
+++ b/crates/hollowford-server/src/decide/owned_partition.rs
@@ -1,13 +1,13 @@
 //! One owned partition: its engine, its waiting calls, and what goes out.
 
-use super::Take;
-use super::waiters::{Durably, Until, Waiter, Waiters};
+use super::TakenPartition;
+use super::waiting_calls::{DurableReply, WaitCondition, WaitingCall, WaitingCalls};
 use crate::codec;
 use crate::ledger::{LedgerHandle, LedgerItem};
 use crate::ownership::OwnerLease;
 use crate::shared::Shared;
 use crate::views::view_to_wire;
-use crate::workers::{Addressed, WorkerMsg};
+use crate::workers::{AddressedOrder, WorkerMsg};
 use hollowford_config::PartitionBy;
 use hollowford_core::{Error, ErrorKind, InstanceId, Millis, PartitionId, RequestNo, hash64};
 use hollowford_engine::{Action, Authority, Engine, Listed, Record, Stats};
@@ -18,50 +18,50 @@
 use std::sync::Arc;
 
 /// One owned partition.
-pub(super) struct Owned {
+pub(super) struct OwnedPartition {
     pub shared: Arc<Shared>,
     pub engine: Engine,
     pub lease: Arc<OwnerLease>,
     pub ledger: LedgerHandle,
-    pub waiters: Waiters,
+    pub waiting_calls: WaitingCalls,
     /// Session that stands with each claimed worker. Orders name it, so that none
     /// reaches a later session than the one it was decided for.
     pub sessions: HashMap<InstanceId, u64>,
-    pub out: Vec<Action>,
-    durable: u64,
-    counted: Stats,
-    since_snapshot: u64,
+    pub actions: Vec<Action>,
+    durable_seq: u64,
+    counted_stats: Stats,
+    records_since_snapshot: u64,
 }
 
-impl Owned {
+impl OwnedPartition {
     /// Replays what was recovered and starts to decide.
-    pub fn new(shared: &Arc<Shared>, take: Take, now: Millis) -> Owned {
+    pub fn new(shared: &Arc<Shared>, take: TakenPartition, now: Millis) -> OwnedPartition {
         let policy = shared.settings.policy.clone();
         let mut engine = Engine::new(take.partition, take.lease.epoch, policy);
-        let since_snapshot = take.records.len() as u64;
+        let records_since_snapshot = take.records.len() as u64;
         for record in take.records {
             engine.replay(now, record);
         }
-        let mut out = Vec::new();
-        engine.activate(now, &mut out);
-        let mut owned = Owned {
+        let mut actions = Vec::new();
+        engine.activate(now, &mut actions);
+        let mut owned = OwnedPartition {
             shared: shared.clone(),
             engine,
             lease: take.lease,
             ledger: take.ledger,
-            waiters: Waiters::default(),
+            waiting_calls: WaitingCalls::default(),
             sessions: HashMap::new(),
-            out,
-            durable: 0,
-            counted: Stats::default(),
-            since_snapshot,
+            actions,
+            durable_seq: 0,
+            counted_stats: Stats::default(),
+            records_since_snapshot,
         };
-        owned.take_accounts();
+        owned.apply_accounts();
         owned
     }
 
     /// Puts the client accounts' configuration in force.
-    pub fn take_accounts(&mut self) {
+    pub fn apply_accounts(&mut self) {
         let accounts = self.shared.accounts.load();
         for entry in accounts.accounts.values() {
             self.engine.set_account(&entry.id, entry.policy());
@@ -69,10 +69,11 @@
     }
 
     /// Takes in the instance list.
-    pub fn take_instances(&mut self, now: Millis, list: &[Instance]) {
+    pub fn apply_instance_list(&mut self, now: Millis, list: &[Instance]) {
         let s = &self.shared.settings;
         let partition = self.engine.partition();
-        let ours = |i: &&Instance| partition_of(i, s.partition_by, s.partitions) == partition;
+        let ours =
+            |i: &&Instance| partition_of_worker(i, s.partition_by, s.partitions) == partition;
         let listed: Vec<Listed> = list
             .iter()
             .filter(ours)
@@ -83,83 +84,95 @@
                 leaving: i.leaving,
             })
             .collect();
-        self.engine.listed(now, &listed, &mut self.out);
-        self.lose_unlisted(now, &listed);
+        self.engine.listed(now, &listed, &mut self.actions);
+        self.end_unlisted_sessions(now, &listed);
     }
 
     /// No session is held with workers that are gone from the list, so their tasks
     /// are settled when their leases have ended.
-    fn lose_unlisted(&mut self, now: Millis, listed: &[Listed]) {
+    fn end_unlisted_sessions(&mut self, now: Millis, listed: &[Listed]) {
         let ids: HashSet<&InstanceId> = listed.iter().map(|l| &l.id).collect();
         let gone: Vec<InstanceId> =
             self.sessions.keys().filter(|id| !ids.contains(id)).cloned().collect();
         for worker in gone {
             self.sessions.remove(&worker);
-            self.engine.lost(now, &worker, &mut self.out);
+            self.engine.lost(now, &worker, &mut self.actions);
         }
     }
 
     /// Takes in a worker's reply to a claim.
-    pub fn claimed(&mut self, now: Millis, worker: InstanceId, session: u64, report: &v1::Report) {
+    pub fn worker_claimed(
+        &mut self,
+        now: Millis,
+        worker: InstanceId,
+        session: u64,
+        report: &v1::Report,
+    ) {
         if let Some(v1::report::Report::Claimed(reply)) = &report.report {
             let claim = codec::claim_from_wire(reply, report.clock_ms);
             self.sessions.insert(worker.clone(), session);
-            self.engine.claimed(now, &worker, &claim, &mut self.out);
+            self.engine.claimed(now, &worker, &claim, &mut self.actions);
         }
     }
 
     /// Takes in a worker's report.
-    pub fn report(&mut self, now: Millis, worker: &InstanceId, session: u64, r: &v1::Report) {
+    pub fn worker_reported(
+        &mut self,
+        now: Millis,
+        worker: &InstanceId,
+        session: u64,
+        r: &v1::Report,
+    ) {
         use v1::report::Report;
         if self.sessions.get(worker) != Some(&session) {
             return;
         }
         self.engine.heard(now, worker, r.clock_ms);
-        let out = &mut self.out;
+        let actions = &mut self.actions;
         match &r.report {
             Some(Report::Started(v1::Started { task: Some(task) })) => {
-                self.engine.started(now, worker, &codec::task_from_wire(task), out);
+                self.engine.started(now, worker, &codec::task_from_wire(task), actions);
             }
             Some(Report::Ended(ended)) => {
                 if let Some(report) = codec::ended_from_wire(ended) {
-                    self.engine.ended(now, worker, &report, out);
+                    self.engine.ended(now, worker, &report, actions);
                 }
             }
             Some(Report::Refused(v1::Refused { task: Some(task), .. })) => {
-                self.engine.refused(now, worker, &codec::task_from_wire(task), out);
+                self.engine.refused(now, worker, &codec::task_from_wire(task), actions);
             }
             Some(Report::Usage(u)) => {
                 let tasks = codec::usage_from_wire(&u.tasks);
-                self.engine.usage(now, worker, u.leaving, &tasks, out);
+                self.engine.usage(now, worker, u.leaving, &tasks, actions);
             }
             _ => {}
         }
     }
 
     /// Notes that a session ended.
-    pub fn lost(&mut self, now: Millis, worker: &InstanceId, session: u64) {
+    pub fn session_ended(&mut self, now: Millis, worker: &InstanceId, session: u64) {
         if self.sessions.get(worker) == Some(&session) {
             self.sessions.remove(worker);
-            self.engine.lost(now, worker, &mut self.out);
+            self.engine.lost(now, worker, &mut self.actions);
         }
     }
 
     /// Reads how far the ledger has come.
-    pub fn read_ledger(&mut self) {
+    pub fn read_ledger_progress(&mut self) {
         // Without the lease nothing can be written either.
         let lapsed = self.authority(self.shared.clock.now()) != Authority::Full;
-        let stalled = self.ledger.stalled() || lapsed;
+        let stalled = self.ledger.is_stalled() || lapsed;
         self.engine.set_stalled(stalled);
-        let promised = if stalled { self.shared.promised_until() } else { Millis(0) };
-        self.engine.set_promised(promised);
-        let durable = self.ledger.durable();
-        if durable > self.durable {
-            self.durable = durable;
-            self.engine.durable(durable, &mut self.out);
-            for (what, reply) in self.waiters.take_durable(durable) {
-                let said = match what {
-                    Durably::View(no) => self.view(no).map(Said::View),
-                    Durably::Cancelled(cancelled) => {
+        let no_takeover_until = if stalled { self.shared.no_takeover_until() } else { Millis(0) };
+        self.engine.set_promised(no_takeover_until);
+        let durable_seq = self.ledger.durable_seq();
+        if durable_seq > self.durable_seq {
+            self.durable_seq = durable_seq;
+            self.engine.durable(durable_seq, &mut self.actions);
+            for (content, reply) in self.waiting_calls.take_durable(durable_seq) {
+                let said = match content {
+                    DurableReply::View(number) => self.view(number).map(Said::View),
+                    DurableReply::Cancelled(cancelled) => {
                         Ok(Said::Cancelled(v1::CancelByLabelReply { cancelled }))
                     }
                 };
@@ -170,8 +183,8 @@
     }
 
     /// Returns a request's view, as the entries get it.
-    pub fn view(&self, no: RequestNo) -> Result<ViewReply, Error> {
-        let view = self.engine.view(no);
+    pub fn view(&self, number: RequestNo) -> Result<ViewReply, Error> {
+        let view = self.engine.view(number);
         let view = view.ok_or_else(|| Error::new(ErrorKind::NotFound, "no such request"))?;
         Ok(view_to_wire(&view))
     }
@@ -179,18 +192,18 @@
     /// Decides what can be decided now.
     pub fn decide(&mut self, now: Millis) {
         let authority = self.authority(now);
-        self.engine.decide(now, authority, &mut self.out);
+        self.engine.decide(now, authority, &mut self.actions);
     }
 
     /// Does what is due at `now`.
     pub fn tick(&mut self, now: Millis) {
         let authority = self.authority(now);
-        self.engine.tick(now, authority, &mut self.out);
+        self.engine.tick(now, authority, &mut self.actions);
         if self.engine.is_stalled() {
-            self.waiters.give_up_durable(now);
+            self.waiting_calls.answer_expired(now);
         }
-        for no in self.waiters.requests() {
-            self.answer(no, |w| w.expires_at <= now || w.reply.is_closed());
+        for number in self.waiting_calls.requests() {
+            self.answer_waiting(number, |w| w.expires_at <= now || w.reply.is_closed());
         }
     }
 
@@ -200,52 +213,52 @@
     }
 
     /// Answers the waiting calls of a request that `ready` lets go.
-    pub fn answer(&mut self, no: RequestNo, ready: impl Fn(&Waiter) -> bool) {
-        for reply in self.waiters.take_ready(no, ready) {
+    pub fn answer_waiting(&mut self, number: RequestNo, ready: impl Fn(&WaitingCall) -> bool) {
+        for reply in self.waiting_calls.take_ready(number, ready) {
             // The caller may have gone.
-            let _ = reply.send(self.view(no).map(Said::View));
+            let _ = reply.send(self.view(number).map(Said::View));
         }
     }
 
     /// Answers the calls that wait for this change.
-    fn answer_changed(&mut self, no: RequestNo) {
-        let settled = self.engine.is_settled(no);
-        let version = self.engine.view(no).map_or(u64::MAX, |v| v.version);
-        self.answer(no, |w| match w.until {
-            Until::Above(v) => version > v,
-            Until::Settled => settled,
+    fn answer_changed_request(&mut self, number: RequestNo) {
+        let finished = self.engine.is_settled(number);
+        let version = self.engine.view(number).map_or(u64::MAX, |v| v.version);
+        self.answer_waiting(number, |w| match w.condition {
+            WaitCondition::VersionAbove(v) => version > v,
+            WaitCondition::Finished => finished,
         });
     }
 
     /// Sends out what was decided: records to the ledger, orders to the workers,
     /// answers to calls.
-    pub async fn flush(&mut self) {
+    pub async fn send_actions(&mut self) {
         let mut records = Vec::new();
         let mut seq = 0;
         let mut orders = Vec::new();
-        for action in std::mem::take(&mut self.out) {
+        for action in std::mem::take(&mut self.actions) {
             match action {
                 Action::Append { seq: s, record } => {
                     seq = s;
                     records.push(record);
                 }
-                Action::Changed(no) => self.answer_changed(no),
+                Action::Changed(number) => self.answer_changed_request(number),
                 Action::Waited { kind, waited, .. } => {
-                    self.shared.metrics.waited(kind, waited);
+                    self.shared.metrics.observe_first_start(kind, waited);
                 }
-                order => orders.extend(self.address(&order)),
+                order => orders.extend(self.address_order(&order)),
             }
         }
-        self.count();
-        self.append(seq, records).await;
+        self.update_metrics();
+        self.append_records(seq, records).await;
         if !orders.is_empty() {
             let partition = self.engine.partition();
-            self.shared.workers.send(WorkerMsg::Orders { partition, orders }).await;
+            self.shared.workers.send(WorkerMsg::SendOrders { partition, orders }).await;
         }
     }
 
     /// Gives an order the session that stands with its worker.
-    fn address(&self, action: &Action) -> Option<Addressed> {
+    fn address_order(&self, action: &Action) -> Option<AddressedOrder> {
         let worker = match action {
             Action::Start { worker, .. }
             | Action::Renew { worker, .. }
@@ -256,30 +269,30 @@
         };
         let session = *self.sessions.get(worker)?;
         let order = codec::order_to_wire(action)?;
-        Some(Addressed { worker: worker.clone(), session, order })
+        Some(AddressedOrder { worker: worker.clone(), session, order })
     }
 
-    async fn append(&mut self, seq: u64, records: Vec<Record>) {
+    async fn append_records(&mut self, seq: u64, records: Vec<Record>) {
         if records.is_empty() {
             return;
         }
-        self.since_snapshot += records.len() as u64;
+        self.records_since_snapshot += records.len() as u64;
         self.ledger.ring.send(LedgerItem::Records { seq, records }).await;
-        if self.since_snapshot >= self.shared.settings.store.snapshot_records {
-            self.since_snapshot = 0;
+        if self.records_since_snapshot >= self.shared.settings.store.snapshot_records {
+            self.records_since_snapshot = 0;
             let snapshot = self.engine.snapshot();
             self.ledger.ring.send(LedgerItem::Snapshot(snapshot)).await;
         }
     }
 
     /// Brings the metrics up to the engine's counters.
-    fn count(&mut self) {
+    fn update_metrics(&mut self) {
         let now = self.engine.stats();
         let m = &self.shared.metrics;
-        m.placed.inc_by(now.placed - self.counted.placed);
-        m.started.inc_by(now.started - self.counted.started);
-        m.preempted.inc_by(now.preempted - self.counted.preempted);
-        self.counted = now;
+        m.placed.inc_by(now.placed - self.counted_stats.placed);
+        m.started.inc_by(now.started - self.counted_stats.started);
+        m.preempted.inc_by(now.preempted - self.counted_stats.preempted);
+        self.counted_stats = now;
     }
 
     /// Describes the partition, with its sizes bounded.
@@ -315,8 +328,8 @@
             "partition": e.partition().0, "epoch": e.epoch().0,
             "authority": format!("{:?}", self.authority(now)),
             "requests_kept": kept, "requests_open": open, "waiting_tasks": e.waiting_tasks(),
-            "unsynced": e.unsynced(), "stalled": self.ledger.stalled(),
-            "waiting_calls": self.waiters.len(),
+            "unsynced": e.unsynced(), "stalled": self.ledger.is_stalled(),
+            "waiting_calls": self.waiting_calls.len(),
             "whole_cpu_milli": whole.cpu_milli, "free_cpu_milli": free.cpu_milli,
             "placed": s.placed, "started": s.started, "withdrawn": s.withdrawn, "done": s.done,
             "failed": s.failed, "lost": s.lost, "preempted": s.preempted, "refused": s.refused,
@@ -326,7 +339,7 @@
     }
 
     /// Returns the workers to hold sessions with, by address.
-    pub fn sessions_wanted(&self, list: &[Instance]) -> HashMap<InstanceId, String> {
+    pub fn wanted_sessions(&self, list: &[Instance]) -> HashMap<InstanceId, String> {
         let known: HashSet<&str> = self.engine.workers().map(|w| w.id).collect();
         let ours = list.iter().filter(|i| known.contains(i.id.as_str()));
         ours.map(|i| (i.id.as_str().into(), i.addr.clone())).collect()
@@ -334,7 +347,7 @@
 }
 
 /// Returns the partition that a worker belongs to.
-fn partition_of(i: &Instance, by: PartitionBy, count: u32) -> PartitionId {
+fn partition_of_worker(i: &Instance, by: PartitionBy, count: u32) -> PartitionId {
     let text = match by {
         PartitionBy::Instance => &i.id,
         PartitionBy::Zone => &i.zone,
--- a/crates/hollowford-server/src/entry/mod.rs
+++ b/crates/hollowford-server/src/entry/mod.rs
@@ -11,4 +11,4 @@
 pub(crate) use operator::OperatorService;
 pub(crate) use scheduler::SchedulerService;
 pub use tls::TlsError;
-pub(crate) use tls::{Reloading, encrypted};
+pub(crate) use tls::{ReloadingTlsConfig, accept_tls};
--- a/crates/hollowford-server/src/entry/operator.rs
+++ b/crates/hollowford-server/src/entry/operator.rs
@@ -2,8 +2,8 @@
 
 use super::auth;
 use super::status::to_status;
-use crate::accounts::{LOG_PREFIX, set_account};
-use crate::admin::dump;
+use crate::accounts::{HISTORY_PREFIX, set_account};
+use crate::admin::state_json;
 use crate::shared::Shared;
 use crate::watch::refresh_config;
 use hollowford_core::{Error, ErrorKind};
@@ -15,8 +15,8 @@
 use tonic::{Request, Response, Status};
 
 /// Changes in one reply when the operator doesn't say, and at most.
-const DEFAULT_HISTORY: u32 = 20;
-const MAX_HISTORY: u32 = 100;
+const DEFAULT_HISTORY_LIMIT: u32 = 20;
+const MAX_HISTORY_LIMIT: u32 = 100;
 
 /// The service of operators.
 #[derive(Clone, Debug)]
@@ -25,13 +25,13 @@
     pub store: Platform,
 }
 
-fn unread(e: impl std::fmt::Display) -> Error {
+fn store_unavailable(e: impl std::fmt::Display) -> Error {
     Error::new(ErrorKind::Unavailable, e.to_string())
 }
 
 impl OperatorService {
     async fn get_config(&self, req: &v1::GetConfigRequest) -> Result<v1::ConfigView, Error> {
-        refresh_config(&self.shared, &self.store).await.map_err(unread)?;
+        refresh_config(&self.shared, &self.store).await.map_err(store_unavailable)?;
         let accounts = self.shared.accounts.load();
         let found = accounts.accounts.get(&req.account.as_str().into());
         let none = || Error::new(ErrorKind::NotFound, format!("no account {:?}", req.account));
@@ -42,19 +42,23 @@
         let (entry, head) = set_account(&self.store, &self.shared.clock, req).await?;
         log::info!("config_head={head} account={} author={}", entry.id, entry.author);
         // Heartbeats tell the other processes; this one reads it now.
-        refresh_config(&self.shared, &self.store).await.map_err(unread)?;
+        refresh_config(&self.shared, &self.store).await.map_err(store_unavailable)?;
         Ok(entry.view())
     }
 
     async fn history(&self, limit: u32) -> Result<v1::ConfigHistoryReply, Error> {
         let limit = u64::from(match limit {
-            0 => DEFAULT_HISTORY,
-            n => n.min(MAX_HISTORY),
+            0 => DEFAULT_HISTORY_LIMIT,
+            n => n.min(MAX_HISTORY_LIMIT),
         });
-        refresh_config(&self.shared, &self.store).await.map_err(unread)?;
+        refresh_config(&self.shared, &self.store).await.map_err(store_unavailable)?;
         let head = self.shared.accounts.load().head;
-        let after = format!("{LOG_PREFIX}{:016x}", head.saturating_sub(limit));
-        let rows = self.store.scan(LOG_PREFIX, &after, limit as usize).await.map_err(unread)?;
+        let after = format!("{HISTORY_PREFIX}{:016x}", head.saturating_sub(limit));
+        let rows = self
+            .store
+            .scan(HISTORY_PREFIX, &after, limit as usize)
+            .await
+            .map_err(store_unavailable)?;
         let change =
             |r: &hollowford_platform::rows::Row| v1::ConfigChange::decode(&r.value.0[..]).ok();
         let mut changes: Vec<v1::ConfigChange> = rows.iter().filter_map(change).collect();
@@ -62,12 +66,12 @@
         Ok(v1::ConfigHistoryReply { changes })
     }
 
-    fn check<T>(&self, req: &Request<T>) -> Result<(), Status> {
+    fn check_operator<T>(&self, req: &Request<T>) -> Result<(), Status> {
         auth::operator(&self.shared, req.metadata()).map_err(|e| to_status(&e))
     }
 }
 
-fn finish<T>(result: Result<T, Error>) -> Result<Response<T>, Status> {
+fn to_response<T>(result: Result<T, Error>) -> Result<Response<T>, Status> {
     result.map(Response::new).map_err(|e| to_status(&e))
 }
 
@@ -77,32 +81,32 @@
         &self,
         req: Request<v1::GetConfigRequest>,
     ) -> Result<Response<v1::ConfigView>, Status> {
-        self.check(&req)?;
-        finish(OperatorService::get_config(self, req.get_ref()).await)
+        self.check_operator(&req)?;
+        to_response(OperatorService::get_config(self, req.get_ref()).await)
     }
 
     async fn set_config(
         &self,
         req: Request<v1::SetConfigRequest>,
     ) -> Result<Response<v1::ConfigView>, Status> {
-        self.check(&req)?;
-        finish(OperatorService::set_config(self, req.get_ref()).await)
+        self.check_operator(&req)?;
+        to_response(OperatorService::set_config(self, req.get_ref()).await)
     }
 
     async fn config_history(
         &self,
         req: Request<v1::ConfigHistoryRequest>,
     ) -> Result<Response<v1::ConfigHistoryReply>, Status> {
-        self.check(&req)?;
-        finish(self.history(req.get_ref().limit).await)
+        self.check_operator(&req)?;
+        to_response(self.history(req.get_ref().limit).await)
     }
 
     async fn drain(
         &self,
         req: Request<v1::DrainRequest>,
     ) -> Result<Response<v1::DrainReply>, Status> {
-        self.check(&req)?;
-        let partitions = self.shared.metrics.owned.get().max(0) as u32;
+        self.check_operator(&req)?;
+        let partitions = self.shared.metrics.partitions_owned.get().max(0) as u32;
         self.shared.stopping.send_replace(true);
         Ok(Response::new(v1::DrainReply { partitions }))
     }
@@ -111,8 +115,8 @@
         &self,
         req: Request<v1::StateRequest>,
     ) -> Result<Response<v1::StateReply>, Status> {
-        self.check(&req)?;
-        let json = dump(&self.shared).await.to_string();
+        self.check_operator(&req)?;
+        let json = state_json(&self.shared).await.to_string();
         Ok(Response::new(v1::StateReply { json }))
     }
 }
--- a/crates/hollowford-server/src/entry/router.rs
+++ b/crates/hollowford-server/src/entry/router.rs
@@ -12,15 +12,15 @@
 use tokio::sync::oneshot;
 
 /// Time after which a call that has met no owner is given up.
-const OWNER_WAIT: Millis = Millis(6_000);
+const OWNER_TIMEOUT: Millis = Millis(6_000);
 /// First and longest wait before a call is sent again.
-const RETRY_FIRST: Millis = Millis(5);
-const RETRY_MAX: Millis = Millis(100);
+const INITIAL_RETRY_DELAY: Millis = Millis(5);
+const MAX_RETRY_DELAY: Millis = Millis(100);
 /// Longest wait for an owner's reply, beyond the owner's own longest wait.
-const REPLY_WAIT: Millis = Millis(20_000);
+const REPLY_TIMEOUT: Millis = Millis(20_000);
 
 /// What came of one try.
-enum Tried {
+enum AttemptOutcome {
     Answered(Box<Result<Said, Error>>),
     /// It surely had no effect.
     NotSent(&'static str),
@@ -39,78 +39,78 @@
     account: &AccountId,
     op: &Op,
 ) -> Result<Said, Error> {
-    let give_up_at = shared.clock.now() + OWNER_WAIT;
-    let mut wait = RETRY_FIRST;
-    let mut maybe_done = false;
+    let deadline = shared.clock.now() + OWNER_TIMEOUT;
+    let mut delay = INITIAL_RETRY_DELAY;
+    let mut may_have_run = false;
     loop {
-        let why = match try_once(shared, partition, account, op.clone()).await {
-            Tried::Answered(answer) => match *answer {
+        let reason = match attempt(shared, partition, account, op.clone()).await {
+            AttemptOutcome::Answered(answer) => match *answer {
                 Err(e) if e.kind == ErrorKind::Moved => "moved",
                 answer => return answer,
             },
-            Tried::NotSent(why) => why,
-            Tried::NoAnswer(why) => {
-                maybe_done = true;
-                why
+            AttemptOutcome::NotSent(reason) => reason,
+            AttemptOutcome::NoAnswer(reason) => {
+                may_have_run = true;
+                reason
             }
         };
-        if shared.clock.now() >= give_up_at {
-            return Err(given_up(maybe_done));
+        if shared.clock.now() >= deadline {
+            return Err(timeout_error(may_have_run));
         }
-        shared.metrics.retries.with_label_values(&[why]).inc();
-        tokio::time::sleep(wait.duration()).await;
-        wait = Millis((wait.0 * 2).min(RETRY_MAX.0));
+        shared.metrics.retries.with_label_values(&[reason]).inc();
+        tokio::time::sleep(delay.duration()).await;
+        delay = Millis((delay.0 * 2).min(MAX_RETRY_DELAY.0));
     }
 }
 
-fn given_up(maybe_done: bool) -> Error {
-    if maybe_done {
+fn timeout_error(may_have_run: bool) -> Error {
+    if may_have_run {
         return Error::new(ErrorKind::Unknown, "the owner of the partition did not answer");
     }
     Error::new(ErrorKind::Unavailable, "no owner of the partition was met; nothing was done")
 }
 
-async fn try_once(
+async fn attempt(
     shared: &Arc<Shared>,
     partition: PartitionId,
     account: &AccountId,
     op: Op,
-) -> Tried {
+) -> AttemptOutcome {
     let Some(owner) = shared.owners.get(partition) else {
-        return Tried::NotSent("no_owner");
+        return AttemptOutcome::NotSent("no_owner");
     };
     let call =
         Box::new(Call { partition: partition.0, account: account.to_string(), op: Some(op) });
     if owner.process == shared.settings.process {
-        return try_here(shared, call).await;
+        return attempt_locally(shared, call).await;
     }
     let (reply, answer) = oneshot::channel();
     let msg = PeerMsg::Call { process: owner.process, call, reply };
     if shared.peers.push(msg).is_err() {
         shared.metrics.ring_full.with_label_values(&["peers"]).inc();
-        let full = Error::new(ErrorKind::QueueFull, "this entry takes no more calls now");
-        return Tried::Answered(Box::new(Err(full)));
+        let error = Error::new(ErrorKind::QueueFull, "this entry takes no more calls now");
+        return AttemptOutcome::Answered(Box::new(Err(error)));
     }
-    match tokio::time::timeout(REPLY_WAIT.duration(), answer).await {
+    match tokio::time::timeout(REPLY_TIMEOUT.duration(), answer).await {
         Ok(Ok(reply)) => match reply.said {
-            Some(Said::Refused(refused)) => Tried::Answered(Box::new(Err(refused.into()))),
-            Some(said) => Tried::Answered(Box::new(Ok(said))),
-            None => Tried::NoAnswer("empty"),
+            Some(Said::Refused(refused)) => AttemptOutcome::Answered(Box::new(Err(refused.into()))),
+            Some(said) => AttemptOutcome::Answered(Box::new(Ok(said))),
+            None => AttemptOutcome::NoAnswer("empty"),
         },
-        Ok(Err(_)) => Tried::NoAnswer("link"),
-        Err(_) => Tried::NoAnswer("silent"),
+        Ok(Err(_)) => AttemptOutcome::NoAnswer("link"),
+        Err(_) => AttemptOutcome::NoAnswer("silent"),
     }
 }
 
-async fn try_here(shared: &Arc<Shared>, call: Box<Call>) -> Tried {
+async fn attempt_locally(shared: &Arc<Shared>, call: Box<Call>) -> AttemptOutcome {
     let (reply, answer) = oneshot::channel();
     if shared.decide.push(DecideMsg::Call { call, reply }).is_err() {
         shared.metrics.ring_full.with_label_values(&["decide"]).inc();
-        let full = Error::new(ErrorKind::QueueFull, "the owner takes no more calls now");
-        return Tried::Answered(Box::new(Err(full)));
+        let error = Error::new(ErrorKind::QueueFull, "the owner takes no more calls now");
+        return AttemptOutcome::Answered(Box::new(Err(error)));
     }
     match answer.await {
-        Ok(answer) => Tried::Answered(Box::new(answer)),
-        Err(_) => Tried::NoAnswer("dropped"),
+        Ok(answer) => AttemptOutcome::Answered(Box::new(answer)),
+        Err(_) => AttemptOutcome::NoAnswer("dropped"),
     }
 }
--- a/crates/hollowford-server/src/entry/scheduler.rs
+++ b/crates/hollowford-server/src/entry/scheduler.rs
@@ -1,7 +1,7 @@
 //! The calls of client accounts.
 
 use super::auth;
-use super::results::{complete, read_whole};
+use super::results::{fill_in_results, read_result};
 use super::router::route;
 use super::status::to_status;
 use crate::shared::Shared;
@@ -17,11 +17,11 @@
 use tonic::{Request, Response, Status};
 
 /// Views and chunks that may wait for one caller.
-const STREAM_BOUND: usize = 4;
+const MAX_QUEUED_STREAM_ITEMS: usize = 4;
 /// Bytes in one chunk of a result.
-const CHUNK: usize = 256 * 1024;
+const FETCH_CHUNK_BYTES: usize = 256 * 1024;
 /// Requests in a page when the caller doesn't say, and at most.
-const DEFAULT_PAGE: u32 = 100;
+const DEFAULT_PAGE_SIZE: u32 = 100;
 
 /// The service of client accounts.
 #[derive(Clone, Debug)]
@@ -31,22 +31,22 @@
 }
 
 /// Counts a call as open until it is dropped.
-pub(crate) struct OpenCall(Arc<Shared>);
+pub(crate) struct OpenCallGuard(Arc<Shared>);
 
-impl OpenCall {
-    pub fn new(shared: &Arc<Shared>) -> OpenCall {
+impl OpenCallGuard {
+    pub fn new(shared: &Arc<Shared>) -> OpenCallGuard {
         shared.calls_open.fetch_add(1, Ordering::AcqRel);
-        OpenCall(shared.clone())
+        OpenCallGuard(shared.clone())
     }
 }
 
-impl Drop for OpenCall {
+impl Drop for OpenCallGuard {
     fn drop(&mut self) {
         self.0.calls_open.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
-fn unexpected() -> Error {
+fn unexpected_reply() -> Error {
     Error::new(ErrorKind::Internal, "the owner's reply does not fit the call")
 }
 
@@ -55,18 +55,18 @@
         RequestKey::new(account, id).partition(self.shared.settings.partitions)
     }
 
-    async fn ask(&self, account: &AccountId, id: &str, op: &Op) -> Result<ViewReply, Error> {
+    async fn call_owner(&self, account: &AccountId, id: &str, op: &Op) -> Result<ViewReply, Error> {
         check_request_id(id)?;
         let partition = self.partition(account, id);
         match route(&self.shared, partition, account, op).await? {
             Said::View(reply) => Ok(reply),
-            _ => Err(unexpected()),
+            _ => Err(unexpected_reply()),
         }
     }
 
     /// Asks again until the request is settled, or this process is to stop. The
     /// owner lets no call wait for long, so that no caller's leaving leaks a call.
-    async fn ask_settled(
+    async fn call_until_finished(
         &self,
         account: &AccountId,
         id: &str,
@@ -77,9 +77,9 @@
         let mut op = op.clone();
         while !*stopping.borrow() {
             tokio::select! {
-                answer = self.ask(account, id, &op) => {
+                answer = self.call_owner(account, id, &op) => {
                     let answer = answer?;
-                    if is_settled(&answer) {
+                    if is_wait_over(&answer) {
                         return Ok(answer);
                     }
                     reply = Some(answer);
@@ -95,9 +95,9 @@
             (Some(reply), _) => Ok(reply),
             (None, Op::Submit(req)) => {
                 let req = v1::SubmitRequest { wait: false, ..req.clone() };
-                self.ask(account, id, &Op::Submit(req)).await
+                self.call_owner(account, id, &Op::Submit(req)).await
             }
-            (None, _) => self.ask(account, id, &get_now(id)).await,
+            (None, _) => self.call_owner(account, id, &get_now(id)).await,
         }
     }
 
@@ -107,17 +107,17 @@
         check_request_id(&body.request_id)?;
         let spec = body.spec.as_ref();
         Spec::try_from(spec.ok_or_else(|| Error::new(ErrorKind::Invalid, "spec is missing"))?)?;
-        if !self.shared.config_stands() {
+        if !self.shared.is_config_usable() {
             let message = "the configuration can't be confirmed now; the request did not run";
             return Err(Error::new(ErrorKind::Unavailable, message));
         }
         let op = Op::Submit(body.clone());
         let reply = if body.wait {
-            self.ask_settled(&account, &body.request_id, &op).await?
+            self.call_until_finished(&account, &body.request_id, &op).await?
         } else {
-            self.ask(&account, &body.request_id, &op).await?
+            self.call_owner(&account, &body.request_id, &op).await?
         };
-        complete(&self.store, reply).await
+        fill_in_results(&self.store, reply).await
     }
 
     async fn get(&self, req: &Request<v1::GetRequest>) -> Result<v1::RequestView, Error> {
@@ -125,18 +125,18 @@
         let body = req.get_ref();
         let op = Op::Get(body.clone());
         let reply = if body.r#final {
-            self.ask_settled(&account, &body.request_id, &op).await?
+            self.call_until_finished(&account, &body.request_id, &op).await?
         } else {
-            self.ask(&account, &body.request_id, &op).await?
+            self.call_owner(&account, &body.request_id, &op).await?
         };
-        complete(&self.store, reply).await
+        fill_in_results(&self.store, reply).await
     }
 
     async fn cancel(&self, req: &Request<v1::CancelRequest>) -> Result<v1::RequestView, Error> {
         let account = auth::account(&self.shared, req.metadata())?;
         let op = Op::Cancel(req.get_ref().clone());
-        let reply = self.ask(&account, &req.get_ref().request_id, &op).await?;
-        complete(&self.store, reply).await
+        let reply = self.call_owner(&account, &req.get_ref().request_id, &op).await?;
+        fill_in_results(&self.store, reply).await
     }
 
     async fn cancel_by_label(
@@ -150,7 +150,7 @@
         for p in 0..self.shared.settings.partitions {
             match route(&self.shared, PartitionId(p), &account, &op).await? {
                 Said::Cancelled(reply) => cancelled += reply.cancelled,
-                _ => return Err(unexpected()),
+                _ => return Err(unexpected_reply()),
             }
         }
         Ok(v1::CancelByLabelReply { cancelled })
@@ -163,11 +163,11 @@
         for p in 0..self.shared.settings.partitions {
             match route(&self.shared, PartitionId(p), &account, &op).await? {
                 Said::List(reply) => requests.extend(reply.requests),
-                _ => return Err(unexpected()),
+                _ => return Err(unexpected_reply()),
             }
         }
         let limit = match req.get_ref().limit {
-            0 => DEFAULT_PAGE,
+            0 => DEFAULT_PAGE_SIZE,
             n => n,
         };
         requests.sort_by(|a, b| a.request_id.cmp(&b.request_id));
@@ -190,11 +190,11 @@
         let mut sent = 0;
         loop {
             let reply = tokio::select! {
-                reply = self.ask(account, id, &op) => reply?,
+                reply = self.call_owner(account, id, &op) => reply?,
                 _ = stopping.changed() => return Ok(()),
                 () = tx.closed() => return Ok(()),
             };
-            let view = complete(&self.store, reply).await?;
+            let view = fill_in_results(&self.store, reply).await?;
             let ended = view.answer.is_some();
             let version = view.version;
             // After a takeover versions may start lower; any difference is news.
@@ -215,17 +215,17 @@
     }
 
     async fn fetch(&self, account: &AccountId, req: &v1::FetchRequest) -> Result<Vec<u8>, Error> {
-        let reply = self.ask(account, &req.request_id, &get_now(&req.request_id)).await?;
+        let reply = self.call_owner(account, &req.request_id, &get_now(&req.request_id)).await?;
         let none = || Error::new(ErrorKind::NotFound, "the request has no such result");
         let answer = reply.view.and_then(|v| v.answer).ok_or_else(none)?;
         let r = answer.results.iter().find(|r| r.index == req.index).ok_or_else(none)?;
         match reply.objects.iter().find(|o| o.index == req.index) {
-            Some(object) => read_whole(&self.store, object, r).await,
+            Some(object) => read_result(&self.store, object, r).await,
             None => Ok(r.result.clone()),
         }
     }
 
-    fn finish<T>(&self, call: &str, result: Result<T, Error>) -> Result<Response<T>, Status> {
+    fn to_response<T>(&self, call: &str, result: Result<T, Error>) -> Result<Response<T>, Status> {
         let kind = result.as_ref().map_or_else(|e| e.kind.answer().name, |_| "ok");
         self.shared.metrics.calls.with_label_values(&[call, kind]).inc();
         result.map(Response::new).map_err(|e| to_status(&e))
@@ -240,7 +240,7 @@
     Op::Get(v1::GetRequest { request_id: id.to_owned(), after_version: 0, r#final: true })
 }
 
-fn is_settled(reply: &ViewReply) -> bool {
+fn is_wait_over(reply: &ViewReply) -> bool {
     // A service is settled when all of its tasks run.
     reply.view.as_ref().is_some_and(|v| {
         v.answer.is_some() || (v.queued == 0 && v.ended == 0 && v.running > 0 && v.is_service)
@@ -256,48 +256,48 @@
         &self,
         req: Request<v1::SubmitRequest>,
     ) -> Result<Response<v1::RequestView>, Status> {
-        let _open = OpenCall::new(&self.shared);
+        let _open = OpenCallGuard::new(&self.shared);
         let result = SchedulerService::submit(self, &req).await;
-        self.finish("submit", result)
+        self.to_response("submit", result)
     }
 
     async fn get(&self, req: Request<v1::GetRequest>) -> Result<Response<v1::RequestView>, Status> {
-        let _open = OpenCall::new(&self.shared);
+        let _open = OpenCallGuard::new(&self.shared);
         let result = SchedulerService::get(self, &req).await;
-        self.finish("get", result)
+        self.to_response("get", result)
     }
 
     async fn cancel(
         &self,
         req: Request<v1::CancelRequest>,
     ) -> Result<Response<v1::RequestView>, Status> {
-        let _open = OpenCall::new(&self.shared);
+        let _open = OpenCallGuard::new(&self.shared);
         let result = SchedulerService::cancel(self, &req).await;
-        self.finish("cancel", result)
+        self.to_response("cancel", result)
     }
 
     async fn cancel_by_label(
         &self,
         req: Request<v1::CancelByLabelRequest>,
     ) -> Result<Response<v1::CancelByLabelReply>, Status> {
-        let _open = OpenCall::new(&self.shared);
+        let _open = OpenCallGuard::new(&self.shared);
         let result = SchedulerService::cancel_by_label(self, &req).await;
-        self.finish("cancel_by_label", result)
+        self.to_response("cancel_by_label", result)
     }
 
     async fn list(&self, req: Request<v1::ListRequest>) -> Result<Response<v1::ListReply>, Status> {
-        let _open = OpenCall::new(&self.shared);
+        let _open = OpenCallGuard::new(&self.shared);
         let result = SchedulerService::list(self, &req).await;
-        self.finish("list", result)
+        self.to_response("list", result)
     }
 
     async fn watch(
         &self,
         req: Request<v1::WatchRequest>,
     ) -> Result<Response<Self::WatchStream>, Status> {
-        let open = OpenCall::new(&self.shared);
+        let open = OpenCallGuard::new(&self.shared);
         let account = auth::account(&self.shared, req.metadata()).map_err(|e| to_status(&e))?;
-        let (tx, rx) = mpsc::channel(STREAM_BOUND);
+        let (tx, rx) = mpsc::channel(MAX_QUEUED_STREAM_ITEMS);
         let service = self.clone();
         tokio::spawn(async move {
             let _open = open;
@@ -307,30 +307,30 @@
                 let _ = tx.send(Err(to_status(&e))).await;
             }
         });
-        self.finish("watch", Ok(ReceiverStream::new(rx)))
+        self.to_response("watch", Ok(ReceiverStream::new(rx)))
     }
 
     async fn fetch(
         &self,
         req: Request<v1::FetchRequest>,
     ) -> Result<Response<Self::FetchStream>, Status> {
-        let open = OpenCall::new(&self.shared);
+        let open = OpenCallGuard::new(&self.shared);
         let account = auth::account(&self.shared, req.metadata()).map_err(|e| to_status(&e))?;
         let bytes = SchedulerService::fetch(self, &account, req.get_ref()).await;
         let bytes = match bytes {
             Ok(bytes) => bytes,
-            Err(e) => return self.finish("fetch", Err(e)),
+            Err(e) => return self.to_response("fetch", Err(e)),
         };
-        let (tx, rx) = mpsc::channel(STREAM_BOUND);
+        let (tx, rx) = mpsc::channel(MAX_QUEUED_STREAM_ITEMS);
         tokio::spawn(async move {
             let _open = open;
-            for data in bytes.chunks(CHUNK) {
+            for data in bytes.chunks(FETCH_CHUNK_BYTES) {
                 let chunk = v1::FetchChunk { data: data.to_vec() };
                 if tx.send(Ok(chunk)).await.is_err() {
                     return;
                 }
             }
         });
-        self.finish("fetch", Ok(ReceiverStream::new(rx)))
+        self.to_response("fetch", Ok(ReceiverStream::new(rx)))
     }
 }
--- a/crates/hollowford-server/src/entry/tls.rs
+++ b/crates/hollowford-server/src/entry/tls.rs
@@ -18,11 +18,11 @@
 use tonic::transport::server::TcpIncoming;
 
 /// How often the files are looked at.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+const RELOAD_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Longest handshake.
-const HANDSHAKE: Duration = Duration::from_secs(5);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Handshaken connections that may wait for the server.
-const ACCEPTED_BOUND: usize = 64;
+const MAX_QUEUED_CONNECTIONS: usize = 64;
 
 /// Why a certificate or key can't be used.
 #[derive(Debug, thiserror::Error)]
@@ -46,19 +46,19 @@
     }
 }
 
-fn in_file(file: &Path) -> impl FnOnce(PemError) -> TlsError {
+fn file_error(file: &Path) -> impl FnOnce(PemError) -> TlsError {
     let file = file.display().to_string();
     move |error| TlsError::File { file, error }
 }
 
 fn read_certificates(file: &Path) -> Result<Vec<CertificateDer<'static>>, TlsError> {
-    let certificates = CertificateDer::pem_file_iter(file).map_err(in_file(file))?;
-    certificates.collect::<Result<_, _>>().map_err(in_file(file))
+    let certificates = CertificateDer::pem_file_iter(file).map_err(file_error(file))?;
+    certificates.collect::<Result<_, _>>().map_err(file_error(file))
 }
 
-fn read(settings: &TlsSettings) -> Result<ServerConfig, TlsError> {
+fn read_config(settings: &TlsSettings) -> Result<ServerConfig, TlsError> {
     let chain = read_certificates(&settings.certificate)?;
-    let key = PrivateKeyDer::from_pem_file(&settings.key).map_err(in_file(&settings.key))?;
+    let key = PrivateKeyDer::from_pem_file(&settings.key).map_err(file_error(&settings.key))?;
     let builder = ServerConfig::builder();
     let builder = match &settings.client_roots {
         None => builder.with_no_client_auth(),
@@ -79,16 +79,16 @@
 
 /// The newest usable certificate.
 #[derive(Clone, Debug)]
-pub(crate) struct Reloading {
+pub(crate) struct ReloadingTlsConfig {
     settings: TlsSettings,
     config: Arc<RwLock<Arc<ServerConfig>>>,
 }
 
-impl Reloading {
+impl ReloadingTlsConfig {
     /// Reads the files for the first time.
-    pub fn new(settings: &TlsSettings) -> Result<Reloading, TlsError> {
-        let config = Arc::new(RwLock::new(Arc::new(read(settings)?)));
-        Ok(Reloading { settings: settings.clone(), config })
+    pub fn new(settings: &TlsSettings) -> Result<ReloadingTlsConfig, TlsError> {
+        let config = Arc::new(RwLock::new(Arc::new(read_config(settings)?)));
+        Ok(ReloadingTlsConfig { settings: settings.clone(), config })
     }
 
     fn acceptor(&self) -> TlsAcceptor {
@@ -96,25 +96,25 @@
         TlsAcceptor::from(config.clone())
     }
 
-    fn changed_at(&self) -> Option<SystemTime> {
+    fn modified_at(&self) -> Option<SystemTime> {
         let s = &self.settings;
         let files = [Some(&s.certificate), Some(&s.key), s.client_roots.as_ref()];
-        let changed = |f: &std::path::PathBuf| f.metadata().and_then(|m| m.modified()).ok();
-        files.into_iter().flatten().filter_map(changed).max()
+        let modified = |f: &std::path::PathBuf| f.metadata().and_then(|m| m.modified()).ok();
+        files.into_iter().flatten().filter_map(modified).max()
     }
 
     /// Reads the files again whenever they change. Files that can't be used change
     /// nothing.
-    async fn watch(self) {
-        let mut seen = self.changed_at();
+    async fn reload_on_change(self) {
+        let mut last_modified_at = self.modified_at();
         loop {
-            tokio::time::sleep(LOOK_EVERY).await;
-            let now = self.changed_at();
-            if now == seen {
+            tokio::time::sleep(RELOAD_CHECK_INTERVAL).await;
+            let modified_at = self.modified_at();
+            if modified_at == last_modified_at {
                 continue;
             }
-            seen = now;
-            match read(&self.settings) {
+            last_modified_at = modified_at;
+            match read_config(&self.settings) {
                 Ok(config) => {
                     *self.config.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(config);
                     log::info!("certificate read again");
@@ -127,12 +127,12 @@
 
 /// Shakes hands with each connection, several at a time, and passes on those that
 /// succeed.
-pub(crate) fn encrypted(
+pub(crate) fn accept_tls(
     mut incoming: TcpIncoming,
-    tls: Reloading,
+    tls: ReloadingTlsConfig,
 ) -> ReceiverStream<io::Result<TlsStream<TcpStream>>> {
-    let (tx, rx) = mpsc::channel(ACCEPTED_BOUND);
-    tokio::spawn(tls.clone().watch());
+    let (tx, rx) = mpsc::channel(MAX_QUEUED_CONNECTIONS);
+    tokio::spawn(tls.clone().reload_on_change());
     tokio::spawn(async move {
         while let Some(accepted) = incoming.next().await {
             let Ok(stream) = accepted else {
@@ -140,8 +140,9 @@
             };
             let (acceptor, tx) = (tls.acceptor(), tx.clone());
             tokio::spawn(async move {
-                let shaken = tokio::time::timeout(HANDSHAKE, acceptor.accept(stream)).await;
-                if let Ok(Ok(stream)) = shaken {
+                let handshake =
+                    tokio::time::timeout(HANDSHAKE_TIMEOUT, acceptor.accept(stream)).await;
+                if let Ok(Ok(stream)) = handshake {
                     // The server may have ended.
                     let _ = tx.send(Ok(stream)).await;
                 }
--- a/crates/hollowford-server/src/ledger/recover.rs
+++ b/crates/hollowford-server/src/ledger/recover.rs
@@ -9,7 +9,7 @@
 use prost::Message;
 
 /// Rows in one read.
-const PAGE: usize = 100;
+const PAGE_ROWS: usize = 100;
 
 /// Row that points at the newest snapshot.
 #[derive(Clone, PartialEq, prost::Message)]
@@ -31,14 +31,14 @@
     /// Index of the oldest row that may still be in the table.
     pub first_index: u64,
     /// Object of the newest snapshot; empty: none.
-    pub snapshot: String,
+    pub snapshot_object: String,
 }
 
-fn damaged(what: impl std::fmt::Display) -> Error {
-    Error::new(ErrorKind::Internal, format!("the ledger is damaged: {what}"))
+fn damaged(detail: impl std::fmt::Display) -> Error {
+    Error::new(ErrorKind::Internal, format!("the ledger is damaged: {detail}"))
 }
 
-fn unread(e: StoreError) -> Error {
+fn store_unavailable(e: StoreError) -> Error {
     Error::new(ErrorKind::Unavailable, e.to_string())
 }
 
@@ -48,20 +48,20 @@
 /// # Errors
 /// `Unavailable` when the store doesn't answer, `Internal` for unreadable records.
 pub(crate) async fn recover(store: &Platform, p: PartitionId) -> Result<Recovered, Error> {
-    let row = store.get(&snapshot_key(p)).await.map_err(unread)?;
+    let row = store.get(&snapshot_key(p)).await.map_err(store_unavailable)?;
     let snapshot = match row {
         Some(row) => SnapshotRow::decode(&row.value.0[..]).map_err(damaged)?,
         None => SnapshotRow::default(),
     };
     let mut records = Vec::new();
     if !snapshot.object.is_empty() {
-        let bytes = store.get_object(&snapshot.object).await.map_err(unread)?;
+        let bytes = store.get_object(&snapshot.object).await.map_err(store_unavailable)?;
         let bytes = bytes.ok_or_else(|| damaged("the snapshot is missing"))?;
-        add_batch(&bytes, &mut records)?;
+        decode_batch(&bytes, &mut records)?;
     }
     let next_index = read_rows(store, p, snapshot.next_index, &mut records).await?;
     let first_index = snapshot.next_index;
-    Ok(Recovered { records, next_index, first_index, snapshot: snapshot.object })
+    Ok(Recovered { records, next_index, first_index, snapshot_object: snapshot.object })
 }
 
 async fn read_rows(
@@ -78,23 +78,23 @@
         n => ledger_key(p, n - 1),
     };
     loop {
-        let rows = store.scan(&prefix, &after, PAGE).await.map_err(unread)?;
-        let full = rows.len() == PAGE;
+        let rows = store.scan(&prefix, &after, PAGE_ROWS).await.map_err(store_unavailable)?;
+        let is_full = rows.len() == PAGE_ROWS;
         for row in rows {
             if row.key != ledger_key(p, index) {
                 return Err(damaged(format!("row {index} is missing before {}", row.key)));
             }
-            add_batch(&row.value.0, records)?;
+            decode_batch(&row.value.0, records)?;
             index += 1;
             after = row.key;
         }
-        if !full {
+        if !is_full {
             return Ok(index);
         }
     }
 }
 
-fn add_batch(bytes: &[u8], records: &mut Vec<Record>) -> Result<(), Error> {
+fn decode_batch(bytes: &[u8], records: &mut Vec<Record>) -> Result<(), Error> {
     let batch = Batch::decode(bytes).map_err(damaged)?;
     for wire in batch.records {
         records.push(record_from_wire(wire)?);
--- a/crates/hollowford-server/src/ledger/tests.rs
+++ b/crates/hollowford-server/src/ledger/tests.rs
@@ -15,13 +15,13 @@
 
 const P: PartitionId = PartitionId(0);
 
-struct Bench {
+struct TestLedger {
     shared: Arc<Shared>,
     store: Platform,
     platform: String,
 }
 
-async fn bench(snapshot_records: u64) -> Bench {
+async fn start_ledger(snapshot_records: u64) -> TestLedger {
     let platform = hollowford_standin::platform::start("127.0.0.1:0").await.unwrap().to_string();
     let text = serde_json::json!({
         "process": "p", "zone": "z",
@@ -35,10 +35,10 @@
     let shared = Shared::new(settings).unwrap();
     tokio::spawn(run(shared.clone()));
     let store = shared.store().unwrap();
-    Bench { shared, store, platform }
+    TestLedger { shared, store, platform }
 }
 
-impl Bench {
+impl TestLedger {
     /// Raises the epoch, as a takeover does, and returns the row's version.
     async fn raise_epoch(&self) -> u64 {
         match self.store.txn(&Txn::new().put(epoch_key(P), vec![1])).await.unwrap() {
@@ -80,7 +80,7 @@
     rx.await.unwrap();
 }
 
-async fn until(check: impl Fn() -> bool) {
+async fn wait_until(check: impl Fn() -> bool) {
     let wait = async {
         while !check() {
             tokio::time::sleep(Duration::from_millis(2)).await;
@@ -90,92 +90,92 @@
 }
 
 #[tokio::test]
-async fn what_is_durable_is_read_back_in_order() {
-    let b = bench(1_000).await;
-    let version = b.raise_epoch().await;
-    let handle = b.open(1, version).await;
+async fn durable_records_are_read_back_in_order() {
+    let ledger = start_ledger(1_000).await;
+    let version = ledger.raise_epoch().await;
+    let handle = ledger.open(1, version).await;
     for n in 1..=50 {
         append(&handle, n).await;
     }
     flush(&handle).await;
-    assert_eq!(handle.durable(), 50);
-    assert_eq!(b.recovered().await, (1..=50).map(record).collect::<Vec<_>>());
+    assert_eq!(handle.durable_seq(), 50);
+    assert_eq!(ledger.recovered().await, (1..=50).map(record).collect::<Vec<_>>());
 }
 
 #[tokio::test]
 async fn a_deposed_owner_writes_nothing() {
-    let b = bench(1_000).await;
-    let first = b.raise_epoch().await;
-    let old = b.open(1, first).await;
+    let ledger = start_ledger(1_000).await;
+    let first = ledger.raise_epoch().await;
+    let old = ledger.open(1, first).await;
     append(&old, 1).await;
     flush(&old).await;
-    let second = b.raise_epoch().await;
-    let new = b.open(2, second).await;
+    let second = ledger.raise_epoch().await;
+    let new = ledger.open(2, second).await;
     append(&old, 2).await;
-    until(|| old.deposed()).await;
+    wait_until(|| old.is_deposed()).await;
     append(&new, 3).await;
     flush(&new).await;
-    assert_eq!(b.recovered().await, vec![record(1), record(3)]);
-    assert_eq!(old.durable(), 1);
+    assert_eq!(ledger.recovered().await, vec![record(1), record(3)]);
+    assert_eq!(old.durable_seq(), 1);
 }
 
 #[tokio::test]
-async fn a_write_whose_reply_is_lost_is_found_and_not_made_twice() {
-    let b = bench(1_000).await;
-    let version = b.raise_epoch().await;
-    let handle = b.open(1, version).await;
-    b.faults(serde_json::json!({ "lose_replies": 3 })).await;
+async fn a_write_whose_reply_is_lost_is_found_and_not_repeated() {
+    let ledger = start_ledger(1_000).await;
+    let version = ledger.raise_epoch().await;
+    let handle = ledger.open(1, version).await;
+    ledger.faults(serde_json::json!({ "lose_replies": 3 })).await;
     for n in 1..=10 {
         append(&handle, n).await;
-        until(|| handle.durable() >= n).await;
+        wait_until(|| handle.durable_seq() >= n).await;
     }
-    assert!(!handle.deposed());
-    assert_eq!(b.recovered().await, (1..=10).map(record).collect::<Vec<_>>());
+    assert!(!handle.is_deposed());
+    assert_eq!(ledger.recovered().await, (1..=10).map(record).collect::<Vec<_>>());
 }
 
 #[tokio::test]
 async fn an_outage_stalls_the_ledger_and_loses_nothing() {
-    let b = bench(1_000).await;
-    let version = b.raise_epoch().await;
-    let handle = b.open(1, version).await;
-    b.faults(serde_json::json!({ "outage": true })).await;
+    let ledger = start_ledger(1_000).await;
+    let version = ledger.raise_epoch().await;
+    let handle = ledger.open(1, version).await;
+    ledger.faults(serde_json::json!({ "outage": true })).await;
     append(&handle, 1).await;
-    until(|| handle.stalled()).await;
+    wait_until(|| handle.is_stalled()).await;
     append(&handle, 2).await;
-    b.faults(serde_json::json!({})).await;
-    until(|| handle.durable() == 2 && !handle.stalled()).await;
-    assert_eq!(b.recovered().await, vec![record(1), record(2)]);
+    ledger.faults(serde_json::json!({})).await;
+    wait_until(|| handle.durable_seq() == 2 && !handle.is_stalled()).await;
+    assert_eq!(ledger.recovered().await, vec![record(1), record(2)]);
 }
 
 #[tokio::test]
 async fn recovery_is_the_snapshot_and_the_rows_after_it() {
-    let b = bench(1_000).await;
-    let version = b.raise_epoch().await;
-    let handle = b.open(1, version).await;
+    let ledger = start_ledger(1_000).await;
+    let version = ledger.raise_epoch().await;
+    let handle = ledger.open(1, version).await;
     for n in 1..=5 {
         append(&handle, n).await;
-        until(|| handle.durable() >= n).await;
+        wait_until(|| handle.durable_seq() >= n).await;
     }
     // A snapshot says what all rows before it say.
     handle.ring.send(LedgerItem::Snapshot(vec![record(100), record(101)])).await;
     append(&handle, 6).await;
     flush(&handle).await;
-    assert_eq!(b.recovered().await, vec![record(100), record(101), record(6)]);
-    let rows = b.store.scan(&ledger_prefix(P), "", 100).await.unwrap();
+    assert_eq!(ledger.recovered().await, vec![record(100), record(101), record(6)]);
+    let rows = ledger.store.scan(&ledger_prefix(P), "", 100).await.unwrap();
     assert_eq!(rows.len(), 1, "the rows before the snapshot are deleted");
     assert_eq!(rows[0].key, ledger_key(P, 5));
 }
 
 #[tokio::test]
-async fn a_missing_row_is_damage_and_not_passed_over() {
-    let b = bench(1_000).await;
-    let version = b.raise_epoch().await;
-    let handle = b.open(1, version).await;
+async fn recovery_fails_when_a_row_is_missing() {
+    let ledger = start_ledger(1_000).await;
+    let version = ledger.raise_epoch().await;
+    let handle = ledger.open(1, version).await;
     for n in 1..=3 {
         append(&handle, n).await;
-        until(|| handle.durable() >= n).await;
+        wait_until(|| handle.durable_seq() >= n).await;
     }
-    b.store.txn(&Txn::new().delete(ledger_key(P, 1))).await.unwrap();
-    let e = recover(&b.store, P).await.unwrap_err();
+    ledger.store.txn(&Txn::new().delete(ledger_key(P, 1))).await.unwrap();
+    let e = recover(&ledger.store, P).await.unwrap_err();
     assert_eq!(e.kind, ErrorKind::Internal);
 }
--- a/crates/hollowford-server/src/ledger/writer.rs
+++ b/crates/hollowford-server/src/ledger/writer.rs
@@ -16,14 +16,14 @@
 use tokio::sync::oneshot;
 
 /// Groups of records that may wait for one partition's writer.
-const RING_BOUND: usize = 4_096;
+const RING_CAPACITY: usize = 4_096;
 /// Most records in one row.
-const BATCH_RECORDS: usize = 4_000;
+const MAX_BATCH_RECORDS: usize = 4_000;
 /// Rows deleted in one transaction after a snapshot.
-const DELETE_ROWS: u64 = 100;
+const MAX_DELETES_PER_TXN: u64 = 100;
 /// First and longest wait before a write is tried again.
-const RETRY_FIRST: Duration = Duration::from_millis(20);
-const RETRY_MAX: Duration = Duration::from_millis(500);
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(20);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// What the owner gives to its ledger.
 #[derive(Debug)]
@@ -39,7 +39,7 @@
 /// How far the ledger has come, for the owner to read.
 #[derive(Debug, Default)]
 pub(crate) struct Progress {
-    durable: AtomicU64,
+    durable_seq: AtomicU64,
     stalled: AtomicBool,
     deposed: AtomicBool,
 }
@@ -53,21 +53,21 @@
 
 impl LedgerHandle {
     pub fn new() -> LedgerHandle {
-        LedgerHandle { ring: Ring::new(RING_BOUND), progress: Arc::default() }
+        LedgerHandle { ring: Ring::new(RING_CAPACITY), progress: Arc::default() }
     }
 
     /// Returns the position up to which everything is durable.
-    pub fn durable(&self) -> u64 {
-        self.progress.durable.load(Ordering::Acquire)
+    pub fn durable_seq(&self) -> u64 {
+        self.progress.durable_seq.load(Ordering::Acquire)
     }
 
     /// Tells whether writes fail now.
-    pub fn stalled(&self) -> bool {
+    pub fn is_stalled(&self) -> bool {
         self.progress.stalled.load(Ordering::Acquire)
     }
 
     /// Tells whether another owner has raised the epoch.
-    pub fn deposed(&self) -> bool {
+    pub fn is_deposed(&self) -> bool {
         self.progress.deposed.load(Ordering::Acquire)
     }
 }
@@ -83,17 +83,17 @@
     pub handle: LedgerHandle,
     next_index: u64,
     first_index: u64,
-    snapshot: String,
+    snapshot_object: String,
 }
 
 /// The writer's part in the owner was taken over.
 struct Deposed;
 
 /// What is written next.
-enum Next {
+enum NextWrite {
     Write { seq: u64, batch: Batch },
     Snapshot(Vec<Record>),
-    Flushed(oneshot::Sender<()>),
+    Flush(oneshot::Sender<()>),
 }
 
 /// Runs the ledger duty: one task for each partition that the process takes.
@@ -121,20 +121,20 @@
             handle: LedgerHandle::new(),
             next_index: recovered.next_index,
             first_index: recovered.first_index,
-            snapshot: recovered.snapshot.clone(),
+            snapshot_object: recovered.snapshot_object.clone(),
         }
     }
 
     async fn run(mut self, store: Platform) {
-        let spacing = self.spacing();
-        let mut held = None;
+        let write_interval = self.write_interval();
+        let mut lookahead = None;
         loop {
             let wrote_at = self.shared.clock.now();
-            let next = self.gather(&mut held).await;
+            let next = self.next_write(&mut lookahead).await;
             let done = match next {
-                Next::Write { seq, batch } => self.write(&store, seq, &batch).await,
-                Next::Snapshot(records) => self.write_snapshot(&store, &records).await,
-                Next::Flushed(reply) => {
+                NextWrite::Write { seq, batch } => self.write(&store, seq, &batch).await,
+                NextWrite::Snapshot(records) => self.write_snapshot(&store, &records).await,
+                NextWrite::Flush(reply) => {
                     // The owner may have gone; then no one waits.
                     let _ = reply.send(());
                     continue;
@@ -146,45 +146,46 @@
                 return;
             }
             let spent = self.shared.clock.now().since(wrote_at);
-            tokio::time::sleep(spacing.since(spent).duration()).await;
+            tokio::time::sleep(write_interval.since(spent).duration()).await;
         }
     }
 
     /// Returns the time between two writes that keeps the cell within its budget.
-    fn spacing(&self) -> Millis {
+    fn write_interval(&self) -> Millis {
         const SECOND_MS: u64 = 1_000;
         let s = &self.shared.settings;
-        let own = (s.store.writes_per_second / u64::from(s.partitions)).max(1);
-        Millis(SECOND_MS.div_ceil(own))
+        let partition_writes_per_second =
+            (s.store.writes_per_second / u64::from(s.partitions)).max(1);
+        Millis(SECOND_MS.div_ceil(partition_writes_per_second))
     }
 
     /// Takes what waits, up to one row, in order.
-    async fn gather(&self, held: &mut Option<LedgerItem>) -> Next {
-        let first = match held.take() {
+    async fn next_write(&self, lookahead: &mut Option<LedgerItem>) -> NextWrite {
+        let first = match lookahead.take() {
             Some(item) => item,
             None => self.handle.ring.recv().await,
         };
         let (mut seq, mut records) = match first {
-            LedgerItem::Snapshot(records) => return Next::Snapshot(records),
-            LedgerItem::Flush(reply) => return Next::Flushed(reply),
+            LedgerItem::Snapshot(records) => return NextWrite::Snapshot(records),
+            LedgerItem::Flush(reply) => return NextWrite::Flush(reply),
             LedgerItem::Records { seq, records } => (seq, records),
         };
-        while records.len() < BATCH_RECORDS {
+        while records.len() < MAX_BATCH_RECORDS {
             match self.handle.ring.pop() {
                 Some(LedgerItem::Records { seq: later, records: more }) => {
                     seq = later;
                     records.extend(more);
                 }
                 other => {
-                    *held = other;
+                    *lookahead = other;
                     break;
                 }
             }
         }
-        Next::Write { seq, batch: self.batch(&records) }
+        NextWrite::Write { seq, batch: self.new_batch(&records) }
     }
 
-    fn batch(&self, records: &[Record]) -> Batch {
+    fn new_batch(&self, records: &[Record]) -> Batch {
         Batch {
             partition: self.partition.0,
             epoch: self.epoch.0,
@@ -202,16 +203,16 @@
             .put(&*key, batch.encode_to_vec());
         let m = &self.shared.metrics;
         m.ledger_batch.observe(batch.records.len() as f64);
-        self.commit(store, &txn, || self.holds(store, &key, batch.id)).await?;
+        self.commit(store, &txn, || self.row_holds_batch(store, &key, batch.id)).await?;
         m.ledger_writes.inc();
         self.next_index += 1;
-        self.handle.progress.durable.store(seq, Ordering::Release);
+        self.handle.progress.durable_seq.store(seq, Ordering::Release);
         self.shared.decide.wake();
         Ok(())
     }
 
     /// Tells whether the row holds this very batch; `None` when the store doesn't say.
-    async fn holds(&self, store: &Platform, key: &str, id: u64) -> Option<bool> {
+    async fn row_holds_batch(&self, store: &Platform, key: &str, id: u64) -> Option<bool> {
         let row = store.get(key).await.ok()?;
         let batch = row.and_then(|row| Batch::decode(&row.value.0[..]).ok());
         Some(batch.is_some_and(|b| b.id == id))
@@ -223,17 +224,17 @@
         &self,
         store: &Platform,
         txn: &Txn,
-        made: impl Fn() -> F,
+        is_committed: impl Fn() -> F,
     ) -> Result<(), Deposed>
     where
         F: Future<Output = Option<bool>>,
     {
-        let mut wait = RETRY_FIRST;
+        let mut delay = INITIAL_RETRY_DELAY;
         let mut failures = 0;
         loop {
             match store.txn(txn).await {
                 Ok(TxnResult::Committed(_)) => break,
-                Ok(TxnResult::Conflict(_)) => match made().await {
+                Ok(TxnResult::Conflict(_)) => match is_committed().await {
                     Some(true) => break,
                     Some(false) => return Err(Deposed),
                     None => {}
@@ -247,10 +248,10 @@
                     }
                 }
             }
-            tokio::time::sleep(wait).await;
-            wait = (wait * 2).min(RETRY_MAX);
+            tokio::time::sleep(delay).await;
+            delay = (delay * 2).min(MAX_RETRY_DELAY);
         }
-        if self.handle.stalled() {
+        if self.handle.is_stalled() {
             log::info!("partition={} ledger written again", self.partition);
             self.set_stalled(false);
         }
@@ -269,7 +270,7 @@
         records: &[Record],
     ) -> Result<(), Deposed> {
         let object = snapshot_object(self.partition, self.epoch, self.next_index);
-        let bytes = self.batch(records).encode_to_vec();
+        let bytes = self.new_batch(records).encode_to_vec();
         if let Err(e) = store.put_object(&object, bytes).await {
             // The rows stay; the next snapshot contains them.
             log::warn!("partition={} snapshot not written: {e}", self.partition);
@@ -280,23 +281,23 @@
         let txn = Txn::new()
             .check(epoch_key(self.partition), self.epoch_version)
             .put(&*key, row.encode_to_vec());
-        self.commit(store, &txn, || self.still_owner(store)).await?;
-        let old = std::mem::replace(&mut self.snapshot, object);
-        self.clean_up(store, &old).await;
+        self.commit(store, &txn, || self.is_epoch_current(store)).await?;
+        let superseded = std::mem::replace(&mut self.snapshot_object, object);
+        self.delete_superseded(store, &superseded).await;
         Ok(())
     }
 
     /// After a conflict on the epoch alone: whether the epoch is ours still.
-    async fn still_owner(&self, store: &Platform) -> Option<bool> {
+    async fn is_epoch_current(&self, store: &Platform) -> Option<bool> {
         let row = store.get(&epoch_key(self.partition)).await.ok()?;
         Some(row.is_some_and(|r| r.version == self.epoch_version))
     }
 
     /// Deletes what the snapshot replaces. What stays after a failure is found by
     /// the next snapshot, or does no harm.
-    async fn clean_up(&mut self, store: &Platform, old: &str) {
+    async fn delete_superseded(&mut self, store: &Platform, superseded: &str) {
         while self.first_index < self.next_index {
-            let to = self.next_index.min(self.first_index + DELETE_ROWS);
+            let to = self.next_index.min(self.first_index + MAX_DELETES_PER_TXN);
             let mut txn = Txn::new().check(epoch_key(self.partition), self.epoch_version);
             for index in self.first_index..to {
                 txn = txn.delete(ledger_key(self.partition, index));
@@ -306,8 +307,8 @@
             }
             self.first_index = to;
         }
-        if !old.is_empty()
-            && let Err(e) = store.delete_object(old).await
+        if !superseded.is_empty()
+            && let Err(e) = store.delete_object(superseded).await
         {
             log::warn!("partition={} old snapshot not deleted: {e}", self.partition);
         }
--- a/crates/hollowford-server/src/members.rs
+++ b/crates/hollowford-server/src/members.rs
@@ -6,7 +6,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 /// Silence after which a process counts as dead for the choice of owners.
-const DEAD_AFTER: Millis = Millis(1_500);
+const MEMBER_TIMEOUT: Millis = Millis(1_500);
 
 /// One other process.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -22,7 +22,7 @@
     /// Its clock in its last heartbeat.
     pub stamp: u64,
     /// Until when it has promised not to take over, by this process's clock.
-    pub promised_until: Millis,
+    pub no_takeover_until: Millis,
 }
 
 /// All other processes.
@@ -37,7 +37,7 @@
     }
 
     /// Learns a process's address. A new address is a new start of the process.
-    pub fn learn(&self, process: &str, addr: &str) {
+    pub fn add(&self, process: &str, addr: &str) {
         let mut map = self.lock();
         if map.get(process).is_some_and(|m| m.addr == addr) {
             return;
@@ -48,49 +48,51 @@
             leaving: false,
             config_head: 0,
             stamp: 0,
-            promised_until: Millis(0),
+            no_takeover_until: Millis(0),
         };
         map.insert(process.to_owned(), member);
     }
 
     /// Forgets a process.
-    pub fn forget(&self, process: &str) {
+    pub fn remove(&self, process: &str) {
         self.lock().remove(process);
     }
 
     /// Notes a heartbeat.
-    pub fn heard(&self, now: Millis, beat: &Heartbeat) {
+    pub fn record_heartbeat(&self, now: Millis, heartbeat: &Heartbeat) {
         let mut map = self.lock();
-        let Some(m) = map.get_mut(&beat.process) else {
+        let Some(m) = map.get_mut(&heartbeat.process) else {
             return;
         };
         m.heard_at = Some(now);
-        m.leaving = beat.leaving;
-        m.config_head = beat.config_head;
-        m.stamp = beat.stamp;
+        m.leaving = heartbeat.leaving;
+        m.config_head = heartbeat.config_head;
+        m.stamp = heartbeat.stamp;
         // The echo is our own clock before the promise was made, so the promise ends
         // no earlier than this.
-        if beat.promise_ms > 0 && beat.echo > 0 {
-            m.promised_until = m.promised_until.max(Millis(beat.echo + beat.promise_ms));
+        if heartbeat.promise_ms > 0 && heartbeat.echo > 0 {
+            m.no_takeover_until =
+                m.no_takeover_until.max(Millis(heartbeat.echo + heartbeat.promise_ms));
         }
     }
 
     /// Returns the last stamp heard from a process.
-    pub fn stamp_of(&self, process: &str) -> u64 {
+    pub fn last_stamp(&self, process: &str) -> u64 {
         self.lock().get(process).map_or(0, |m| m.stamp)
     }
 
     /// Returns until when every process that is known has promised not to take over;
     /// zero when one has not, or knows of a later configuration change than `head`.
     /// Without any other process there is no one to promise: then it is `alone`.
-    pub fn promised_until(&self, head: u64, alone: Millis) -> Millis {
+    pub fn no_takeover_until(&self, head: u64, if_alone: Millis) -> Millis {
         let map = self.lock();
         // One that leaves takes nothing over any more.
         let mut others = map.values().filter(|m| !m.leaving).peekable();
         if others.peek().is_none() {
-            return alone;
+            return if_alone;
         }
-        let promise = |m: &Member| if m.config_head > head { Millis(0) } else { m.promised_until };
+        let promise =
+            |m: &Member| if m.config_head > head { Millis(0) } else { m.no_takeover_until };
         others.map(promise).min().unwrap_or(Millis(0))
     }
 
@@ -100,10 +102,10 @@
     }
 
     /// Returns the processes that live and stay.
-    pub fn staying(&self, clock: &Clock) -> Vec<String> {
+    pub fn available(&self, clock: &Clock) -> Vec<String> {
         let now = clock.now();
-        let alive = |m: &Member| m.heard_at.is_some_and(|at| now.since(at) < DEAD_AFTER);
+        let is_alive = |m: &Member| m.heard_at.is_some_and(|at| now.since(at) < MEMBER_TIMEOUT);
         let map = self.lock();
-        map.iter().filter(|(_, m)| alive(m) && !m.leaving).map(|(p, _)| p.clone()).collect()
+        map.iter().filter(|(_, m)| is_alive(m) && !m.leaving).map(|(p, _)| p.clone()).collect()
     }
 }
--- a/crates/hollowford-server/src/metrics.rs
+++ b/crates/hollowford-server/src/metrics.rs
@@ -37,7 +37,7 @@
     /// Reads and writes sent to the store, of all kinds.
     pub store_calls: IntCounterVec,
     /// Partitions owned now.
-    pub owned: IntGauge,
+    pub partitions_owned: IntGauge,
     /// Takeovers made, by how the partition was free: `new`, `released` or `lapsed`.
     pub takeovers: IntCounterVec,
     /// Ownerships lost to another process.
@@ -58,9 +58,14 @@
     pub fn new() -> Result<Metrics, prometheus::Error> {
         let r = Registry::new();
         Ok(Metrics {
-            calls: vec(&r, "hollowford_calls_total", "Calls of callers.", &["call", "kind"])?,
-            retries: vec(&r, "hollowford_retries_total", "Calls sent again.", &["reason"])?,
-            waiting: waiting(&r)?,
+            calls: counter_vec(
+                &r,
+                "hollowford_calls_total",
+                "Calls of callers.",
+                &["call", "kind"],
+            )?,
+            retries: counter_vec(&r, "hollowford_retries_total", "Calls sent again.", &["reason"])?,
+            waiting: waiting_histogram(&r)?,
             placed: counter(&r, "hollowford_placed_total", "Intents appended.")?,
             started: counter(&r, "hollowford_started_total", "Starts sent.")?,
             preempted: counter(&r, "hollowford_preempted_total", "Tasks displaced.")?,
@@ -70,20 +75,25 @@
                 "hollowford_ledger_unanswered_total",
                 "Ledger writes whose reply was lost.",
             )?,
-            ledger_batch: batch(&r)?,
-            store_calls: vec(&r, "hollowford_store_calls_total", "Calls of the store.", &["op"])?,
-            owned: gauge(&r, "hollowford_partitions_owned", "Partitions owned.")?,
-            takeovers: vec(&r, "hollowford_takeovers_total", "Takeovers made.", &["how"])?,
+            ledger_batch: batch_histogram(&r)?,
+            store_calls: counter_vec(
+                &r,
+                "hollowford_store_calls_total",
+                "Calls of the store.",
+                &["op"],
+            )?,
+            partitions_owned: gauge(&r, "hollowford_partitions_owned", "Partitions owned.")?,
+            takeovers: counter_vec(&r, "hollowford_takeovers_total", "Takeovers made.", &["how"])?,
             deposed: counter(&r, "hollowford_deposed_total", "Ownerships lost.")?,
             config_head: gauge(&r, "hollowford_config_head", "Newest change in force.")?,
             sessions: gauge(&r, "hollowford_worker_sessions", "Sessions with workers.")?,
-            ring_full: vec(&r, "hollowford_ring_full_total", "Items refused.", &["ring"])?,
+            ring_full: counter_vec(&r, "hollowford_ring_full_total", "Items refused.", &["ring"])?,
             registry: r,
         })
     }
 
     /// Notes how long a request waited.
-    pub fn waited(&self, kind: Kind, waited: Millis) {
+    pub fn observe_first_start(&self, kind: Kind, waited: Millis) {
         const MS_PER_SECOND: f64 = 1_000.0;
         let seconds = waited.0 as f64 / MS_PER_SECOND;
         self.waiting.with_label_values(&[kind.name()]).observe(seconds);
@@ -102,26 +112,26 @@
     Ok(g)
 }
 
-fn vec(
+fn counter_vec(
     r: &Registry,
     name: &str,
     help: &str,
     labels: &[&str],
 ) -> Result<IntCounterVec, prometheus::Error> {
-    let v = IntCounterVec::new(Opts::new(name, help), labels)?;
-    r.register(Box::new(v.clone()))?;
-    Ok(v)
+    let family = IntCounterVec::new(Opts::new(name, help), labels)?;
+    r.register(Box::new(family.clone()))?;
+    Ok(family)
 }
 
-fn waiting(r: &Registry) -> Result<HistogramVec, prometheus::Error> {
+fn waiting_histogram(r: &Registry) -> Result<HistogramVec, prometheus::Error> {
     let help = "Time from acceptance to the first start.";
     let opts = HistogramOpts::new("hollowford_waiting_seconds", help);
-    let v = HistogramVec::new(opts.buckets(WAIT_BUCKETS.to_vec()), &["kind"])?;
-    r.register(Box::new(v.clone()))?;
-    Ok(v)
+    let family = HistogramVec::new(opts.buckets(WAIT_BUCKETS.to_vec()), &["kind"])?;
+    r.register(Box::new(family.clone()))?;
+    Ok(family)
 }
 
-fn batch(r: &Registry) -> Result<Histogram, prometheus::Error> {
+fn batch_histogram(r: &Registry) -> Result<Histogram, prometheus::Error> {
     let opts = HistogramOpts::new("hollowford_ledger_batch_records", "Records in one row.");
     let h = Histogram::with_opts(opts.buckets(BATCH_BUCKETS.to_vec()))?;
     r.register(Box::new(h.clone()))?;
--- a/crates/hollowford-server/src/owners.rs
+++ b/crates/hollowford-server/src/owners.rs
@@ -29,11 +29,11 @@
     /// Notes an owner, unless a later one is known.
     pub fn set(&self, partition: PartitionId, owner: Option<Owner>) {
         let mut list = self.list.write().unwrap_or_else(std::sync::PoisonError::into_inner);
-        let slot = &mut list[partition.0 as usize];
-        let later = |new: &Owner, old: &Owner| new.epoch >= old.epoch;
-        match (&owner, &slot) {
-            (Some(new), Some(old)) if !later(new, old) => {}
-            _ => *slot = owner,
+        let current = &mut list[partition.0 as usize];
+        let is_later = |new: &Owner, old: &Owner| new.epoch >= old.epoch;
+        match (&owner, &current) {
+            (Some(new), Some(old)) if !is_later(new, old) => {}
+            _ => *current = owner,
         }
     }
 
@@ -54,7 +54,7 @@
 
     /// Notes the partitions that a process says it owns. Those that this process doesn't have
     /// are of a cell with other settings.
-    pub fn note_owned(&self, process: &str, owned: &[OwnedPartition]) {
+    pub fn record_owned(&self, process: &str, owned: &[OwnedPartition]) {
         let partitions = self.read().len() as u32;
         for o in owned.iter().filter(|o| o.partition < partitions) {
             let owner = Owner { process: process.to_owned(), epoch: Epoch(o.epoch) };
@@ -70,8 +70,8 @@
 
 /// Returns the place of `process` among those that could own a partition, by
 /// rendezvous hashing: 0 is the first choice.
-pub(crate) fn rank(partition: PartitionId, process: &str, others: &[String]) -> usize {
+pub(crate) fn owner_rank(partition: PartitionId, process: &str, others: &[String]) -> usize {
     let weight = |p: &str| hash64(&["owner", &partition.to_string(), p]);
-    let own = weight(process);
-    others.iter().filter(|p| p.as_str() != process && weight(p) > own).count()
+    let own_weight = weight(process);
+    others.iter().filter(|p| p.as_str() != process && weight(p) > own_weight).count()
 }
--- a/crates/hollowford-server/src/owners_tests.rs
+++ b/crates/hollowford-server/src/owners_tests.rs
@@ -12,25 +12,25 @@
 /// store is away from then on. Until the store was back it had nobody to send a call to.
 #[test]
 fn an_owner_is_learned_from_its_heartbeats() {
-    let there = Owners::new(2);
-    there.set(PartitionId(1), Some(owner("a", 3)));
-    let here = Owners::new(2);
-    here.note_owned("a", &there.owned_by("a"));
-    assert_eq!(here.all(), [None, Some(owner("a", 3))]);
-    assert!(there.owned_by("b").is_empty());
+    let sender = Owners::new(2);
+    sender.set(PartitionId(1), Some(owner("a", 3)));
+    let receiver = Owners::new(2);
+    receiver.record_owned("a", &sender.owned_by("a"));
+    assert_eq!(receiver.all(), [None, Some(owner("a", 3))]);
+    assert!(sender.owned_by("b").is_empty());
 }
 
 #[test]
 fn a_heartbeat_of_an_earlier_owner_changes_nothing() {
-    let here = Owners::new(1);
-    here.set(PartitionId(0), Some(owner("b", 4)));
-    here.note_owned("a", &[OwnedPartition { partition: 0, epoch: 3 }]);
-    assert_eq!(here.get(PartitionId(0)), Some(owner("b", 4)));
+    let receiver = Owners::new(1);
+    receiver.set(PartitionId(0), Some(owner("b", 4)));
+    receiver.record_owned("a", &[OwnedPartition { partition: 0, epoch: 3 }]);
+    assert_eq!(receiver.get(PartitionId(0)), Some(owner("b", 4)));
 }
 
 #[test]
-fn a_partition_that_there_is_not_is_passed_over() {
-    let here = Owners::new(1);
-    here.note_owned("a", &[OwnedPartition { partition: 7, epoch: 3 }]);
-    assert_eq!(here.all(), [None]);
+fn a_partition_outside_the_settings_is_ignored() {
+    let receiver = Owners::new(1);
+    receiver.record_owned("a", &[OwnedPartition { partition: 7, epoch: 3 }]);
+    assert_eq!(receiver.all(), [None]);
 }
--- a/crates/hollowford-server/src/ownership/hand_over.rs
+++ b/crates/hollowford-server/src/ownership/hand_over.rs
@@ -1,6 +1,6 @@
 //! Gives a partition up: at a planned stop, or to even the load.
 
-use super::keeper::Keeper;
+use super::lease_manager::LeaseManager;
 use crate::decide::DecideMsg;
 use crate::ledger::owner_key;
 use crate::peers::PeerMsg;
@@ -13,48 +13,51 @@
 use tokio::sync::oneshot;
 
 /// Shortest time between two partitions that a process hands over to even the load.
-const EVEN_EVERY: Millis = Millis(1_000);
+const REBALANCE_INTERVAL: Millis = Millis(1_000);
 /// Longest wait for the store at a planned stop.
-const STOP_IN_OUTAGE: Millis = Millis(60_000);
+const STOP_STORE_TIMEOUT: Millis = Millis(60_000);
 
-impl Keeper {
+impl LeaseManager {
     /// Tells whether this process owns two more than another that stays, so that a
     /// hand-over evens the load. One partition goes at a time, so that the next look
     /// sees what came of it.
-    pub(super) fn is_one_too_many(&self) -> bool {
+    pub(super) fn should_rebalance(&self) -> bool {
         let s = &self.shared;
-        let least = self.least_loaded().map(|(_, owned)| owned);
-        let answers = s.store_answers.load(Ordering::Acquire);
-        if !answers || least.is_none_or(|least| s.owned.load(Ordering::Acquire) < least + 2) {
+        let fewest_owned = self.least_loaded_member().map(|(_, owned_count)| owned_count);
+        let is_available = s.store_available.load(Ordering::Acquire);
+        if !is_available
+            || fewest_owned
+                .is_none_or(|fewest_owned| s.owned_count.load(Ordering::Acquire) < fewest_owned + 2)
+        {
             return false;
         }
         let now = s.clock.now();
-        let mut evened_at = s.evened_at.lock().unwrap_or_else(PoisonError::into_inner);
-        if now.since(*evened_at) < EVEN_EVERY {
+        let mut rebalanced_at = s.rebalanced_at.lock().unwrap_or_else(PoisonError::into_inner);
+        if now.since(*rebalanced_at) < REBALANCE_INTERVAL {
             return false;
         }
-        *evened_at = now;
+        *rebalanced_at = now;
         true
     }
 
     /// Finds the staying process that owns the fewest partitions, and how many.
-    fn least_loaded(&self) -> Option<(String, usize)> {
+    fn least_loaded_member(&self) -> Option<(String, usize)> {
         let owners = self.shared.owners.all();
         let count = |p: &str| owners.iter().flatten().filter(|o| o.process == p).count();
-        let others = self.shared.members.staying(&self.shared.clock);
+        let others = self.shared.members.available(&self.shared.clock);
         let counted = others.into_iter().map(|p| (count(&p), p));
-        counted.min().map(|(owned, p)| (p, owned))
+        counted.min().map(|(owned_count, p)| (p, owned_count))
     }
 
     /// At a planned stop in an outage: keeps the partition, so that its tasks' leases are
     /// renewed, until the store answers or the longest wait has passed.
-    pub(super) async fn await_store(&mut self) {
-        let give_up_at = self.shared.clock.now() + STOP_IN_OUTAGE;
-        while let Some(owned) = &mut self.owned {
-            owned.due_at = Millis(0);
+    pub(super) async fn wait_for_store(&mut self) {
+        let give_up_at = self.shared.clock.now() + STOP_STORE_TIMEOUT;
+        while let Some(ownership) = &mut self.ownership {
+            ownership.next_renewal_at = Millis(0);
             self.renew().await;
-            let answers = self.shared.store_answers.load(Ordering::Acquire);
-            if answers || self.shared.clock.now() >= give_up_at {
+            let is_available = self.shared.store_available.load(Ordering::Acquire);
+            if is_available || self.shared.clock.now() >= give_up_at {
                 return;
             }
             tokio::time::sleep(self.shared.settings.lease.renew.duration()).await;
@@ -64,29 +67,29 @@
     /// At a planned stop, or to even the load: lets all that was decided become
     /// durable, then frees the row, so that no one waits for the lease to lapse.
     pub(super) async fn hand_over(&mut self) {
-        let Some(owned) = self.owned.take() else {
+        let Some(ownership) = self.ownership.take() else {
             return;
         };
         let (tx, rx) = oneshot::channel();
         let release = DecideMsg::Release { partition: self.partition, done: tx };
         self.shared.decide.send(release).await;
-        let longest = self.shared.settings.lease.ownership.duration();
-        let flushed = tokio::time::timeout(longest, rx).await;
-        owned.lease.end();
-        self.count_out();
+        let timeout = self.shared.settings.lease.ownership.duration();
+        let flushed = tokio::time::timeout(timeout, rx).await;
+        ownership.lease.end();
+        self.decrement_owned_count();
         if !matches!(flushed, Ok(Ok(()))) {
             log::warn!("partition={} not handed over: the ledger can't be written", self.partition);
             return;
         }
-        let mut row = self.own_row(owned.lease.epoch, owned.beat + 1);
+        let mut row = self.own_row(ownership.lease.epoch, ownership.write_id + 1);
         row.released = true;
-        row.successor = self.least_loaded().map(|(p, _)| p).unwrap_or_default();
+        row.successor = self.least_loaded_member().map(|(p, _)| p).unwrap_or_default();
         let key = owner_key(self.partition);
-        let txn = Txn::new().check(&*key, owned.version).put(&*key, row.encode_to_vec());
+        let txn = Txn::new().check(&*key, ownership.version).put(&*key, row.encode_to_vec());
         if let Ok(TxnResult::Committed(_)) = self.store.txn(&txn).await {
-            log::info!("partition={} epoch={} handed over", self.partition, owned.lease.epoch);
+            log::info!("partition={} epoch={} handed over", self.partition, ownership.lease.epoch);
             let released = Body::Released(Released { partition: self.partition.0 });
-            self.shared.peers.send(PeerMsg::Tell(Box::new(released))).await;
+            self.shared.peers.send(PeerMsg::Broadcast(Box::new(released))).await;
         }
     }
 }
--- a/crates/hollowford-server/src/ownership/mod.rs
+++ b/crates/hollowford-server/src/ownership/mod.rs
@@ -1,15 +1,15 @@
 //! Ownership of partitions: a lease in the table, taken over by compare-and-set.
 
-mod board;
 mod hand_over;
-mod keeper;
 mod lease;
-mod standstill;
+mod lease_manager;
+mod no_takeover_promise;
+mod owner_rows;
 mod takeover;
 #[cfg(test)]
 mod tests;
 
-pub(crate) use board::{Board, follow};
-pub(crate) use keeper::run;
 pub(crate) use lease::OwnerLease;
-pub(crate) use standstill::Standstill;
+pub(crate) use lease_manager::run;
+pub(crate) use no_takeover_promise::NoTakeoverPromise;
+pub(crate) use owner_rows::{OwnerRows, follow_owner_rows};
--- a/crates/hollowford-server/src/ownership/standstill.rs
+++ b/crates/hollowford-server/src/ownership/no_takeover_promise.rs
@@ -10,16 +10,16 @@
 
 /// What this process has promised, and whether a challenge of its own is open.
 #[derive(Debug, Default)]
-pub(crate) struct Standstill {
+pub(crate) struct NoTakeoverPromise {
     until: AtomicU64,
     /// Challenges that may still take effect.
-    challenges: AtomicUsize,
+    open_takeovers: AtomicUsize,
 }
 
-impl Standstill {
+impl NoTakeoverPromise {
     /// Promises not to take over for the returned time, from now on; zero: no promise.
     pub fn promise(&self, shared: &Shared) -> Millis {
-        if shared.store_answers.load(Ordering::Acquire) {
+        if shared.store_available.load(Ordering::Acquire) {
             return Millis(0);
         }
         let length = shared.settings.lease.promise;
@@ -27,27 +27,27 @@
         // The promise stands before the look at the challenge, and a challenge begins
         // before its look at the promise, so one of them sees the other.
         self.until.fetch_max(until.0, Ordering::SeqCst);
-        if self.challenges.load(Ordering::SeqCst) > 0 { Millis(0) } else { length }
+        if self.open_takeovers.load(Ordering::SeqCst) > 0 { Millis(0) } else { length }
     }
 
     /// Begins a challenge of a lapsed row; false when a promise stands in its way.
-    pub fn begin_challenge(&self, now: Millis) -> bool {
-        self.challenges.fetch_add(1, Ordering::SeqCst);
-        let free = now.0 >= self.until.load(Ordering::SeqCst);
-        if !free {
-            self.end_challenge();
+    pub fn begin_takeover(&self, now: Millis) -> bool {
+        self.open_takeovers.fetch_add(1, Ordering::SeqCst);
+        let is_allowed = now.0 >= self.until.load(Ordering::SeqCst);
+        if !is_allowed {
+            self.end_takeover();
         }
-        free
+        is_allowed
     }
 
     /// Begins to take a free row. No promise is about it: its last owner has written
     /// everything down, unledgered work too, before it freed the row.
-    pub fn begin_taking(&self) {
-        self.challenges.fetch_add(1, Ordering::SeqCst);
+    pub fn begin_takeover_of_free_row(&self) {
+        self.open_takeovers.fetch_add(1, Ordering::SeqCst);
     }
 
     /// Ends a challenge that surely has had its effect, or none.
-    pub fn end_challenge(&self) {
-        self.challenges.fetch_sub(1, Ordering::SeqCst);
+    pub fn end_takeover(&self) {
+        self.open_takeovers.fetch_sub(1, Ordering::SeqCst);
     }
 }
--- a/crates/hollowford-server/src/ownership/takeover.rs
+++ b/crates/hollowford-server/src/ownership/takeover.rs
@@ -1,9 +1,9 @@
 //! Takes a partition over: the challenge, and the recovery that follows.
 
-use super::board::Seen;
-use super::keeper::{Keeper, Owned, OwnerRow};
 use super::lease::OwnerLease;
-use crate::decide::{DecideMsg, Take};
+use super::lease_manager::{LeaseManager, OwnerRow, Ownership};
+use super::owner_rows::ObservedRow;
+use crate::decide::{DecideMsg, TakenPartition};
 use crate::ledger::{Writer, epoch_key, owner_key, recover};
 use crate::owners::Owner;
 use crate::peers::PeerMsg;
@@ -18,7 +18,7 @@
 /// Store timeouts after which a write without an answer takes effect no more.
 const LATE_WRITE_TIMEOUTS: u32 = 10;
 /// Wait before an attempt to recover is repeated.
-const RECOVER_AGAIN: Millis = Millis(100);
+const RECOVERY_RETRY_DELAY: Millis = Millis(100);
 
 /// Row `p/N/epoch`.
 #[derive(Clone, PartialEq, prost::Message)]
@@ -28,97 +28,102 @@
 }
 
 /// What a look at the row shows of a challenge whose reply was lost.
-enum Settled {
-    Made(u64),
-    NotMade,
+enum TakeoverOutcome {
+    Succeeded(u64),
+    Failed,
     Unknown,
 }
 
-impl Keeper {
+impl LeaseManager {
     /// Takes the partition over by compare-and-set.
-    pub(super) async fn challenge(&mut self, seen: &Seen) {
-        if !self.may_challenge(seen) {
+    pub(super) async fn try_take_over(&mut self, observed: &ObservedRow) {
+        if !self.register_takeover(observed) {
             return;
         }
-        let epoch = Epoch(seen.row.epoch + 1);
+        let epoch = Epoch(observed.row.epoch + 1);
         let Ok(epoch_row) = self.store.get(&epoch_key(self.partition)).await else {
-            self.shared.standstill.end_challenge();
+            self.shared.no_takeover_promise.end_takeover();
             return;
         };
         let sent_at = self.shared.clock.now();
         let until = sent_at + self.shared.settings.lease.ownership;
         let row = self.own_row(epoch, fastrand::u64(1..u64::from(u32::MAX)));
         let txn = Txn::new()
-            .check(owner_key(self.partition), seen.version)
+            .check(owner_key(self.partition), observed.version)
             .check(epoch_key(self.partition), epoch_row.map_or(0, |r| r.version))
             .put(owner_key(self.partition), row.encode_to_vec())
             .put(epoch_key(self.partition), EpochRow { epoch: epoch.0 }.encode_to_vec());
         let version = match self.store.txn(&txn).await {
             Ok(TxnResult::Committed(version)) => Some(version),
             Ok(TxnResult::Conflict(_)) => None,
-            Err(_) => match self.settle_challenge(&row).await {
-                Settled::Made(version) => Some(version),
-                Settled::NotMade => None,
+            Err(_) => match self.read_takeover_outcome(&row).await {
+                TakeoverOutcome::Succeeded(version) => Some(version),
+                TakeoverOutcome::Failed => None,
                 // Still open: it may take effect, so nothing is promised meanwhile.
-                Settled::Unknown => {
-                    self.end_challenge_later();
+                TakeoverOutcome::Unknown => {
+                    self.end_takeover_later();
                     return;
                 }
             },
         };
-        self.shared.standstill.end_challenge();
+        self.shared.no_takeover_promise.end_takeover();
         if let Some(version) = version {
             // Both rows were written by one transaction, so they share the version.
-            self.shared.metrics.takeovers.with_label_values(&[seen.how_free()]).inc();
-            self.take(epoch, version, row.beat, until).await;
+            self.shared.metrics.takeovers.with_label_values(&[observed.takeover_kind()]).inc();
+            self.start_owning(epoch, version, row.write_id, until).await;
         }
     }
 
     /// After a lost reply: reads the row back. A write that takes effect later than
     /// this read is met as a row of ours that no one renews, and lapses.
-    async fn settle_challenge(&self, row: &OwnerRow) -> Settled {
+    async fn read_takeover_outcome(&self, row: &OwnerRow) -> TakeoverOutcome {
         match self.read().await {
-            Ok(Some(seen)) if seen.row == *row => Settled::Made(seen.version),
-            Ok(_) => Settled::NotMade,
-            Err(_) => Settled::Unknown,
+            Ok(Some(observed)) if observed.row == *row => {
+                TakeoverOutcome::Succeeded(observed.version)
+            }
+            Ok(_) => TakeoverOutcome::Failed,
+            Err(_) => TakeoverOutcome::Unknown,
         }
     }
 
     /// Notes the challenge, unless this process is young or has promised not to.
-    fn may_challenge(&self, seen: &Seen) -> bool {
-        let standstill = &self.shared.standstill;
-        if seen.how_free() == "lapsed" {
-            return !self.is_young() && standstill.begin_challenge(self.shared.clock.now());
+    fn register_takeover(&self, observed: &ObservedRow) -> bool {
+        let no_takeover_promise = &self.shared.no_takeover_promise;
+        if observed.takeover_kind() == "lapsed" {
+            return !self.has_started_recently()
+                && no_takeover_promise.begin_takeover(self.shared.clock.now());
         }
-        standstill.begin_taking();
+        no_takeover_promise.begin_takeover_of_free_row();
         true
     }
 
     /// Counts a challenge without an answer as open for as long as a write may still
     /// take effect.
-    fn end_challenge_later(&self) {
-        let late = self.shared.settings.platform.timeout.duration() * LATE_WRITE_TIMEOUTS;
+    fn end_takeover_later(&self) {
+        let late_write_time =
+            self.shared.settings.platform.timeout.duration() * LATE_WRITE_TIMEOUTS;
         let shared = self.shared.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(late).await;
-            shared.standstill.end_challenge();
+            tokio::time::sleep(late_write_time).await;
+            shared.no_takeover_promise.end_takeover();
         });
     }
 
     /// A process that has just started may be unknown to an owner that goes by the
     /// members' promises; it waits until that owner must have heard of it.
-    fn is_young(&self) -> bool {
+    fn has_started_recently(&self) -> bool {
         let lease = &self.shared.settings.lease;
         self.shared.clock.now() < lease.ownership + lease.promise
     }
 
     /// Recovers the state, renewing the lease meanwhile, and starts to decide.
-    async fn take(&mut self, epoch: Epoch, version: u64, beat: u64, until: Millis) {
+    async fn start_owning(&mut self, epoch: Epoch, version: u64, write_id: u64, until: Millis) {
         log::info!("partition={} epoch={epoch} taken over", self.partition);
         let lease = Arc::new(OwnerLease::new(epoch, until));
-        self.owned = Some(Owned { lease: lease.clone(), version, beat, due_at: Millis(0) });
-        self.shared.owned.fetch_add(1, Ordering::AcqRel);
-        self.shared.metrics.owned.inc();
+        self.ownership =
+            Some(Ownership { lease: lease.clone(), version, write_id, next_renewal_at: Millis(0) });
+        self.shared.owned_count.fetch_add(1, Ordering::AcqRel);
+        self.shared.metrics.partitions_owned.inc();
         let (tx, mut rx) = oneshot::channel();
         let (store, partition) = (self.store.clone(), self.partition);
         tokio::spawn(async move {
@@ -127,7 +132,7 @@
                     Ok(recovered) => break recovered,
                     Err(e) => log::warn!("partition={partition} not recovered yet: {e}"),
                 }
-                tokio::time::sleep(RECOVER_AGAIN.duration()).await;
+                tokio::time::sleep(RECOVERY_RETRY_DELAY.duration()).await;
             };
             // The keeper may have been deposed meanwhile.
             let _ = tx.send(recovered);
@@ -140,9 +145,9 @@
             }
             if self.shared.is_stopping() {
                 // Nothing was decided yet, so the lease may just lapse.
-                self.let_go();
+                self.end_lease();
             }
-            if self.owned.is_none() {
+            if self.ownership.is_none() {
                 return;
             }
         };
@@ -152,13 +157,14 @@
         let writer = Writer::new(&self.shared, self.partition, epoch, version, &recovered);
         let ledger = writer.handle.clone();
         self.shared.ledger.send(writer).await;
-        let take = Take { partition: self.partition, lease, ledger, records: recovered.records };
-        self.shared.decide.send(DecideMsg::Take(Box::new(take))).await;
+        let taken =
+            TakenPartition { partition: self.partition, lease, ledger, records: recovered.records };
+        self.shared.decide.send(DecideMsg::TakeOver(Box::new(taken))).await;
         let process = self.shared.settings.process.clone();
         let owner = Owner { process: process.clone(), epoch };
         self.shared.owners.set(self.partition, Some(owner));
-        self.shared.instances_wanted.notify_one();
+        self.shared.instances_requested.notify_one();
         let took = Took { partition: self.partition.0, epoch: epoch.0, process };
-        self.shared.peers.send(PeerMsg::Tell(Box::new(Body::Took(took)))).await;
+        self.shared.peers.send(PeerMsg::Broadcast(Box::new(Body::Took(took)))).await;
     }
 }
--- a/crates/hollowford-server/src/peers/dialer.rs
+++ b/crates/hollowford-server/src/peers/dialer.rs
@@ -1,7 +1,9 @@
 //! The links that this process opens, one to each other process.
 
 use super::listener::send_all;
-use super::{FRAMES_BOUND, HEARTBEAT_EVERY, PeerMsg, SILENCE, heard, heartbeat};
+use super::{
+    HEARTBEAT_INTERVAL, MAX_QUEUED_FRAMES, PeerMsg, SILENCE_TIMEOUT, heartbeat, record_heartbeat,
+};
 use crate::shared::Shared;
 use hollowford_protocol::peer::{Body, Call, Frame, Hello, Reply};
 use hollowford_protocol::{FrameError, Frames, frames, mac, recv, send};
@@ -13,12 +15,12 @@
 use tokio::task::JoinHandle;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-const RETRY: Duration = Duration::from_millis(100);
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 
 /// What a link is to send.
 enum Outgoing {
     Call(Box<Call>, oneshot::Sender<Reply>),
-    Tell(Box<Body>),
+    Message(Box<Body>),
 }
 
 /// One link.
@@ -37,18 +39,20 @@
 /// All links that this process opens.
 #[derive(Default)]
 pub(super) struct Dialers {
-    map: BTreeMap<String, Dialer>,
+    links: BTreeMap<String, Dialer>,
 }
 
 impl Dialers {
     /// Opens links to new processes and closes those to forgotten ones.
-    pub fn follow(&mut self, shared: &Arc<Shared>) {
+    pub fn update(&mut self, shared: &Arc<Shared>) {
         let members = shared.members.all();
-        self.map.retain(|p, d| members.get(p).is_some_and(|m| m.addr == d.addr));
+        self.links
+            .retain(|p, dialer| members.get(p).is_some_and(|member| member.addr == dialer.addr));
         for (process, member) in members {
-            self.map.entry(process.clone()).or_insert_with(|| {
-                let (tx, rx) = mpsc::channel(FRAMES_BOUND);
-                let task = tokio::spawn(hold(shared.clone(), process, member.addr.clone(), rx));
+            self.links.entry(process.clone()).or_insert_with(|| {
+                let (tx, rx) = mpsc::channel(MAX_QUEUED_FRAMES);
+                let task =
+                    tokio::spawn(keep_open(shared.clone(), process, member.addr.clone(), rx));
                 Dialer { addr: member.addr, tx, task }
             });
         }
@@ -56,20 +60,20 @@
 
     /// Sends what the duty was told to send. A call that can't be sent fails at
     /// once, by dropping its reply channel.
-    pub fn handle(&mut self, shared: &Shared, msg: PeerMsg) {
-        let full = || shared.metrics.ring_full.with_label_values(&["peer_link"]).inc();
+    pub fn send(&mut self, shared: &Shared, msg: PeerMsg) {
+        let count_full = || shared.metrics.ring_full.with_label_values(&["peer_link"]).inc();
         match msg {
             PeerMsg::Call { process, call, reply } => {
-                if let Some(d) = self.map.get(&process)
-                    && d.tx.try_send(Outgoing::Call(call, reply)).is_err()
+                if let Some(dialer) = self.links.get(&process)
+                    && dialer.tx.try_send(Outgoing::Call(call, reply)).is_err()
                 {
-                    full();
+                    count_full();
                 }
             }
-            PeerMsg::Tell(body) => {
-                for d in self.map.values() {
-                    if d.tx.try_send(Outgoing::Tell(body.clone())).is_err() {
-                        full();
+            PeerMsg::Broadcast(body) => {
+                for dialer in self.links.values() {
+                    if dialer.tx.try_send(Outgoing::Message(body.clone())).is_err() {
+                        count_full();
                     }
                 }
             }
@@ -78,7 +82,7 @@
 }
 
 /// Keeps one link open.
-async fn hold(
+async fn keep_open(
     shared: Arc<Shared>,
     process: String,
     addr: String,
@@ -89,11 +93,11 @@
             tokio::time::timeout(CONNECT_TIMEOUT, open(&shared, &process, &addr)).await
         {
             // The end of a link is no news: it is opened again.
-            let _ = talk(&shared, &process, link, &mut rx).await;
+            let _ = run_link(&shared, &process, link, &mut rx).await;
         }
         // Calls that waited meanwhile fail now, so that their entry asks elsewhere.
         while rx.try_recv().is_ok() {}
-        tokio::time::sleep(RETRY).await;
+        tokio::time::sleep(RECONNECT_DELAY).await;
     }
 }
 
@@ -113,21 +117,21 @@
     Ok(link)
 }
 
-async fn talk(
+async fn run_link(
     shared: &Shared,
     to: &str,
     mut link: Frames<TcpStream>,
     rx: &mut mpsc::Receiver<Outgoing>,
 ) -> Result<(), FrameError> {
-    let (frames_tx, mut frames_rx) = mpsc::channel::<Frame>(FRAMES_BOUND);
+    let (frames_tx, mut frames_rx) = mpsc::channel::<Frame>(MAX_QUEUED_FRAMES);
     let mut pending: HashMap<u64, oneshot::Sender<Reply>> = HashMap::new();
     let mut next_id = 1;
-    let mut beats = tokio::time::interval(HEARTBEAT_EVERY);
-    let mut heard_at = tokio::time::Instant::now();
+    let mut heartbeat_ticks = tokio::time::interval(HEARTBEAT_INTERVAL);
+    let mut last_received_at = tokio::time::Instant::now();
     loop {
         tokio::select! {
             frame = recv::<_, Frame>(&mut link) => {
-                heard_at = tokio::time::Instant::now();
+                last_received_at = tokio::time::Instant::now();
                 let frame = frame?;
                 match frame.body {
                     Some(Body::Reply(reply)) => {
@@ -136,19 +140,19 @@
                             let _ = tx.send(reply);
                         }
                     }
-                    Some(Body::Heartbeat(beat)) => heard(shared, &beat),
+                    Some(Body::Heartbeat(received)) => record_heartbeat(shared, &received),
                     _ => {}
                 }
             }
-            Some(out) = rx.recv() => {
-                queue(out, &frames_tx, &mut pending, &mut next_id);
+            Some(outgoing) = rx.recv() => {
+                queue_frame(outgoing, &frames_tx, &mut pending, &mut next_id);
                 while let Ok(more) = rx.try_recv() {
-                    queue(more, &frames_tx, &mut pending, &mut next_id);
+                    queue_frame(more, &frames_tx, &mut pending, &mut next_id);
                 }
             }
             Some(frame) = frames_rx.recv() => send_all(&mut link, frame, &mut frames_rx).await?,
-            _ = beats.tick() => {
-                if heard_at.elapsed() > SILENCE {
+            _ = heartbeat_ticks.tick() => {
+                if last_received_at.elapsed() > SILENCE_TIMEOUT {
                     return Err(FrameError::Closed);
                 }
                 pending.retain(|_, tx| !tx.is_closed());
@@ -159,17 +163,17 @@
 }
 
 /// Turns what is to be sent into a frame. A call that finds no room fails at once.
-fn queue(
-    out: Outgoing,
+fn queue_frame(
+    outgoing: Outgoing,
     frames: &mpsc::Sender<Frame>,
     pending: &mut HashMap<u64, oneshot::Sender<Reply>>,
     next_id: &mut u64,
 ) {
     let id = *next_id;
     *next_id += 1;
-    let (body, reply) = match out {
+    let (body, reply) = match outgoing {
         Outgoing::Call(call, reply) => (Body::Call(*call), Some(reply)),
-        Outgoing::Tell(body) => (*body, None),
+        Outgoing::Message(body) => (*body, None),
     };
     if frames.try_send(Frame { id, body: Some(body) }).is_ok()
         && let Some(reply) = reply
--- a/crates/hollowford-server/src/peers/listener.rs
+++ b/crates/hollowford-server/src/peers/listener.rs
@@ -1,7 +1,7 @@
 //! The loop of the peer-link thread, and the links that others open.
 
 use super::dialer::Dialers;
-use super::{FRAMES_BOUND, HEARTBEAT_EVERY, SILENCE, heard, heartbeat};
+use super::{HEARTBEAT_INTERVAL, MAX_QUEUED_FRAMES, SILENCE_TIMEOUT, heartbeat, record_heartbeat};
 use crate::decide::DecideMsg;
 use crate::owners::Owner;
 use crate::shared::Shared;
@@ -28,7 +28,7 @@
 /// Runs the duty.
 pub(crate) async fn run(shared: Arc<Shared>, listener: TcpListener) {
     let mut dialers = Dialers::default();
-    let mut ticks = tokio::time::interval(HEARTBEAT_EVERY);
+    let mut ticks = tokio::time::interval(HEARTBEAT_INTERVAL);
     loop {
         tokio::select! {
             accepted = listener.accept() => {
@@ -36,8 +36,8 @@
                     tokio::spawn(serve(shared.clone(), stream));
                 }
             }
-            msg = shared.peers.recv() => dialers.handle(&shared, msg),
-            _ = ticks.tick() => dialers.follow(&shared),
+            msg = shared.peers.recv() => dialers.send(&shared, msg),
+            _ = ticks.tick() => dialers.update(&shared),
         }
     }
 }
@@ -46,15 +46,16 @@
     // Without it, small frames wait for each other; the link works all the same.
     let _ = stream.set_nodelay(true);
     let mut link = frames(stream);
-    if let Ok(Some(process)) = tokio::time::timeout(HELLO_TIMEOUT, greet(&shared, &mut link)).await
+    if let Ok(Some(process)) =
+        tokio::time::timeout(HELLO_TIMEOUT, authenticate(&shared, &mut link)).await
     {
         // The end of a link is no news: the other side opens it again.
-        let _ = talk(&shared, &process, link).await;
+        let _ = run_link(&shared, &process, link).await;
     }
 }
 
 /// Lets the caller prove that it knows the key. Returns its id.
-async fn greet(shared: &Shared, link: &mut Frames<TcpStream>) -> Option<String> {
+async fn authenticate(shared: &Shared, link: &mut Frames<TcpStream>) -> Option<String> {
     let nonce: Vec<u8> = std::iter::repeat_with(|| fastrand::u8(..)).take(NONCE_LEN).collect();
     let challenge = Body::Challenge(Challenge { nonce: nonce.clone() });
     send(link, &Frame { id: 0, body: Some(challenge) }).await.ok()?;
@@ -70,23 +71,23 @@
     Some(process)
 }
 
-async fn talk(
+async fn run_link(
     shared: &Arc<Shared>,
     process: &str,
     mut link: Frames<TcpStream>,
 ) -> Result<(), FrameError> {
-    let (tx, mut rx) = mpsc::channel::<Frame>(FRAMES_BOUND);
-    let mut beats = tokio::time::interval(HEARTBEAT_EVERY);
-    let mut heard_at = tokio::time::Instant::now();
+    let (tx, mut rx) = mpsc::channel::<Frame>(MAX_QUEUED_FRAMES);
+    let mut heartbeat_ticks = tokio::time::interval(HEARTBEAT_INTERVAL);
+    let mut last_received_at = tokio::time::Instant::now();
     loop {
         tokio::select! {
             frame = recv(&mut link) => {
-                heard_at = tokio::time::Instant::now();
-                take_frame(shared, frame?, &tx);
+                last_received_at = tokio::time::Instant::now();
+                handle_frame(shared, frame?, &tx);
             }
             Some(frame) = rx.recv() => send_all(&mut link, frame, &mut rx).await?,
-            _ = beats.tick() => {
-                if heard_at.elapsed() > SILENCE {
+            _ = heartbeat_ticks.tick() => {
+                if last_received_at.elapsed() > SILENCE_TIMEOUT {
                     return Err(FrameError::Closed);
                 }
                 send(&mut link, &heartbeat(shared, process)).await?;
@@ -111,29 +112,29 @@
     Ok(())
 }
 
-fn take_frame(shared: &Arc<Shared>, frame: Frame, tx: &mpsc::Sender<Frame>) {
+fn handle_frame(shared: &Arc<Shared>, frame: Frame, tx: &mpsc::Sender<Frame>) {
     match frame.body {
-        Some(Body::Heartbeat(beat)) => heard(shared, &beat),
-        Some(Body::Released(r)) => shared.note_released(r.partition),
+        Some(Body::Heartbeat(received)) => record_heartbeat(shared, &received),
+        Some(Body::Released(r)) => shared.record_released(r.partition),
         Some(Body::Took(took)) => {
             let owner = Owner { process: took.process, epoch: Epoch(took.epoch) };
             shared.owners.set(PartitionId(took.partition), Some(owner));
         }
-        Some(Body::Call(call)) => take_call(shared, frame.id, call, tx),
+        Some(Body::Call(call)) => handle_call(shared, frame.id, call, tx),
         // Nothing else is sent to the side that was called.
         Some(Body::Challenge(_) | Body::Hello(_) | Body::Reply(_)) | None => {}
     }
 }
 
-fn take_call(shared: &Arc<Shared>, id: u64, call: Call, tx: &mpsc::Sender<Frame>) {
+fn handle_call(shared: &Arc<Shared>, id: u64, call: Call, tx: &mpsc::Sender<Frame>) {
     let (reply, answer) = oneshot::channel();
     if let Err(DecideMsg::Call { reply, .. }) =
         shared.decide.push(DecideMsg::Call { call: Box::new(call), reply })
     {
         shared.metrics.ring_full.with_label_values(&["decide"]).inc();
-        let full = Error::new(ErrorKind::QueueFull, "the owner takes no more calls now");
+        let error = Error::new(ErrorKind::QueueFull, "the owner takes no more calls now");
         // The receiver is right here.
-        let _ = reply.send(Err(full));
+        let _ = reply.send(Err(error));
     }
     let tx = tx.clone();
     tokio::spawn(async move {
--- a/crates/hollowford-server/src/peers/mod.rs
+++ b/crates/hollowford-server/src/peers/mod.rs
@@ -14,15 +14,15 @@
     /// Relay a call to a process. The reply channel is dropped when the link fails.
     Call { process: String, call: Box<Call>, reply: oneshot::Sender<Reply> },
     /// Tell all other processes something.
-    Tell(Box<Body>),
+    Broadcast(Box<Body>),
 }
 
 /// How often heartbeats are sent on each link.
-const HEARTBEAT_EVERY: std::time::Duration = std::time::Duration::from_millis(300);
+const HEARTBEAT_INTERVAL: std::time::Duration = std::time::Duration::from_millis(300);
 /// Silence after which a link is closed.
-const SILENCE: std::time::Duration = std::time::Duration::from_millis(1_200);
+const SILENCE_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(1_200);
 /// Frames that may wait to be sent on one link.
-const FRAMES_BOUND: usize = 4_096;
+const MAX_QUEUED_FRAMES: usize = 4_096;
 
 use crate::shared::Shared;
 use hollowford_core::Millis;
@@ -30,8 +30,8 @@
 
 /// Makes this process's heartbeat to another one.
 fn heartbeat(shared: &Shared, to: &str) -> Frame {
-    let age = shared.freshness.age(&shared.clock).unwrap_or(Millis::MAX);
-    let echo = shared.members.stamp_of(to);
+    let age = shared.config_freshness.age(&shared.clock).unwrap_or(Millis::MAX);
+    let echo = shared.members.last_stamp(to);
     let body = Body::Heartbeat(Heartbeat {
         process: shared.settings.process.clone(),
         config_head: shared.accounts.load().head,
@@ -40,23 +40,23 @@
         addr: shared.peer_addr(),
         stamp: shared.clock.now().0.max(1),
         echo,
-        promise_ms: shared.standstill.promise(shared).0,
+        promise_ms: shared.no_takeover_promise.promise(shared).0,
         owns: shared.owners.owned_by(&shared.settings.process),
     });
     Frame { id: 0, body: Some(body) }
 }
 
 /// Takes in another process's heartbeat.
-fn heard(shared: &Shared, beat: &Heartbeat) {
+fn record_heartbeat(shared: &Shared, heartbeat: &Heartbeat) {
     let now = shared.clock.now();
-    shared.members.learn(&beat.process, &beat.addr);
-    shared.members.heard(now, beat);
-    shared.owners.note_owned(&beat.process, &beat.owns);
+    shared.members.add(&heartbeat.process, &heartbeat.addr);
+    shared.members.record_heartbeat(now, heartbeat);
+    shared.owners.record_owned(&heartbeat.process, &heartbeat.owns);
     let head = shared.accounts.load().head;
-    if beat.config_head > head {
-        shared.config_news.notify_one();
-    } else if beat.config_head == head && beat.config_age_ms < now.0 {
+    if heartbeat.config_head > head {
+        shared.config_changed.notify_one();
+    } else if heartbeat.config_head == head && heartbeat.config_age_ms < now.0 {
         // The sender knew then that this is the newest.
-        shared.freshness.confirm(Millis(now.0 - beat.config_age_ms));
+        shared.config_freshness.confirm(Millis(now.0 - heartbeat.config_age_ms));
     }
 }
--- a/crates/hollowford-server/src/process.rs
+++ b/crates/hollowford-server/src/process.rs
@@ -1,7 +1,7 @@
 //! Starts and stops the duties of one process.
 
 use crate::entry::TlsError;
-use crate::entry::{OperatorService, Reloading, SchedulerService, encrypted};
+use crate::entry::{OperatorService, ReloadingTlsConfig, SchedulerService, accept_tls};
 use crate::shared::Shared;
 use crate::{admin, decide, ledger, ownership, peers, watch, workers};
 use hollowford_config::Settings;
@@ -23,10 +23,10 @@
 /// Threads of the entry duty.
 const ENTRY_THREADS: usize = 2;
 /// Longest wait for open calls at a planned stop.
-const STOP_WAIT: Duration = Duration::from_secs(20);
-const STOP_CHECK: Duration = Duration::from_millis(10);
+const STOP_TIMEOUT: Duration = Duration::from_secs(20);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// Time that the balancer has to notice that the process is not ready.
-const BALANCER_WAIT: Duration = Duration::from_millis(300);
+const LOAD_BALANCER_DELAY: Duration = Duration::from_millis(300);
 
 /// Why a process could not start.
 #[derive(Debug, thiserror::Error)]
@@ -75,7 +75,7 @@
 }
 
 /// Starts a thread with a runtime of its own for one duty.
-fn duty<F>(name: &str, run: F) -> io::Result<()>
+fn spawn_thread<F>(name: &str, run: F) -> io::Result<()>
 where
     F: Future<Output = ()> + Send + 'static,
 {
@@ -93,30 +93,30 @@
         let shared = Shared::new(settings)?;
         let listen = shared.settings.listen;
         let entry = runtime(ENTRY_THREADS)?;
-        let bound = entry.block_on(bind_all(listen))?;
-        let addresses = bound.addresses;
+        let listeners = entry.block_on(bind_all(listen))?;
+        let addresses = listeners.addresses;
         *shared.peer_addr.lock().unwrap_or_else(PoisonError::into_inner) =
             addresses.peers.to_string();
 
-        duty("decide", decide::run(shared.clone()))?;
+        spawn_thread("decide", decide::run(shared.clone()))?;
         let s = shared.clone();
-        duty("ledger", async move {
+        spawn_thread("ledger", async move {
             if let Err(e) = ledger::run(s).await {
                 log::error!("the ledger duty ended: {e}");
             }
         })?;
-        duty("workers", workers::run(shared.clone()))?;
-        let peers = bound.peers;
+        spawn_thread("workers", workers::run(shared.clone()))?;
+        let peers = listeners.peers;
         let s = shared.clone();
-        duty("peers", async move {
+        spawn_thread("peers", async move {
             match TcpListener::from_std(peers) {
                 Ok(listener) => peers::run(s, listener).await,
                 Err(e) => log::error!("the peers duty ended: {e}"),
             }
         })?;
         start_watch(&shared)?;
-        start_admin(&shared, bound.admin)?;
-        start_entry(&shared, entry, bound.callers)?;
+        start_admin(&shared, listeners.admin)?;
+        start_entry(&shared, entry, listeners.callers)?;
         Ok(Process { shared, addresses })
     }
 
@@ -138,30 +138,30 @@
     /// Waits until the partitions are handed over and the open calls are answered.
     pub fn wait_stopped(self) {
         while !self.shared.handed_over.load(Ordering::Acquire) {
-            std::thread::sleep(STOP_CHECK);
+            std::thread::sleep(STOP_CHECK_INTERVAL);
         }
-        std::thread::sleep(BALANCER_WAIT);
+        std::thread::sleep(LOAD_BALANCER_DELAY);
         let mut waited = Duration::ZERO;
-        while self.shared.calls_open.load(Ordering::Acquire) > 0 && waited < STOP_WAIT {
-            std::thread::sleep(STOP_CHECK);
-            waited += STOP_CHECK;
+        while self.shared.calls_open.load(Ordering::Acquire) > 0 && waited < STOP_TIMEOUT {
+            std::thread::sleep(STOP_CHECK_INTERVAL);
+            waited += STOP_CHECK_INTERVAL;
         }
         // Replies that are written still need a moment on the wire.
-        std::thread::sleep(STOP_CHECK);
+        std::thread::sleep(STOP_CHECK_INTERVAL);
         let open = self.shared.calls_open.load(Ordering::Acquire);
         log::info!("stopped calls_open={open}");
     }
 }
 
 /// The bound addresses.
-struct Bound {
+struct BoundListeners {
     addresses: Addresses,
     callers: TcpListener,
     peers: std::net::TcpListener,
     admin: std::net::TcpListener,
 }
 
-async fn bind_all(listen: hollowford_config::Listen) -> io::Result<Bound> {
+async fn bind_all(listen: hollowford_config::Listen) -> io::Result<BoundListeners> {
     let callers = TcpListener::bind(listen.callers).await?;
     let peers = peers::bind(listen.peers).await?.into_std()?;
     let admin = TcpListener::bind(listen.admin).await?.into_std()?;
@@ -170,7 +170,7 @@
         peers: peers.local_addr()?,
         admin: admin.local_addr()?,
     };
-    Ok(Bound { addresses, callers, peers, admin })
+    Ok(BoundListeners { addresses, callers, peers, admin })
 }
 
 /// Starts the watch duty.
@@ -178,14 +178,14 @@
     let shared = shared.clone();
     let store = shared.store()?;
     let watch = async move {
-        tokio::spawn(watch::config(shared.clone(), store.clone()));
-        tokio::spawn(watch::instances(shared.clone(), store.clone()));
-        tokio::spawn(ownership::follow(shared.clone(), store.clone()));
-        let members = tokio::spawn(watch::members(shared.clone(), store.clone()));
-        let keepers: Vec<_> = (0..shared.settings.partitions)
+        tokio::spawn(watch::watch_config(shared.clone(), store.clone()));
+        tokio::spawn(watch::watch_instances(shared.clone(), store.clone()));
+        tokio::spawn(ownership::follow_owner_rows(shared.clone(), store.clone()));
+        let members = tokio::spawn(watch::watch_members(shared.clone(), store.clone()));
+        let managers: Vec<_> = (0..shared.settings.partitions)
             .map(|p| tokio::spawn(ownership::run(shared.clone(), store.clone(), PartitionId(p))))
             .collect();
-        for task in keepers.into_iter().chain([members]) {
+        for task in managers.into_iter().chain([members]) {
             if let Err(e) = task.await {
                 log::error!("a task of the watch duty ended by a fault: {e}");
             }
@@ -194,13 +194,13 @@
         // The owner rows are followed still, so that calls find the next owners.
         std::future::pending().await
     };
-    duty("watch", watch)?;
+    spawn_thread("watch", watch)?;
     Ok(())
 }
 
 fn start_admin(shared: &Arc<Shared>, listener: std::net::TcpListener) -> Result<(), StartError> {
     let app = admin::routes(shared.clone());
-    duty("admin", async move {
+    spawn_thread("admin", async move {
         let run = async {
             let acceptor = TcpAcceptor::from_std(listener)?;
             poem::Server::new_with_acceptor(acceptor).run(app).await
@@ -221,12 +221,12 @@
         .add_service(OperatorServer::new(operator));
     // Without it, small replies wait for the other side's acknowledgement.
     let incoming = TcpIncoming::from(listener).with_nodelay(Some(true));
-    let tls = shared.settings.tls.as_ref().map(Reloading::new).transpose()?;
+    let tls = shared.settings.tls.as_ref().map(ReloadingTlsConfig::new).transpose()?;
     let run = move || {
         let served = match tls {
             None => rt.block_on(server.serve_with_incoming(incoming)),
             Some(tls) => {
-                rt.block_on(async { server.serve_with_incoming(encrypted(incoming, tls)).await })
+                rt.block_on(async { server.serve_with_incoming(accept_tls(incoming, tls)).await })
             }
         };
         if let Err(e) = served {
--- a/crates/hollowford-server/src/ring.rs
+++ b/crates/hollowford-server/src/ring.rs
@@ -16,8 +16,8 @@
 #[derive(Debug)]
 struct Inner<T> {
     queue: ArrayQueue<T>,
-    items: Notify,
-    room: Notify,
+    item_added: Notify,
+    room_available: Notify,
 }
 
 impl<T> Clone for Ring<T> {
@@ -28,9 +28,12 @@
 
 impl<T> Ring<T> {
     /// Makes a ring for `bound` items.
-    pub fn new(bound: usize) -> Ring<T> {
-        let inner =
-            Inner { queue: ArrayQueue::new(bound), items: Notify::new(), room: Notify::new() };
+    pub fn new(capacity: usize) -> Ring<T> {
+        let inner = Inner {
+            queue: ArrayQueue::new(capacity),
+            item_added: Notify::new(),
+            room_available: Notify::new(),
+        };
         Ring { inner: Arc::new(inner) }
     }
 
@@ -40,7 +43,7 @@
     /// Gives the item back when the ring is full.
     pub fn push(&self, item: T) -> Result<(), T> {
         self.inner.queue.push(item)?;
-        self.inner.items.notify_one();
+        self.inner.item_added.notify_one();
         Ok(())
     }
 
@@ -48,10 +51,10 @@
     pub async fn send(&self, item: T) {
         let mut item = item;
         loop {
-            let room = self.inner.room.notified();
+            let room = self.inner.room_available.notified();
             match self.push(item) {
                 Ok(()) => return,
-                Err(back) => item = back,
+                Err(returned) => item = returned,
             }
             room.await;
         }
@@ -61,7 +64,7 @@
     pub fn pop(&self) -> Option<T> {
         let item = self.inner.queue.pop();
         if item.is_some() {
-            self.inner.room.notify_one();
+            self.inner.room_available.notify_one();
         }
         item
     }
@@ -70,7 +73,7 @@
     /// one consumer.
     pub async fn ready(&self) {
         if self.inner.queue.is_empty() {
-            self.inner.items.notified().await;
+            self.inner.item_added.notified().await;
         }
     }
 
@@ -80,13 +83,13 @@
             if let Some(item) = self.pop() {
                 return item;
             }
-            self.inner.items.notified().await;
+            self.inner.item_added.notified().await;
         }
     }
 
     /// Wakes the consumer without an item.
     pub fn wake(&self) {
-        self.inner.items.notify_one();
+        self.inner.item_added.notify_one();
     }
 
     /// Returns how many items wait.
--- a/crates/hollowford-server/src/shared.rs
+++ b/crates/hollowford-server/src/shared.rs
@@ -1,12 +1,12 @@
 //! What the duties of one process share.
 
-use crate::accounts::{AccountsInForce, Freshness};
+use crate::accounts::{ActiveAccounts, ConfigFreshness};
 use crate::decide::DecideMsg;
 use crate::ledger::Writer;
 use crate::members::Members;
 use crate::metrics::Metrics;
 use crate::owners::Owners;
-use crate::ownership::{Board, Standstill};
+use crate::ownership::{NoTakeoverPromise, OwnerRows};
 use crate::peers::PeerMsg;
 use crate::ring::Ring;
 use crate::workers::WorkerMsg;
@@ -26,27 +26,27 @@
     pub clock: Clock,
     pub metrics: Metrics,
     /// The configuration in force.
-    pub accounts: ArcSwap<AccountsInForce>,
-    pub freshness: Freshness,
+    pub accounts: ArcSwap<ActiveAccounts>,
+    pub config_freshness: ConfigFreshness,
     /// Wakes the watch of the configuration.
-    pub config_news: Notify,
+    pub config_changed: Notify,
     pub members: Members,
     pub owners: Owners,
     /// The owner rows as last read.
-    pub board: Board,
+    pub owner_rows: OwnerRows,
     /// Promises not to take over.
-    pub standstill: Standstill,
+    pub no_takeover_promise: NoTakeoverPromise,
     /// Number of partitions that this process owns now.
-    pub owned: AtomicUsize,
+    pub owned_count: AtomicUsize,
     /// When this process last handed a partition over to even the load.
-    pub evened_at: Mutex<Millis>,
+    pub rebalanced_at: Mutex<Millis>,
     /// Partitions that were released and may be taken at once.
     pub released: Mutex<Vec<u32>>,
-    pub owner_news: watch::Sender<u64>,
+    pub owner_rows_changed: watch::Sender<u64>,
     /// The platform's instance list, as last read.
     pub instances: ArcSwap<Vec<Instance>>,
     /// Wakes the watch of the instance list.
-    pub instances_wanted: Notify,
+    pub instances_requested: Notify,
     pub decide: Ring<DecideMsg>,
     pub ledger: Ring<Writer>,
     pub peers: Ring<PeerMsg>,
@@ -58,7 +58,7 @@
     /// Calls of callers that are being answered.
     pub calls_open: AtomicUsize,
     /// Whether the store answered the last call of the watch duty.
-    pub store_answers: AtomicBool,
+    pub store_available: AtomicBool,
     /// Where this process takes peer links.
     pub peer_addr: Mutex<String>,
     stores: Mutex<Vec<Platform>>,
@@ -66,10 +66,10 @@
 }
 
 /// Items that each ring may hold.
-const DECIDE_BOUND: usize = 32_768;
-const LEDGER_BOUND: usize = 64;
-const PEERS_BOUND: usize = 8_192;
-const WORKERS_BOUND: usize = 8_192;
+const DECIDE_RING_CAPACITY: usize = 32_768;
+const LEDGER_RING_CAPACITY: usize = 64;
+const PEERS_RING_CAPACITY: usize = 8_192;
+const WORKERS_RING_CAPACITY: usize = 8_192;
 
 impl Shared {
     pub fn new(settings: Settings) -> Result<Arc<Shared>, prometheus::Error> {
@@ -77,26 +77,26 @@
             clock: Clock::new(),
             metrics: Metrics::new()?,
             accounts: ArcSwap::default(),
-            freshness: Freshness::default(),
-            config_news: Notify::new(),
+            config_freshness: ConfigFreshness::default(),
+            config_changed: Notify::new(),
             members: Members::default(),
             owners: Owners::new(settings.partitions),
             released: Mutex::default(),
-            owner_news: watch::Sender::new(0),
+            owner_rows_changed: watch::Sender::new(0),
             instances: ArcSwap::default(),
-            instances_wanted: Notify::new(),
-            ledger: Ring::new(LEDGER_BOUND),
-            board: Board::default(),
-            standstill: Standstill::default(),
-            owned: AtomicUsize::new(0),
-            evened_at: Mutex::default(),
-            decide: Ring::new(DECIDE_BOUND),
-            peers: Ring::new(PEERS_BOUND),
-            workers: Ring::new(WORKERS_BOUND),
+            instances_requested: Notify::new(),
+            ledger: Ring::new(LEDGER_RING_CAPACITY),
+            owner_rows: OwnerRows::default(),
+            no_takeover_promise: NoTakeoverPromise::default(),
+            owned_count: AtomicUsize::new(0),
+            rebalanced_at: Mutex::default(),
+            decide: Ring::new(DECIDE_RING_CAPACITY),
+            peers: Ring::new(PEERS_RING_CAPACITY),
+            workers: Ring::new(WORKERS_RING_CAPACITY),
             stopping: watch::Sender::new(false),
             handed_over: AtomicBool::new(false),
             calls_open: AtomicUsize::new(0),
-            store_answers: AtomicBool::new(true),
+            store_available: AtomicBool::new(true),
             peer_addr: Mutex::default(),
             stores: Mutex::default(),
             next_id: AtomicU64::new(1),
@@ -136,38 +136,38 @@
 
     /// Tells whether the configuration in force was confirmed recently enough to
     /// decide by it.
-    pub fn config_is_fresh(&self) -> bool {
-        let age = self.freshness.age(&self.clock);
+    pub fn is_config_fresh(&self) -> bool {
+        let age = self.config_freshness.age(&self.clock);
         age.is_some_and(|age| age < self.settings.lease.config_fresh)
     }
 
     /// Returns until when every other process has promised not to take over, while
     /// the store does not answer this one; zero: that is not known.
-    pub fn promised_until(&self) -> Millis {
-        if self.store_answers.load(Ordering::Acquire) {
+    pub fn no_takeover_until(&self) -> Millis {
+        if self.store_available.load(Ordering::Acquire) {
             return Millis(0);
         }
-        let alone = self.clock.now() + self.settings.lease.promise;
-        self.members.promised_until(self.accounts.load().head, alone)
+        let if_alone = self.clock.now() + self.settings.lease.promise;
+        self.members.no_takeover_until(self.accounts.load().head, if_alone)
     }
 
     /// Tells whether the configuration in force may be decided by: it was confirmed
     /// recently, or the store answers no one, so that no change can be accepted.
-    pub fn config_stands(&self) -> bool {
-        self.config_is_fresh() || self.promised_until() > self.clock.now()
+    pub fn is_config_usable(&self) -> bool {
+        self.is_config_fresh() || self.no_takeover_until() > self.clock.now()
     }
 
     /// Notes a partition that may be taken at once.
-    pub fn note_released(&self, partition: u32) {
+    pub fn record_released(&self, partition: u32) {
         self.released.lock().unwrap_or_else(PoisonError::into_inner).push(partition);
-        self.owner_news.send_modify(|n| *n += 1);
+        self.owner_rows_changed.send_modify(|n| *n += 1);
     }
 
     /// Takes the note of a released partition.
     pub fn take_released(&self, partition: u32) -> bool {
         let mut released = self.released.lock().unwrap_or_else(PoisonError::into_inner);
-        let before = released.len();
+        let count_before = released.len();
         released.retain(|p| *p != partition);
-        released.len() < before
+        released.len() < count_before
     }
 }
--- a/crates/hollowford-server/src/watch.rs
+++ b/crates/hollowford-server/src/watch.rs
@@ -1,7 +1,7 @@
 //! What is read from the platform again and again: the configuration, the other
 //! processes, the instance list.
 
-use crate::accounts::{ACCOUNT_PREFIX, AccountEntry, HEAD_KEY, HeadRow, LOG_PREFIX};
+use crate::accounts::{ACCOUNT_PREFIX, AccountEntry, HEAD_KEY, HISTORY_PREFIX, HeadRow};
 use crate::decide::DecideMsg;
 use crate::shared::Shared;
 use hollowford_platform::{Platform, StoreError, Txn};
@@ -11,17 +11,17 @@
 use std::time::Duration;
 
 /// How often the head of the configuration is read.
-const CONFIG_EVERY: Duration = Duration::from_millis(500);
+const CONFIG_READ_INTERVAL: Duration = Duration::from_millis(500);
 /// How often the rows of the other processes are read.
-const MEMBERS_EVERY: Duration = Duration::from_millis(1_500);
+const MEMBERS_READ_INTERVAL: Duration = Duration::from_millis(1_500);
 /// How often an owner, and a process that owns nothing, reads the instance list.
-const LIST_EVERY_OWNER: Duration = Duration::from_millis(700);
-const LIST_EVERY_OTHER: Duration = Duration::from_secs(10);
+const OWNER_LIST_INTERVAL: Duration = Duration::from_millis(700);
+const NON_OWNER_LIST_INTERVAL: Duration = Duration::from_secs(10);
 /// Rows in one read.
-const PAGE: usize = 500;
+const PAGE_ROWS: usize = 500;
 const MEMBER_PREFIX: &str = "member/";
 /// Silence after which another process's row is deleted, in milliseconds.
-const MEMBER_GONE_MS: u64 = 60_000;
+const MEMBER_ROW_EXPIRY_MS: u64 = 60_000;
 
 /// Row `member/PROCESS`.
 #[derive(Clone, PartialEq, prost::Message)]
@@ -33,21 +33,21 @@
 }
 
 /// Keeps the configuration in force at the newest change.
-pub(crate) async fn config(shared: Arc<Shared>, store: Platform) {
+pub(crate) async fn watch_config(shared: Arc<Shared>, store: Platform) {
     loop {
         if let Err(e) = refresh_config(&shared, &store).await {
             log::debug!("configuration not read: {e}");
         }
         tokio::select! {
-            () = tokio::time::sleep(CONFIG_EVERY) => {}
-            () = shared.config_news.notified() => {}
+            () = tokio::time::sleep(CONFIG_READ_INTERVAL) => {}
+            () = shared.config_changed.notified() => {}
         }
     }
 }
 
 /// Reads the head, and what has changed since the last read.
 pub(crate) async fn refresh_config(shared: &Shared, store: &Platform) -> Result<(), StoreError> {
-    let asked_at = shared.clock.now();
+    let requested_at = shared.clock.now();
     let known = shared.accounts.load().head;
     let row = store.get(HEAD_KEY).await?;
     let head = row.and_then(|r| HeadRow::decode(&r.value.0[..]).ok()).unwrap_or_default().head;
@@ -57,12 +57,12 @@
             _ => read_changed(store, known, head).await?,
         };
         // Another refresh may have come first; versions only go up.
-        shared.accounts.rcu(|now| now.with(head, entries.clone()));
+        shared.accounts.rcu(|now| now.with_changes(head, entries.clone()));
         shared.metrics.config_head.set(head as i64);
         log::info!("config_head={head} in force");
-        shared.decide.send(DecideMsg::Accounts).await;
+        shared.decide.send(DecideMsg::AccountsChanged).await;
     }
-    shared.freshness.confirm(asked_at);
+    shared.config_freshness.confirm(requested_at);
     Ok(())
 }
 
@@ -70,14 +70,14 @@
     let mut entries = Vec::new();
     let mut after = String::new();
     loop {
-        let rows = store.scan(ACCOUNT_PREFIX, &after, PAGE).await?;
-        let full = rows.len() == PAGE;
+        let rows = store.scan(ACCOUNT_PREFIX, &after, PAGE_ROWS).await?;
+        let is_full = rows.len() == PAGE_ROWS;
         for row in rows {
             let name = row.key.trim_start_matches(ACCOUNT_PREFIX);
             entries.extend(AccountEntry::from_row(name, &row.value.0));
             after = row.key;
         }
-        if !full {
+        if !is_full {
             return Ok(entries);
         }
     }
@@ -88,8 +88,8 @@
     known: u64,
     head: u64,
 ) -> Result<Vec<AccountEntry>, StoreError> {
-    let after = format!("{LOG_PREFIX}{known:016x}");
-    let log = store.scan(LOG_PREFIX, &after, PAGE).await?;
+    let after = format!("{HISTORY_PREFIX}{known:016x}");
+    let log = store.scan(HISTORY_PREFIX, &after, PAGE_ROWS).await?;
     if log.len() as u64 != head - known {
         // Too far behind, or changed meanwhile: everything is read.
         return read_all(store).await;
@@ -110,7 +110,7 @@
 }
 
 /// Keeps this process's row, and learns of the others.
-pub(crate) async fn members(shared: Arc<Shared>, store: Platform) {
+pub(crate) async fn watch_members(shared: Arc<Shared>, store: Platform) {
     let own = format!("{MEMBER_PREFIX}{}", shared.settings.process);
     let row = MemberRow { addr: shared.peer_addr(), zone: shared.settings.zone.clone() };
     let mut written = false;
@@ -120,67 +120,71 @@
             let txn = Txn::new().put(&*own, row.encode_to_vec());
             written = store.txn(&txn).await.is_ok();
         }
-        match store.scan(MEMBER_PREFIX, "", PAGE).await {
-            Ok(rows) => learn(&shared, &store, &rows).await,
+        match store.scan(MEMBER_PREFIX, "", PAGE_ROWS).await {
+            Ok(rows) => update_members(&shared, &store, &rows).await,
             Err(e) => log::debug!("members not read: {e}"),
         }
         tokio::select! {
-            () = tokio::time::sleep(MEMBERS_EVERY) => {}
+            () = tokio::time::sleep(MEMBERS_READ_INTERVAL) => {}
             _ = stopping.changed() => {}
         }
     }
-    let gone = store.txn(&Txn::new().delete(own)).await;
-    if let Err(e) = gone {
+    let deleted = store.txn(&Txn::new().delete(own)).await;
+    if let Err(e) = deleted {
         log::debug!("own row not deleted: {e}");
     }
 }
 
-async fn learn(shared: &Shared, store: &Platform, rows: &[hollowford_platform::rows::Row]) {
+async fn update_members(
+    shared: &Shared,
+    store: &Platform,
+    rows: &[hollowford_platform::rows::Row],
+) {
     for row in rows {
         let process = row.key.trim_start_matches(MEMBER_PREFIX);
         if process == shared.settings.process {
             continue;
         }
         if let Ok(member) = MemberRow::decode(&row.value.0[..]) {
-            shared.members.learn(process, &member.addr);
+            shared.members.add(process, &member.addr);
         }
     }
     let now = shared.clock.now();
-    let listed = |p: &str| rows.iter().any(|r| r.key.trim_start_matches(MEMBER_PREFIX) == p);
+    let is_listed = |p: &str| rows.iter().any(|r| r.key.trim_start_matches(MEMBER_PREFIX) == p);
     for (process, member) in shared.members.all() {
-        let silent = now.since(member.heard_at.unwrap_or_default()).0;
-        if silent < MEMBER_GONE_MS {
+        let silence_ms = now.since(member.heard_at.unwrap_or_default()).0;
+        if silence_ms < MEMBER_ROW_EXPIRY_MS {
             continue;
         }
-        if !listed(&process) {
-            shared.members.forget(&process);
+        if !is_listed(&process) {
+            shared.members.remove(&process);
             continue;
         }
         let key = format!("{MEMBER_PREFIX}{process}");
         let version = rows.iter().find(|r| r.key == key).map_or(0, |r| r.version);
         if store.txn(&Txn::new().check(&*key, version).delete(&*key)).await.is_ok() {
-            shared.members.forget(&process);
+            shared.members.remove(&process);
         }
     }
 }
 
 /// Keeps the instance list.
-pub(crate) async fn instances(shared: Arc<Shared>, store: Platform) {
+pub(crate) async fn watch_instances(shared: Arc<Shared>, store: Platform) {
     loop {
-        let owner = shared.metrics.owned.get() > 0;
+        let is_owner = shared.metrics.partitions_owned.get() > 0;
         match store.instances().await {
             Ok(list) => {
                 shared.instances.store(Arc::new(list));
-                if owner {
-                    shared.decide.send(DecideMsg::Instances).await;
+                if is_owner {
+                    shared.decide.send(DecideMsg::InstancesChanged).await;
                 }
             }
             Err(e) => log::debug!("instance list not read: {e}"),
         }
-        let every = if owner { LIST_EVERY_OWNER } else { LIST_EVERY_OTHER };
+        let interval = if is_owner { OWNER_LIST_INTERVAL } else { NON_OWNER_LIST_INTERVAL };
         tokio::select! {
-            () = tokio::time::sleep(every) => {}
-            () = shared.instances_wanted.notified() => {}
+            () = tokio::time::sleep(interval) => {}
+            () = shared.instances_requested.notified() => {}
         }
     }
 }
--- a/crates/hollowford-server/src/workers/duty.rs
+++ b/crates/hollowford-server/src/workers/event_loop.rs
@@ -1,7 +1,7 @@
 //! The loop of the worker-link thread.
 
 use super::session::{self, Slot};
-use super::{Addressed, WorkerMsg};
+use super::{AddressedOrder, WorkerMsg};
 use crate::shared::Shared;
 use hollowford_core::{Epoch, InstanceId, PartitionId};
 use std::collections::HashMap;
@@ -30,11 +30,11 @@
     let mut links = Links::new();
     loop {
         match shared.workers.recv().await {
-            WorkerMsg::Hold { partition, epoch, workers } => {
-                hold(&shared, &mut links, partition, epoch, workers);
+            WorkerMsg::SetWorkers { partition, epoch, workers } => {
+                set_workers(&shared, &mut links, partition, epoch, workers);
             }
-            WorkerMsg::Drop { partition } => links.retain(|(p, _), _| *p != partition),
-            WorkerMsg::Orders { partition, orders } => {
+            WorkerMsg::EndSessions { partition } => links.retain(|(p, _), _| *p != partition),
+            WorkerMsg::SendOrders { partition, orders } => {
                 for order in orders {
                     send(&shared, &links, partition, order);
                 }
@@ -43,21 +43,22 @@
     }
 }
 
-fn hold(
+fn set_workers(
     shared: &Arc<Shared>,
     links: &mut Links,
     partition: PartitionId,
     epoch: Epoch,
     workers: HashMap<InstanceId, String>,
 ) {
-    let stands = |id: &InstanceId, l: &Link| l.epoch == epoch && workers.get(id) == Some(&l.addr);
-    links.retain(|(p, id), link| *p != partition || stands(id, link));
+    let is_current =
+        |id: &InstanceId, l: &Link| l.epoch == epoch && workers.get(id) == Some(&l.addr);
+    links.retain(|(p, id), link| *p != partition || is_current(id, link));
     for (worker, addr) in workers {
         let key = (partition, worker.clone());
         links.entry(key).or_insert_with(|| {
             let slot = Slot::default();
             let target = session::Target { partition, epoch, worker, addr: addr.clone() };
-            let task = tokio::spawn(session::hold(shared.clone(), target, slot.clone()));
+            let task = tokio::spawn(session::keep_session(shared.clone(), target, slot.clone()));
             Link { addr, epoch, slot, task }
         });
     }
@@ -65,15 +66,15 @@
 
 /// Sends an order, if its session stands. An order of an ended session is dropped:
 /// the next claim settles what it was about.
-pub(super) fn send(shared: &Shared, links: &Links, partition: PartitionId, order: Addressed) {
+pub(super) fn send(shared: &Shared, links: &Links, partition: PartitionId, order: AddressedOrder) {
     let Some(link) = links.get(&(partition, order.worker)) else {
         return;
     };
     let mut slot = link.slot.lock().unwrap_or_else(PoisonError::into_inner);
-    let Some(open) = slot.as_ref().filter(|s| s.session == order.session) else {
+    let Some(session) = slot.as_ref().filter(|s| s.session == order.session) else {
         return;
     };
-    if open.orders.try_send(order.order).is_err() {
+    if session.orders.try_send(order.order).is_err() {
         // A worker that doesn't keep up: its session ends, and a new claim settles it.
         shared.metrics.ring_full.with_label_values(&["worker_orders"]).inc();
         *slot = None;
--- a/crates/hollowford-server/src/workers/mod.rs
+++ b/crates/hollowford-server/src/workers/mod.rs
@@ -1,11 +1,11 @@
 //! The duty that holds the sessions with workers.
 
-mod duty;
+mod event_loop;
 mod session;
 #[cfg(test)]
 mod tests;
 
-pub(crate) use duty::run;
+pub(crate) use event_loop::run;
 
 use hollowford_core::{Epoch, InstanceId, PartitionId};
 use hollowford_protocol::v1;
@@ -13,7 +13,7 @@
 
 /// An order, for one session only.
 #[derive(Debug)]
-pub(crate) struct Addressed {
+pub(crate) struct AddressedOrder {
     pub worker: InstanceId,
     pub session: u64,
     pub order: v1::Order,
@@ -23,9 +23,9 @@
 #[derive(Debug)]
 pub(crate) enum WorkerMsg {
     /// Hold sessions with just these workers, by address.
-    Hold { partition: PartitionId, epoch: Epoch, workers: HashMap<InstanceId, String> },
+    SetWorkers { partition: PartitionId, epoch: Epoch, workers: HashMap<InstanceId, String> },
     /// End all sessions of a partition.
-    Drop { partition: PartitionId },
+    EndSessions { partition: PartitionId },
     /// Send orders.
-    Orders { partition: PartitionId, orders: Vec<Addressed> },
+    SendOrders { partition: PartitionId, orders: Vec<AddressedOrder> },
 }
--- a/crates/hollowford-server/src/workers/tests.rs
+++ b/crates/hollowford-server/src/workers/tests.rs
@@ -1,8 +1,8 @@
 //! Orders reach the session that they were decided for, and no other.
 
-use super::Addressed;
-use super::duty::{Link, Links, send};
-use super::session::{Open, Slot};
+use super::AddressedOrder;
+use super::event_loop::{Link, Links, send};
+use super::session::{OpenSession, Slot};
 use crate::shared::Shared;
 use hollowford_config::Settings;
 use hollowford_core::{Epoch, InstanceId, PartitionId};
@@ -17,17 +17,17 @@
     Shared::new(Settings::try_from(text).unwrap()).unwrap()
 }
 
-fn links(session: u64, bound: usize) -> (Links, mpsc::Receiver<v1::Order>) {
-    let (orders, rx) = mpsc::channel(bound);
+fn links(session: u64, capacity: usize) -> (Links, mpsc::Receiver<v1::Order>) {
+    let (orders, rx) = mpsc::channel(capacity);
     let slot = Slot::default();
-    *slot.lock().unwrap() = Some(Open { session, orders });
+    *slot.lock().unwrap() = Some(OpenSession { session, orders });
     let task = tokio::spawn(async {});
     let link = Link { addr: "a".to_owned(), epoch: Epoch(1), slot, task };
     (Links::from([((P, InstanceId::from("w")), link)]), rx)
 }
 
-fn order(session: u64) -> Addressed {
-    Addressed { worker: "w".into(), session, order: v1::Order::default() }
+fn order(session: u64) -> AddressedOrder {
+    AddressedOrder { worker: "w".into(), session, order: v1::Order::default() }
 }
 
 #[tokio::test]
