--- a/crates/hollowford-server/src/decide/calls.rs
+++ b/crates/hollowford-server/src/decide/calls.rs
@@ -1,4 +1,4 @@
-//! Carries out one call on the partition that it is for.
+//! Executes the calls of client accounts on an owned partition.
 
 use super::ReplySender;
 use super::owned_partition::OwnedPartition;
@@ -8,12 +8,13 @@
 use hollowford_protocol::peer::{Call, Op, Said};
 use hollowford_protocol::{check_label, check_request_id, v1};
 
-/// Most requests in one page.
+/// Maximum number of requests in one page of a list.
 const MAX_PAGE_SIZE: u32 = 500;
-/// Requests in a page when the caller doesn't say.
+/// Number of requests in a page when the caller sets no limit.
 const DEFAULT_PAGE_SIZE: u32 = 100;
 
-/// Carries out a call, now or when what it waits for has come.
+/// Executes a call. The reply is sent at once, or when the change or the record that the call
+/// waits for is there.
 pub(super) fn execute_call(
     owned: &mut OwnedPartition,
     now: Millis,
@@ -22,7 +23,7 @@
 ) {
     let account = AccountId::from(call.account.as_str());
     let Some(op) = call.op else {
-        refuse(reply, ErrorKind::Invalid, "a call without an operation");
+        refuse(reply, ErrorKind::Invalid, "the call has no operation");
         return;
     };
     match op {
@@ -32,16 +33,20 @@
         Op::CancelByLabel(req) => cancel_by_label(owned, now, &account, &req, reply),
         Op::List(req) => {
             let said = list(owned, &account, &req).map(Said::List);
-            // The caller may have gone.
+            // The caller may have disconnected.
             let _ = reply.send(said);
         }
     }
 }
 
-/// A command needs the ownership lease and a configuration known to be in force.
+/// Checks that this owner may accept changes: it holds the ownership lease, and the account
+/// configuration was confirmed recently.
+///
+/// # Errors
+/// `Unavailable`.
 fn check_writable(owned: &OwnedPartition, now: Millis) -> Result<(), Error> {
     if owned.authority(now) != Authority::Full {
-        let message = "the owner's lease has lapsed; nothing was changed";
+        let message = "the owner's lease has expired; nothing was changed";
         return Err(Error::new(ErrorKind::Unavailable, message));
     }
     if !owned.shared.is_config_fresh() {
@@ -60,7 +65,7 @@
 ) {
     match try_submit(owned, now, account, req) {
         Err(e) => {
-            // The caller may have gone.
+            // The caller may have disconnected.
             let _ = reply.send(Err(e));
         }
         Ok(number) if req.wait => {
@@ -106,7 +111,7 @@
     let number = match find(owned, account, &req.request_id) {
         Ok(number) => number,
         Err(e) => {
-            // The caller may have gone.
+            // The caller may have disconnected.
             let _ = reply.send(Err(e));
             return;
         }
@@ -116,13 +121,14 @@
     } else if req.after_version > 0 {
         wait_for_change(owned, now, number, WaitCondition::VersionAbove(req.after_version), reply);
     } else {
-        // What is told must last, so even a plain view waits for its records.
+        // A caller must not see a state that a takeover could lose, so the view is sent only
+        // once its records are durable.
         let seq = owned.engine.last_seq();
         reply_when_durable(owned, seq, DurableReply::View(number), reply);
     }
 }
 
-/// Answers when the request has come so far, or after the longest wait.
+/// Replies when the request meets the condition, or after [`MAX_CALL_WAIT`].
 fn wait_for_change(
     owned: &mut OwnedPartition,
     now: Millis,
@@ -140,7 +146,7 @@
     });
 }
 
-/// Answers when the ledger holds the record at `seq`.
+/// Replies when the record at `seq` is durable.
 fn reply_when_durable(
     owned: &mut OwnedPartition,
     seq: u64,
@@ -151,7 +157,7 @@
     if let DurableReply::View(number) = content
         && (seq <= owned.ledger.durable_seq() || (stalled && owned.engine.is_accepted(number)))
     {
-        // While the ledger stalls, views of accepted requests are still given.
+        // While the ledger is stalled, callers can still read requests that were accepted.
         let _ = reply.send(owned.view(number).map(Said::View));
         return;
     }
@@ -176,7 +182,7 @@
             reply_when_durable(owned, seq, DurableReply::View(number), reply);
         }
         Err(e) => {
-            // The caller may have gone.
+            // The caller may have disconnected.
             let _ = reply.send(Err(e));
         }
     }
@@ -190,7 +196,7 @@
     reply: ReplySender,
 ) {
     if let Err(e) = check_label(&req.label).and_then(|()| check_writable(owned, now)) {
-        // The caller may have gone.
+        // The caller may have disconnected.
         let _ = reply.send(Err(e));
         return;
     }
--- a/crates/hollowford-server/src/decide/event_loop.rs
+++ b/crates/hollowford-server/src/decide/event_loop.rs
@@ -1,4 +1,4 @@
-//! The loop of the deciding thread.
+//! The event loop of the `decide` thread.
 
 use super::owned_partition::OwnedPartition;
 use super::waiting_calls::refuse;
@@ -13,18 +13,18 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// How often leases, give-ups and retries are looked at.
+/// Interval of the checks for expired leases, timeouts and retries.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Messages taken before decisions are made and sent out.
+/// Messages handled before tasks are placed and the resulting actions are sent.
 const MAX_MESSAGES_PER_ROUND: usize = 512;
 
-/// The deciding thread's state.
+/// State of the `decide` thread.
 struct EventLoop {
     shared: Arc<Shared>,
     owned: BTreeMap<PartitionId, OwnedPartition>,
 }
 
-/// Runs the deciding duty.
+/// Runs the event loop. Never returns.
 pub(crate) async fn run(shared: Arc<Shared>) {
     let mut event_loop = EventLoop { shared: shared.clone(), owned: BTreeMap::new() };
     let mut ticks = tokio::time::interval(TICK_INTERVAL);
@@ -57,7 +57,8 @@
             if ticked {
                 owned.tick(now);
             }
-            // The lease is read right before the starts are made.
+            // The lease is checked against a current clock reading, so that no task is
+            // started after it has expired.
             owned.decide(self.shared.clock.now());
             owned.send_actions().await;
         }
@@ -90,7 +91,7 @@
             }
             DecideMsg::DumpState(reply) => {
                 let dump = self.owned.values().map(OwnedPartition::dump).collect();
-                // The caller may have gone.
+                // The caller may have disconnected.
                 let _ = reply.send(dump);
             }
         }
@@ -110,7 +111,7 @@
         self.apply_instance_list(now).await;
     }
 
-    /// Takes in the instance list, and holds sessions with the workers on it.
+    /// Applies the instance list, and requests sessions with the workers on it.
     async fn apply_instance_list(&mut self, now: Millis) {
         let list = self.shared.instances.load_full();
         for (partition, owned) in &mut self.owned {
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Stops to decide for a partition, and replies once its ledger is written.
+    /// Stops scheduling for a partition, and replies once its ledger is durable.
     async fn release(&mut self, partition: PartitionId, done: oneshot::Sender<()>) {
         if let Some(mut owned) = self.owned.remove(&partition) {
             owned.send_actions().await;
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Lets go of partitions that another process has taken over.
+    /// Drops partitions whose lease has ended or that another process has taken over.
     async fn drop_deposed(&mut self) {
         let is_over = |o: &OwnedPartition| o.lease.has_ended() || o.ledger.is_deposed();
         let ended: Vec<PartitionId> =
--- a/crates/hollowford-server/src/decide/mod.rs
+++ b/crates/hollowford-server/src/decide/mod.rs
@@ -1,4 +1,4 @@
-//! The deciding duty: one thread that holds the engines of all owned partitions.
+//! The `decide` thread, which runs the engines of all partitions that this process owns.
 
 mod calls;
 mod event_loop;
@@ -16,10 +16,10 @@
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
-/// Answers one call.
+/// Sends the answer to one call.
 pub(crate) type ReplySender = oneshot::Sender<Result<Said, Error>>;
 
-/// A partition that this process has taken over.
+/// A partition that this process has taken over, with the records recovered from its ledger.
 #[derive(Debug)]
 pub(crate) struct TakenPartition {
     pub partition: PartitionId,
@@ -28,23 +28,23 @@
     pub records: Vec<Record>,
 }
 
-/// What the deciding duty is told.
+/// A message to the `decide` thread.
 #[derive(Debug)]
 pub(crate) enum DecideMsg {
-    /// A caller's call.
+    /// A call of a client account.
     Call { call: Box<Call>, reply: ReplySender },
-    /// Start to decide for a partition.
+    /// Start scheduling for a partition.
     TakeOver(Box<TakenPartition>),
-    /// Stop to decide for a partition, and reply once its ledger is written.
+    /// Stop scheduling for a partition, and reply once its ledger is durable.
     Release { partition: PartitionId, done: oneshot::Sender<()> },
-    /// A worker replied to the claim of this session.
+    /// A worker replied to the claim that opened this session.
     WorkerClaimed {
         partition: PartitionId,
         worker: InstanceId,
         session: u64,
         report: Box<v1::Report>,
     },
-    /// A worker of this session reported.
+    /// A worker sent a report in this session.
     WorkerReport {
         partition: PartitionId,
         worker: InstanceId,
@@ -55,7 +55,7 @@
     SessionEnded { partition: PartitionId, worker: InstanceId, session: u64 },
     /// The instance list was read again.
     InstancesChanged,
-    /// The configuration in force has changed.
+    /// The active account configuration has changed.
     AccountsChanged,
     /// Describe the state of all owned partitions, as JSON.
     DumpState(oneshot::Sender<serde_json::Value>),
--- a/crates/hollowford-server/src/decide/owned_partition.rs
+++ b/crates/hollowford-server/src/decide/owned_partition.rs
@@ -1,4 +1,4 @@
-//! One owned partition: its engine, its waiting calls, and what goes out.
+//! An owned partition: its engine, its waiting calls and the actions to send.
 
 use super::TakenPartition;
 use super::waiting_calls::{DurableReply, WaitCondition, WaitingCall, WaitingCalls};
@@ -17,29 +17,32 @@
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 
-/// One owned partition.
+/// A partition that this process owns.
 pub(super) struct OwnedPartition {
     pub shared: Arc<Shared>,
     pub engine: Engine,
     pub lease: Arc<OwnerLease>,
     pub ledger: LedgerHandle,
     pub waiting_calls: WaitingCalls,
-    /// Session that stands with each claimed worker. Orders name it, so that none
-    /// reaches a later session than the one it was decided for.
+    /// Open session of each claimed worker. Each order names its session, so that it can't
+    /// reach the worker in a later one.
     pub sessions: HashMap<InstanceId, u64>,
+    /// Actions of the engine that are not sent yet.
     pub actions: Vec<Action>,
+    /// Position up to which the engine knows the ledger to be durable.
     durable_seq: u64,
+    /// The engine's counters when the metrics were last updated.
     counted_stats: Stats,
     records_since_snapshot: u64,
 }
 
 impl OwnedPartition {
-    /// Replays what was recovered and starts to decide.
-    pub fn new(shared: &Arc<Shared>, take: TakenPartition, now: Millis) -> OwnedPartition {
+    /// Replays the recovered records and activates the engine.
+    pub fn new(shared: &Arc<Shared>, taken: TakenPartition, now: Millis) -> OwnedPartition {
         let policy = shared.settings.policy.clone();
-        let mut engine = Engine::new(take.partition, take.lease.epoch, policy);
-        let records_since_snapshot = take.records.len() as u64;
-        for record in take.records {
+        let mut engine = Engine::new(taken.partition, taken.lease.epoch, policy);
+        let records_since_snapshot = taken.records.len() as u64;
+        for record in taken.records {
             engine.replay(now, record);
         }
         let mut actions = Vec::new();
@@ -47,8 +50,8 @@
         let mut owned = OwnedPartition {
             shared: shared.clone(),
             engine,
-            lease: take.lease,
-            ledger: take.ledger,
+            lease: taken.lease,
+            ledger: taken.ledger,
             waiting_calls: WaitingCalls::default(),
             sessions: HashMap::new(),
             actions,
@@ -60,7 +63,7 @@
         owned
     }
 
-    /// Puts the client accounts' configuration in force.
+    /// Passes the active configuration of all client accounts to the engine.
     pub fn apply_accounts(&mut self) {
         let accounts = self.shared.accounts.load();
         for entry in accounts.accounts.values() {
@@ -68,7 +71,7 @@
         }
     }
 
-    /// Takes in the instance list.
+    /// Applies the instance list.
     pub fn apply_instance_list(&mut self, now: Millis, list: &[Instance]) {
         let s = &self.shared.settings;
         let partition = self.engine.partition();
@@ -88,8 +91,8 @@
         self.end_unlisted_sessions(now, &listed);
     }
 
-    /// No session is held with workers that are gone from the list, so their tasks
-    /// are settled when their leases have ended.
+    /// Ends the sessions of workers that are no longer listed. Their tasks are settled once
+    /// their leases have expired.
     fn end_unlisted_sessions(&mut self, now: Millis, listed: &[Listed]) {
         let ids: HashSet<&InstanceId> = listed.iter().map(|l| &l.id).collect();
         let gone: Vec<InstanceId> =
@@ -100,7 +103,7 @@
         }
     }
 
-    /// Takes in a worker's reply to a claim.
+    /// Processes a worker's reply to a claim.
     pub fn worker_claimed(
         &mut self,
         now: Millis,
@@ -115,7 +118,7 @@
         }
     }
 
-    /// Takes in a worker's report.
+    /// Processes a worker's report. Reports of earlier sessions are ignored.
     pub fn worker_reported(
         &mut self,
         now: Millis,
@@ -149,7 +152,7 @@
         }
     }
 
-    /// Notes that a session ended.
+    /// Records the end of a session.
     pub fn session_ended(&mut self, now: Millis, worker: &InstanceId, session: u64) {
         if self.sessions.get(worker) == Some(&session) {
             self.sessions.remove(worker);
@@ -157,9 +160,9 @@
         }
     }
 
-    /// Reads how far the ledger has come.
+    /// Reads the progress of the ledger, and answers the calls that waited for it.
     pub fn read_ledger_progress(&mut self) {
-        // Without the lease nothing can be written either.
+        // Without the ownership lease the ledger can't be written either.
         let lapsed = self.authority(self.shared.clock.now()) != Authority::Full;
         let stalled = self.ledger.is_stalled() || lapsed;
         self.engine.set_stalled(stalled);
@@ -176,26 +179,29 @@
                         Ok(Said::Cancelled(v1::CancelByLabelReply { cancelled }))
                     }
                 };
-                // The caller may have gone.
+                // The caller may have disconnected.
                 let _ = reply.send(said);
             }
         }
     }
 
-    /// Returns a request's view, as the entries get it.
+    /// Returns a request's view in the form that other processes receive it.
+    ///
+    /// # Errors
+    /// `NotFound`.
     pub fn view(&self, number: RequestNo) -> Result<ViewReply, Error> {
         let view = self.engine.view(number);
         let view = view.ok_or_else(|| Error::new(ErrorKind::NotFound, "no such request"))?;
         Ok(view_to_wire(&view))
     }
 
-    /// Decides what can be decided now.
+    /// Lets the engine place waiting tasks.
     pub fn decide(&mut self, now: Millis) {
         let authority = self.authority(now);
         self.engine.decide(now, authority, &mut self.actions);
     }
 
-    /// Does what is due at `now`.
+    /// Handles what is due at `now`: leases, timeouts and calls that have waited long enough.
     pub fn tick(&mut self, now: Millis) {
         let authority = self.authority(now);
         self.engine.tick(now, authority, &mut self.actions);
@@ -207,20 +213,20 @@
         }
     }
 
-    /// Tells what the ownership lease lets this owner do.
+    /// Returns what the ownership lease allows at `now`.
     pub fn authority(&self, now: Millis) -> Authority {
         self.lease.authority(now, self.engine.policy().renewal_bound)
     }
 
-    /// Answers the waiting calls of a request that `ready` lets go.
+    /// Answers the waiting calls of a request for which `ready` returns true.
     pub fn answer_waiting(&mut self, number: RequestNo, ready: impl Fn(&WaitingCall) -> bool) {
         for reply in self.waiting_calls.take_ready(number, ready) {
-            // The caller may have gone.
+            // The caller may have disconnected.
             let _ = reply.send(self.view(number).map(Said::View));
         }
     }
 
-    /// Answers the calls that wait for this change.
+    /// Answers the calls that waited for a change of this request.
     fn answer_changed_request(&mut self, number: RequestNo) {
         let finished = self.engine.is_settled(number);
         let version = self.engine.view(number).map_or(u64::MAX, |v| v.version);
@@ -230,8 +236,8 @@
         });
     }
 
-    /// Sends out what was decided: records to the ledger, orders to the workers,
-    /// answers to calls.
+    /// Sends the engine's actions: records to the ledger, orders to the workers, answers to
+    /// callers.
     pub async fn send_actions(&mut self) {
         let mut records = Vec::new();
         let mut seq = 0;
@@ -257,7 +263,8 @@
         }
     }
 
-    /// Gives an order the session that stands with its worker.
+    /// Addresses an order to the open session of its worker. Returns `None` for other actions,
+    /// and when no session is open.
     fn address_order(&self, action: &Action) -> Option<AddressedOrder> {
         let worker = match action {
             Action::Start { worker, .. }
@@ -285,7 +292,7 @@
         }
     }
 
-    /// Brings the metrics up to the engine's counters.
+    /// Adds the change of the engine's counters to the metrics.
     fn update_metrics(&mut self) {
         let now = self.engine.stats();
         let m = &self.shared.metrics;
@@ -295,7 +302,7 @@
         self.counted_stats = now;
     }
 
-    /// Describes the partition, with its sizes bounded.
+    /// Describes the partition as JSON, with a limited number of workers.
     pub fn dump(&self) -> serde_json::Value {
         const MAX_WORKERS: usize = 1_000;
         let e = &self.engine;
@@ -338,7 +345,7 @@
         })
     }
 
-    /// Returns the workers to hold sessions with, by address.
+    /// Returns the workers to hold sessions with, and their addresses.
     pub fn wanted_sessions(&self, list: &[Instance]) -> HashMap<InstanceId, String> {
         let known: HashSet<&str> = self.engine.workers().map(|w| w.id).collect();
         let ours = list.iter().filter(|i| known.contains(i.id.as_str()));
--- a/crates/hollowford-server/src/decide/waiting_calls.rs
+++ b/crates/hollowford-server/src/decide/waiting_calls.rs
@@ -1,23 +1,23 @@
-//! Calls that wait for something to become durable or to change.
+//! Calls that wait for a record to become durable or for a request to change.
 
 use super::ReplySender;
 use hollowford_core::{Error, ErrorKind, Millis, RequestNo};
 use std::collections::{HashMap, VecDeque};
 
-/// Longest wait of a relayed call. The entry asks again, so that calls whose
-/// callers have gone don't pile up here.
+/// Maximum time for which a call waits for a change. The process that received the call then
+/// repeats it, so that calls of disconnected callers don't accumulate here.
 pub(crate) const MAX_CALL_WAIT: Millis = Millis(15_000);
-/// Longest wait for a record to become durable while the ledger stalls.
+/// Maximum wait for a record to become durable while the ledger is stalled.
 const STALLED_LEDGER_TIMEOUT: Millis = Millis(700);
-/// Calls that may wait in one partition.
+/// Maximum number of calls of each sort, waiting for a change or for a record, in one partition.
 const MAX_WAITING_CALLS: usize = 100_000;
 
-/// What a call waits for.
+/// The state of a request that a call waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WaitCondition {
-    /// The view's version is above this.
+    /// The version of the request's view is greater than this one.
     VersionAbove(u64),
-    /// The final answer, or a service that runs.
+    /// The request has its final answer, or is a service with all tasks running.
     Finished,
 }
 
@@ -29,12 +29,12 @@
     pub reply: ReplySender,
 }
 
-/// What a call gets once a record is durable.
+/// The reply to a call once a record is durable.
 #[derive(Debug)]
 pub(crate) enum DurableReply {
     /// The request's view.
     View(RequestNo),
-    /// How many requests were cancelled.
+    /// The number of cancelled requests.
     Cancelled(u32),
 }
 
@@ -47,7 +47,7 @@
     reply: ReplySender,
 }
 
-/// All calls that wait in one partition.
+/// All waiting calls of one partition.
 #[derive(Debug, Default)]
 pub(crate) struct WaitingCalls {
     by_request: HashMap<RequestNo, Vec<WaitingCall>>,
@@ -56,7 +56,8 @@
 }
 
 impl WaitingCalls {
-    /// Lets a call wait for a request.
+    /// Adds a call that waits for a change of a request. Refuses it with `QueueFull` when too
+    /// many calls wait.
     pub fn add(&mut self, number: RequestNo, call: WaitingCall) {
         if self.count >= MAX_WAITING_CALLS {
             refuse(call.reply, ErrorKind::QueueFull, "too many calls wait");
@@ -66,7 +67,8 @@
         self.by_request.entry(number).or_default().push(call);
     }
 
-    /// Lets a call wait for the record at `seq`.
+    /// Adds a call that waits for the record at `seq`. Refuses it with `Unknown` when too many
+    /// calls wait.
     pub fn add_durable(
         &mut self,
         since: Millis,
@@ -75,14 +77,15 @@
         reply: ReplySender,
     ) {
         if self.by_seq.len() >= MAX_WAITING_CALLS {
-            // The record may become durable still, so this is not "did not run".
+            // The record may still become durable, so the caller must not assume that
+            // nothing ran.
             refuse(reply, ErrorKind::Unknown, "too many calls wait");
             return;
         }
         self.by_seq.push_back(CallAwaitingRecord { seq, content, since, reply });
     }
 
-    /// Takes the calls that waited for records up to `seq`.
+    /// Removes and returns the calls that waited for records up to `seq`.
     pub fn take_durable(&mut self, seq: u64) -> Vec<(DurableReply, ReplySender)> {
         let mut due = Vec::new();
         while let Some(call) = self.by_seq.pop_front_if(|call| call.seq <= seq) {
@@ -91,18 +94,19 @@
         due
     }
 
-    /// Answers the calls that have waited too long for a ledger that can't be
-    /// written: what they asked may or may not become durable.
+    /// Refuses the calls that have waited longer than [`STALLED_LEDGER_TIMEOUT`] with `Unknown`:
+    /// their changes may or may not become durable.
     pub fn answer_expired(&mut self, now: Millis) {
         let is_expired =
             |call: &mut CallAwaitingRecord| now.since(call.since) >= STALLED_LEDGER_TIMEOUT;
         while let Some(call) = self.by_seq.pop_front_if(is_expired) {
-            let message = "the ledger stalled after the call was taken; ask by the request id";
+            let message =
+                "the ledger stalled after the call was accepted; look the request up by its id";
             refuse(call.reply, ErrorKind::Unknown, message);
         }
     }
 
-    /// Takes the calls for a request that `ready` lets go.
+    /// Removes and returns the calls for a request for which `ready` returns true.
     pub fn take_ready(
         &mut self,
         number: RequestNo,
@@ -124,12 +128,12 @@
         self.by_request.keys().copied().collect()
     }
 
-    /// Returns how many calls wait.
+    /// Returns the number of waiting calls.
     pub fn len(&self) -> usize {
         self.count + self.by_seq.len()
     }
 
-    /// Sends every call to the next owner.
+    /// Refuses every call with `Moved`, so that its entry process sends it to the next owner.
     pub fn refuse_all_moved(&mut self) {
         let all = std::mem::take(self);
         for call in all.by_seq {
@@ -141,7 +145,7 @@
     }
 }
 
-/// Refuses a call. The caller may have gone; then no one is told.
+/// Refuses a call. Does nothing if the caller has disconnected.
 pub(crate) fn refuse(reply: ReplySender, kind: ErrorKind, message: &str) {
     let _ = reply.send(Err(Error::new(kind, message)));
 }
--- a/crates/hollowford-server/src/entry/mod.rs
+++ b/crates/hollowford-server/src/entry/mod.rs
@@ -1,4 +1,7 @@
-//! The duty that answers callers and operators.
+//! The entry: the gRPC endpoint for client accounts and operators.
+//!
+//! Each process has one and accepts calls for all partitions. It relays each call to the process
+//! that owns the partition.
 
 mod auth;
 mod operator;
--- a/crates/hollowford-server/src/entry/operator.rs
+++ b/crates/hollowford-server/src/entry/operator.rs
@@ -1,4 +1,4 @@
-//! The calls of operators.
+//! The gRPC service for operators.
 
 use super::auth;
 use super::status::to_status;
@@ -14,11 +14,12 @@
 use std::sync::Arc;
 use tonic::{Request, Response, Status};
 
-/// Changes in one reply when the operator doesn't say, and at most.
+/// Number of configuration changes in a reply when the operator sets no limit.
 const DEFAULT_HISTORY_LIMIT: u32 = 20;
+/// Maximum number of configuration changes in a reply.
 const MAX_HISTORY_LIMIT: u32 = 100;
 
-/// The service of operators.
+/// Implements the gRPC service for operators.
 #[derive(Clone, Debug)]
 pub(crate) struct OperatorService {
     pub shared: Arc<Shared>,
@@ -41,7 +42,7 @@
     async fn set_config(&self, req: &v1::SetConfigRequest) -> Result<v1::ConfigView, Error> {
         let (entry, head) = set_account(&self.store, &self.shared.clock, req).await?;
         log::info!("config_head={head} account={} author={}", entry.id, entry.author);
-        // Heartbeats tell the other processes; this one reads it now.
+        // The other processes learn of the change by heartbeats; this one reads it now.
         refresh_config(&self.shared, &self.store).await.map_err(store_unavailable)?;
         Ok(entry.view())
     }
--- a/crates/hollowford-server/src/entry/router.rs
+++ b/crates/hollowford-server/src/entry/router.rs
@@ -1,7 +1,7 @@
-//! Brings a call to the owner of its partition, and asks again when that changes.
+//! Sends a call to the owner of its partition, and retries when the owner changes.
 //!
-//! This is the one layer that repeats calls. Every operation is safe to repeat: a
-//! submission is keyed by the request id, and the rest changes nothing twice.
+//! This is the only layer that retries calls. Every operation is idempotent: a submission is
+//! keyed by its request id, and repeating any other operation changes nothing more.
 
 use crate::decide::DecideMsg;
 use crate::peers::PeerMsg;
@@ -11,28 +11,30 @@
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
-/// Time after which a call that has met no owner is given up.
+/// Time after which a call that no owner has answered fails.
 const OWNER_TIMEOUT: Millis = Millis(6_000);
-/// First and longest wait before a call is sent again.
+/// Delay before the first retry of a call. It doubles with each retry.
 const INITIAL_RETRY_DELAY: Millis = Millis(5);
+/// Maximum delay before a retry of a call.
 const MAX_RETRY_DELAY: Millis = Millis(100);
-/// Longest wait for an owner's reply, beyond the owner's own longest wait.
+/// Maximum wait for an owner's reply. Longer than `MAX_CALL_WAIT`, for which the owner may hold
+/// a call.
 const REPLY_TIMEOUT: Millis = Millis(20_000);
 
-/// What came of one try.
+/// Outcome of one attempt.
 enum AttemptOutcome {
     Answered(Box<Result<Said, Error>>),
-    /// It surely had no effect.
+    /// The call had no effect. Holds the reason, a label value.
     NotSent(&'static str),
-    /// It may have had its effect.
+    /// The call may have had an effect. Holds the reason, a label value.
     NoAnswer(&'static str),
 }
 
-/// Brings a call to its owner.
+/// Sends a call to the owner of its partition, with retries.
 ///
 /// # Errors
-/// What the owner refuses; `Unavailable` when no owner was met and nothing was
-/// sent; `Unknown` when something was sent and no answer came.
+/// The owner's error; `Unavailable` if no owner was reached and nothing was sent; `Unknown` if
+/// the call was sent and no answer arrived.
 pub(super) async fn route(
     shared: &Arc<Shared>,
     partition: PartitionId,
@@ -67,7 +69,7 @@
     if may_have_run {
         return Error::new(ErrorKind::Unknown, "the owner of the partition did not answer");
     }
-    Error::new(ErrorKind::Unavailable, "no owner of the partition was met; nothing was done")
+    Error::new(ErrorKind::Unavailable, "no owner of the partition was reached; nothing was done")
 }
 
 async fn attempt(
--- a/crates/hollowford-server/src/entry/scheduler.rs
+++ b/crates/hollowford-server/src/entry/scheduler.rs
@@ -1,4 +1,4 @@
-//! The calls of client accounts.
+//! The gRPC service for client accounts.
 
 use super::auth;
 use super::results::{fill_in_results, read_result};
@@ -16,14 +16,14 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::{Request, Response, Status};
 
-/// Views and chunks that may wait for one caller.
+/// Maximum number of views or chunks that wait for one caller to receive them.
 const MAX_QUEUED_STREAM_ITEMS: usize = 4;
-/// Bytes in one chunk of a result.
+/// Size of one chunk of a fetched result.
 const FETCH_CHUNK_BYTES: usize = 256 * 1024;
-/// Requests in a page when the caller doesn't say, and at most.
+/// Number of requests in a page when the caller sets no limit.
 const DEFAULT_PAGE_SIZE: u32 = 100;
 
-/// The service of client accounts.
+/// Implements the gRPC service for client accounts.
 #[derive(Clone, Debug)]
 pub(crate) struct SchedulerService {
     pub shared: Arc<Shared>,
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Asks again until the request is settled, or this process is to stop. The
-    /// owner lets no call wait for long, so that no caller's leaving leaks a call.
+    /// Repeats the call until the caller's wait is over or this process stops. The owner lets
+    /// each call wait for a limited time only, so that calls of disconnected callers end.
     async fn call_until_finished(
         &self,
         account: &AccountId,
@@ -83,14 +83,14 @@
                         return Ok(answer);
                     }
                     reply = Some(answer);
-                    // Accepted: from now on it is only asked after.
+                    // The request is accepted, so further calls only read it.
                     op = get_final(id);
                 }
                 _ = stopping.changed() => {}
             }
         }
-        // A planned stop cuts off nothing: the caller gets the present view, without
-        // an answer, and asks again through another entry.
+        // At a planned stop the caller gets the current view, without an answer, and asks again
+        // through another process.
         match (reply, &op) {
             (Some(reply), _) => Ok(reply),
             (None, Op::Submit(req)) => {
@@ -178,7 +178,7 @@
         Ok(v1::ListReply { requests, next })
     }
 
-    /// Sends a request's views until its answer, or until this process is to stop.
+    /// Sends a request's views until the final answer, or until this process stops.
     async fn watch(
         &self,
         account: &AccountId,
@@ -197,7 +197,8 @@
             let view = fill_in_results(&self.store, reply).await?;
             let ended = view.answer.is_some();
             let version = view.version;
-            // After a takeover versions may start lower; any difference is news.
+            // Versions may restart at a lower number after a takeover, so any other version
+            // is sent.
             if version != sent && tx.send(Ok(view)).await.is_err() {
                 return Ok(());
             }
@@ -241,7 +242,7 @@
 }
 
 fn is_wait_over(reply: &ViewReply) -> bool {
-    // A service is settled when all of its tasks run.
+    // For a service, the wait is over when all of its tasks run.
     reply.view.as_ref().is_some_and(|v| {
         v.answer.is_some() || (v.queued == 0 && v.ended == 0 && v.running > 0 && v.is_service)
     })
@@ -303,7 +304,7 @@
             let _open = open;
             let id = &req.get_ref().request_id;
             if let Err(e) = SchedulerService::watch(&service, &account, id, &tx).await {
-                // The caller may have gone.
+                // The caller may have disconnected.
                 let _ = tx.send(Err(to_status(&e))).await;
             }
         });
--- a/crates/hollowford-server/src/entry/status.rs
+++ b/crates/hollowford-server/src/entry/status.rs
@@ -1,15 +1,15 @@
-//! Turns errors into the answers that callers get.
+//! Converts errors to gRPC statuses.
 
 use hollowford_core::Error;
 use tonic::metadata::MetadataValue;
 use tonic::{Code, Status};
 
-/// Metadata that names the error kind.
+/// Metadata key of the error kind's name.
 const KIND_KEY: &str = "hollowford-kind";
-/// Metadata that says when to come back, in milliseconds.
+/// Metadata key of the delay before a retry, in milliseconds.
 const RETRY_KEY: &str = "hollowford-retry-after-ms";
 
-/// Turns an error into a gRPC status, by the table of kinds.
+/// Converts an error to a gRPC status, with the error kind and the retry delay as metadata.
 pub(super) fn to_status(e: &Error) -> Status {
     let answer = e.kind.answer();
     let mut status = Status::new(Code::from_i32(answer.grpc), e.message.clone());
--- a/crates/hollowford-server/src/entry/tls.rs
+++ b/crates/hollowford-server/src/entry/tls.rs
@@ -1,4 +1,4 @@
-//! Encryption towards callers, with certificates that are read again when they change.
+//! TLS for connections of callers, with certificates that are reloaded when their files change.
 
 use hollowford_config::TlsSettings;
 use std::io;
@@ -17,25 +17,25 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::transport::server::TcpIncoming;
 
-/// How often the files are looked at.
+/// Interval of the checks for changed files.
 const RELOAD_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Longest handshake.
+/// Time limit of a TLS handshake.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Handshaken connections that may wait for the server.
+/// Maximum number of connections that wait for the server after their handshake.
 const MAX_QUEUED_CONNECTIONS: usize = 64;
 
-/// Why a certificate or key can't be used.
+/// An error in a certificate, a key or the root certificates.
 #[derive(Debug, thiserror::Error)]
 pub enum TlsError {
-    /// A file is no PEM file, or can't be read.
+    /// A file can't be read or is not a PEM file.
     #[error("{file}: {error}")]
     File {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// What is wrong with it.
+        /// The underlying error.
         error: PemError,
     },
-    /// The certificate and the key don't fit, or the roots can't be used.
+    /// The certificate and the key don't match, or the root certificates can't be used.
     #[error("{0}")]
     Unusable(String),
 }
@@ -77,7 +77,7 @@
     Ok(config)
 }
 
-/// The newest usable certificate.
+/// TLS configuration with the newest usable certificate.
 #[derive(Clone, Debug)]
 pub(crate) struct ReloadingTlsConfig {
     settings: TlsSettings,
@@ -85,7 +85,7 @@
 }
 
 impl ReloadingTlsConfig {
-    /// Reads the files for the first time.
+    /// Reads the files and creates the initial configuration.
     pub fn new(settings: &TlsSettings) -> Result<ReloadingTlsConfig, TlsError> {
         let config = Arc::new(RwLock::new(Arc::new(read_config(settings)?)));
         Ok(ReloadingTlsConfig { settings: settings.clone(), config })
@@ -103,8 +103,8 @@
         files.into_iter().flatten().filter_map(modified).max()
     }
 
-    /// Reads the files again whenever they change. Files that can't be used change
-    /// nothing.
+    /// Reloads the files whenever they change. If the new files can't be used, the current
+    /// certificate remains in use. Never returns.
     async fn reload_on_change(self) {
         let mut last_modified_at = self.modified_at();
         loop {
@@ -117,16 +117,18 @@
             match read_config(&self.settings) {
                 Ok(config) => {
                     *self.config.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(config);
-                    log::info!("certificate read again");
+                    log::info!("certificate reloaded");
+                }
+                Err(e) => {
+                    log::error!("certificate not reloaded, the current one remains in use: {e}")
                 }
-                Err(e) => log::error!("the certificate stays as it was: {e}"),
             }
         }
     }
 }
 
-/// Shakes hands with each connection, several at a time, and passes on those that
-/// succeed.
+/// Performs the TLS handshakes of incoming connections concurrently, and returns a stream of the
+/// encrypted connections.
 pub(crate) fn accept_tls(
     mut incoming: TcpIncoming,
     tls: ReloadingTlsConfig,
@@ -143,7 +145,7 @@
                 let handshake =
                     tokio::time::timeout(HANDSHAKE_TIMEOUT, acceptor.accept(stream)).await;
                 if let Ok(Ok(stream)) = handshake {
-                    // The server may have ended.
+                    // The server may have stopped.
                     let _ = tx.send(Ok(stream)).await;
                 }
             });
--- a/crates/hollowford-server/src/ledger/mod.rs
+++ b/crates/hollowford-server/src/ledger/mod.rs
@@ -1,5 +1,5 @@
-//! The ledger of a partition: group commits in the table, snapshots in the object
-//! store, and recovery from both.
+//! The ledger of a partition: rows written by group commit, snapshots in the object store, and
+//! recovery from both.
 
 mod keys;
 mod recover;
--- a/crates/hollowford-server/src/ledger/recover.rs
+++ b/crates/hollowford-server/src/ledger/recover.rs
@@ -1,4 +1,4 @@
-//! Reads a partition's state back: the newest snapshot, then the rows after it.
+//! Recovers a partition's state from the newest snapshot and the ledger rows after it.
 
 use super::keys::{ledger_key, ledger_prefix, snapshot_key};
 use crate::codec::record_from_wire;
@@ -8,29 +8,29 @@
 use hollowford_protocol::ledger::Batch;
 use prost::Message;
 
-/// Rows in one read.
+/// Maximum number of rows in one read.
 const PAGE_ROWS: usize = 100;
 
-/// Row that points at the newest snapshot.
+/// Row `p/N/snapshot`, which points to the newest snapshot.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct SnapshotRow {
-    /// The object.
+    /// Key of the snapshot object.
     #[prost(string, tag = "1")]
     pub object: String,
-    /// Index of the first ledger row that it doesn't contain.
+    /// Index of the first ledger row that the snapshot doesn't contain.
     #[prost(uint64, tag = "2")]
     pub next_index: u64,
 }
 
-/// What the ledger holds.
+/// The contents of a recovered ledger.
 #[derive(Debug)]
 pub(crate) struct Recovered {
     pub records: Vec<Record>,
     /// Index of the next row to write.
     pub next_index: u64,
-    /// Index of the oldest row that may still be in the table.
+    /// Index of the oldest row that may still be in the store.
     pub first_index: u64,
-    /// Object of the newest snapshot; empty: none.
+    /// Key of the newest snapshot object; empty if there is none.
     pub snapshot_object: String,
 }
 
@@ -42,11 +42,12 @@
     Error::new(ErrorKind::Unavailable, e.to_string())
 }
 
-/// Reads everything back. The epoch row must have been raised before, so that no
-/// earlier owner can add to what is read.
+/// Recovers all records. The caller must have raised the epoch before, so that no earlier owner
+/// can append while they are read.
 ///
 /// # Errors
-/// `Unavailable` when the store doesn't answer, `Internal` for unreadable records.
+/// `Unavailable` if the store doesn't answer; `Internal` if a row or the snapshot is missing or
+/// damaged; `Invalid` if a record can't be decoded.
 pub(crate) async fn recover(store: &Platform, p: PartitionId) -> Result<Recovered, Error> {
     let row = store.get(&snapshot_key(p)).await.map_err(store_unavailable)?;
     let snapshot = match row {
@@ -72,7 +73,7 @@
 ) -> Result<u64, Error> {
     let prefix = ledger_prefix(p);
     let mut index = from;
-    // Rows before the snapshot may be there still; the scan starts after them.
+    // Rows that the snapshot contains may not be deleted yet; the scan starts after them.
     let mut after = match from {
         0 => String::new(),
         n => ledger_key(p, n - 1),
--- a/crates/hollowford-server/src/ledger/tests.rs
+++ b/crates/hollowford-server/src/ledger/tests.rs
@@ -1,4 +1,4 @@
-//! The ledger against the stand-in platform.
+//! Tests of the ledger against the stand-in platform.
 
 use super::keys::{ledger_key, ledger_prefix};
 use super::recover::recover;
@@ -39,7 +39,7 @@
 }
 
 impl TestLedger {
-    /// Raises the epoch, as a takeover does, and returns the row's version.
+    /// Writes the epoch row, as a takeover does, and returns its version.
     async fn raise_epoch(&self) -> u64 {
         match self.store.txn(&Txn::new().put(epoch_key(P), vec![1])).await.unwrap() {
             TxnResult::Committed(version) => version,
@@ -156,7 +156,7 @@
         append(&handle, n).await;
         wait_until(|| handle.durable_seq() >= n).await;
     }
-    // A snapshot says what all rows before it say.
+    // Recovery reads the snapshot instead of all rows before it.
     handle.ring.send(LedgerItem::Snapshot(vec![record(100), record(101)])).await;
     append(&handle, 6).await;
     flush(&handle).await;
--- a/crates/hollowford-server/src/ledger/writer.rs
+++ b/crates/hollowford-server/src/ledger/writer.rs
@@ -1,4 +1,4 @@
-//! Writes the records of one partition, in order, as group commits.
+//! Writes the records of one partition in order, by group commit.
 
 use super::keys::{epoch_key, ledger_key, snapshot_key, snapshot_object};
 use super::recover::{Recovered, SnapshotRow};
@@ -15,28 +15,29 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Groups of records that may wait for one partition's writer.
+/// Maximum number of items that wait for the writer of one partition.
 const RING_CAPACITY: usize = 4_096;
-/// Most records in one row.
+/// Number of records after which no more are added to a ledger row.
 const MAX_BATCH_RECORDS: usize = 4_000;
-/// Rows deleted in one transaction after a snapshot.
+/// Maximum number of ledger rows deleted in one transaction.
 const MAX_DELETES_PER_TXN: u64 = 100;
-/// First and longest wait before a write is tried again.
+/// Delay before the first retry of a write. It doubles with each retry.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Maximum delay before a retry of a write.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// What the owner gives to its ledger.
+/// An item that the owner sends to its ledger.
 #[derive(Debug)]
 pub(crate) enum LedgerItem {
-    /// Records to append; the last one's position is `seq`.
+    /// Records to append. `seq` is the position of the last one.
     Records { seq: u64, records: Vec<Record> },
-    /// Records that make the state after all before.
+    /// Records that reproduce the state after all earlier items.
     Snapshot(Vec<Record>),
-    /// Reply once everything before is durable.
+    /// Reply once all earlier items are durable.
     Flush(oneshot::Sender<()>),
 }
 
-/// How far the ledger has come, for the owner to read.
+/// Progress of the ledger, read by the owner.
 #[derive(Debug, Default)]
 pub(crate) struct Progress {
     durable_seq: AtomicU64,
@@ -44,7 +45,7 @@
     deposed: AtomicBool,
 }
 
-/// The owner's end of a ledger. Cheap to clone.
+/// Handle through which the owner uses its ledger. Cheap to clone.
 #[derive(Clone, Debug)]
 pub(crate) struct LedgerHandle {
     pub ring: Ring<LedgerItem>,
@@ -61,12 +62,12 @@
         self.progress.durable_seq.load(Ordering::Acquire)
     }
 
-    /// Tells whether writes fail now.
+    /// Returns true while writes fail repeatedly.
     pub fn is_stalled(&self) -> bool {
         self.progress.stalled.load(Ordering::Acquire)
     }
 
-    /// Tells whether another owner has raised the epoch.
+    /// Returns true if another process has taken over the partition.
     pub fn is_deposed(&self) -> bool {
         self.progress.deposed.load(Ordering::Acquire)
     }
@@ -81,22 +82,25 @@
     /// Version of the epoch row at the takeover.
     pub epoch_version: u64,
     pub handle: LedgerHandle,
+    /// Index of the next row to write.
     next_index: u64,
+    /// Index of the oldest row that may still be in the store.
     first_index: u64,
+    /// Key of the newest snapshot object; empty if there is none.
     snapshot_object: String,
 }
 
-/// The writer's part in the owner was taken over.
+/// Another process has taken over the partition.
 struct Deposed;
 
-/// What is written next.
+/// The next operation of the writer.
 enum NextWrite {
     Write { seq: u64, batch: Batch },
     Snapshot(Vec<Record>),
     Flush(oneshot::Sender<()>),
 }
 
-/// Runs the ledger duty: one task for each partition that the process takes.
+/// Runs the `ledger` thread: one task for each partition that this process takes over.
 pub(crate) async fn run(shared: Arc<Shared>) -> Result<(), StoreError> {
     let store = shared.store()?;
     loop {
@@ -135,7 +139,7 @@
                 NextWrite::Write { seq, batch } => self.write(&store, seq, &batch).await,
                 NextWrite::Snapshot(records) => self.write_snapshot(&store, &records).await,
                 NextWrite::Flush(reply) => {
-                    // The owner may have gone; then no one waits.
+                    // The owner may no longer wait for it.
                     let _ = reply.send(());
                     continue;
                 }
@@ -150,7 +154,8 @@
         }
     }
 
-    /// Returns the time between two writes that keeps the cell within its budget.
+    /// Returns the minimum time between two writes of this partition, so that all partitions
+    /// together stay within the write rate of the settings.
     fn write_interval(&self) -> Millis {
         const SECOND_MS: u64 = 1_000;
         let s = &self.shared.settings;
@@ -159,7 +164,8 @@
         Millis(SECOND_MS.div_ceil(partition_writes_per_second))
     }
 
-    /// Takes what waits, up to one row, in order.
+    /// Waits for the next item. Combines consecutive records into one row; an item of another
+    /// kind that follows them is kept in `lookahead`.
     async fn next_write(&self, lookahead: &mut Option<LedgerItem>) -> NextWrite {
         let first = match lookahead.take() {
             Some(item) => item,
@@ -194,7 +200,7 @@
         }
     }
 
-    /// Writes one row, however long it takes, unless another owner is found.
+    /// Writes one row, retrying until it succeeds or another process has taken over.
     async fn write(&mut self, store: &Platform, seq: u64, batch: &Batch) -> Result<(), Deposed> {
         let key = ledger_key(self.partition, self.next_index);
         let txn = Txn::new()
@@ -211,15 +217,16 @@
         Ok(())
     }
 
-    /// Tells whether the row holds this very batch; `None` when the store doesn't say.
+    /// Returns whether the row holds the batch with this id, or `None` if the store doesn't answer.
     async fn row_holds_batch(&self, store: &Platform, key: &str, id: u64) -> Option<bool> {
         let row = store.get(key).await.ok()?;
         let batch = row.and_then(|row| Batch::decode(&row.value.0[..]).ok());
         Some(batch.is_some_and(|b| b.id == id))
     }
 
-    /// Tries a transaction until it is made, or surely can't be. After a conflict,
-    /// `made` tells whether an earlier try, whose reply was lost, had made it.
+    /// Retries a transaction until it is committed, or fails for good after a conflict. A conflict
+    /// also occurs when an earlier attempt was committed and its reply was lost; `is_committed`
+    /// returns whether that is so, or `None` if the store doesn't answer.
     async fn commit<F>(
         &self,
         store: &Platform,
@@ -263,7 +270,7 @@
         self.shared.decide.wake();
     }
 
-    /// Writes a snapshot, points at it, and deletes the rows that it contains.
+    /// Writes a snapshot, updates the row that points to it, and deletes the rows that it contains.
     async fn write_snapshot(
         &mut self,
         store: &Platform,
@@ -272,7 +279,7 @@
         let object = snapshot_object(self.partition, self.epoch, self.next_index);
         let bytes = self.new_batch(records).encode_to_vec();
         if let Err(e) = store.put_object(&object, bytes).await {
-            // The rows stay; the next snapshot contains them.
+            // The rows are kept, and the next snapshot contains them.
             log::warn!("partition={} snapshot not written: {e}", self.partition);
             return Ok(());
         }
@@ -287,14 +294,16 @@
         Ok(())
     }
 
-    /// After a conflict on the epoch alone: whether the epoch is ours still.
+    /// Returns whether the epoch row is unchanged since the takeover, or `None` if the store
+    /// doesn't answer.
     async fn is_epoch_current(&self, store: &Platform) -> Option<bool> {
         let row = store.get(&epoch_key(self.partition)).await.ok()?;
         Some(row.is_some_and(|r| r.version == self.epoch_version))
     }
 
-    /// Deletes what the snapshot replaces. What stays after a failure is found by
-    /// the next snapshot, or does no harm.
+    /// Deletes the rows and the older snapshot that the new snapshot replaces. Rows that remain
+    /// after a failure are deleted with the next snapshot; an old snapshot that remains is
+    /// harmless.
     async fn delete_superseded(&mut self, store: &Platform, superseded: &str) {
         while self.first_index < self.next_index {
             let to = self.next_index.min(self.first_index + MAX_DELETES_PER_TXN);
--- a/crates/hollowford-server/src/ownership/hand_over.rs
+++ b/crates/hollowford-server/src/ownership/hand_over.rs
@@ -1,4 +1,4 @@
-//! Gives a partition up: at a planned stop, or to even the load.
+//! Hands a partition over, at a planned stop or to balance the load.
 
 use super::lease_manager::LeaseManager;
 use crate::decide::DecideMsg;
@@ -12,15 +12,15 @@
 use std::sync::atomic::Ordering;
 use tokio::sync::oneshot;
 
-/// Shortest time between two partitions that a process hands over to even the load.
+/// Minimum time between two hand-overs that balance the load.
 const REBALANCE_INTERVAL: Millis = Millis(1_000);
-/// Longest wait for the store at a planned stop.
+/// Maximum time for which a planned stop waits for the store to answer.
 const STOP_STORE_TIMEOUT: Millis = Millis(60_000);
 
 impl LeaseManager {
-    /// Tells whether this process owns two more than another that stays, so that a
-    /// hand-over evens the load. One partition goes at a time, so that the next look
-    /// sees what came of it.
+    /// Returns true if this process should hand over a partition because it owns at least two
+    /// more than another available process. At most one partition is handed over per
+    /// [`REBALANCE_INTERVAL`], so that the next check sees the effect.
     pub(super) fn should_rebalance(&self) -> bool {
         let s = &self.shared;
         let fewest_owned = self.least_loaded_member().map(|(_, owned_count)| owned_count);
@@ -40,7 +40,7 @@
         true
     }
 
-    /// Finds the staying process that owns the fewest partitions, and how many.
+    /// Returns the available process that owns the fewest partitions, and their number.
     fn least_loaded_member(&self) -> Option<(String, usize)> {
         let owners = self.shared.owners.all();
         let count = |p: &str| owners.iter().flatten().filter(|o| o.process == p).count();
@@ -49,8 +49,9 @@
         counted.min().map(|(owned_count, p)| (p, owned_count))
     }
 
-    /// At a planned stop in an outage: keeps the partition, so that its tasks' leases are
-    /// renewed, until the store answers or the longest wait has passed.
+    /// Waits at a planned stop until the store answers, for at most [`STOP_STORE_TIMEOUT`]. In an
+    /// outage this process keeps the partition meanwhile, so that the leases of its tasks are
+    /// renewed.
     pub(super) async fn wait_for_store(&mut self) {
         let give_up_at = self.shared.clock.now() + STOP_STORE_TIMEOUT;
         while let Some(ownership) = &mut self.ownership {
@@ -64,8 +65,8 @@
         }
     }
 
-    /// At a planned stop, or to even the load: lets all that was decided become
-    /// durable, then frees the row, so that no one waits for the lease to lapse.
+    /// Hands the partition over: waits until all its records are durable, then releases the
+    /// owner row, so that the next owner need not wait for the lease to lapse.
     pub(super) async fn hand_over(&mut self) {
         let Some(ownership) = self.ownership.take() else {
             return;
@@ -78,7 +79,10 @@
         ownership.lease.end();
         self.decrement_owned_count();
         if !matches!(flushed, Ok(Ok(()))) {
-            log::warn!("partition={} not handed over: the ledger can't be written", self.partition);
+            log::warn!(
+                "partition={} not handed over: the ledger could not be written",
+                self.partition
+            );
             return;
         }
         let mut row = self.own_row(ownership.lease.epoch, ownership.write_id + 1);
--- a/crates/hollowford-server/src/ownership/lease.rs
+++ b/crates/hollowford-server/src/ownership/lease.rs
@@ -1,10 +1,10 @@
-//! The lease by which a process owns a partition.
+//! The ownership lease of a partition.
 
 use hollowford_core::{Epoch, Millis};
 use hollowford_engine::Authority;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-/// A lease, as the deciding thread reads it before each start.
+/// An ownership lease, shared with the `decide` thread, which checks it before it starts tasks.
 #[derive(Debug)]
 pub(crate) struct OwnerLease {
     pub epoch: Epoch,
@@ -13,7 +13,7 @@
 }
 
 impl OwnerLease {
-    /// Makes a lease that holds until a reading of this process's clock.
+    /// Creates a lease that is valid until `valid_until`, by this process's clock.
     pub fn new(epoch: Epoch, valid_until: Millis) -> OwnerLease {
         OwnerLease {
             epoch,
@@ -22,7 +22,9 @@
         }
     }
 
-    /// Extends the lease. The time is counted from before the renewal was sent.
+    /// Extends the lease. `valid_until` must be counted from before the renewal was sent, so
+    /// that the lease expires here before another process may take over. An earlier time has
+    /// no effect.
     pub fn extend(&self, valid_until: Millis) {
         self.valid_until.fetch_max(valid_until.0, Ordering::AcqRel);
     }
@@ -32,13 +34,13 @@
         self.ended.store(true, Ordering::Release);
     }
 
-    /// Tells whether the lease was ended.
+    /// Returns true if the lease was ended.
     pub fn has_ended(&self) -> bool {
         self.ended.load(Ordering::Acquire)
     }
 
-    /// Returns what the owner may do at `now`, when running work is kept alive for
-    /// `renewal_bound` after the lease has lapsed.
+    /// Returns what the owner may do at `now`. After the lease has expired, the owner may
+    /// renew the leases of running tasks for another `renewal_bound`.
     pub fn authority(&self, now: Millis, renewal_bound: Millis) -> Authority {
         if self.has_ended() {
             return Authority::None;
--- a/crates/hollowford-server/src/ownership/lease_manager.rs
+++ b/crates/hollowford-server/src/ownership/lease_manager.rs
@@ -1,4 +1,5 @@
-//! Keeps one partition's row: renews it as the owner, watches it otherwise.
+//! Manages the ownership lease of one partition: renews it as the owner, and otherwise watches
+//! the owner row and takes over when the lease has lapsed.
 
 use super::lease::OwnerLease;
 use super::owner_rows::ObservedRow;
@@ -11,7 +12,8 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// Wait of the second choice before it takes a released partition; the third waits twice that.
+/// Delay per rank before a process takes over a released partition: the second-ranked process
+/// waits once, the third-ranked twice.
 const RELEASED_TAKEOVER_STEP: Millis = Millis(150);
 
 /// Row `owner/N`.
@@ -21,30 +23,30 @@
     pub process: String,
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
-    /// Changes with each write, so that a write with a lost reply is recognised.
+    /// Changes with each write, so that a process recognises its own write after a lost reply.
     #[prost(uint64, tag = "3")]
     pub write_id: u64,
-    /// The owner has given it up and nothing waits for its lease.
+    /// The owner has released the partition, so a takeover need not wait for the lease.
     #[prost(bool, tag = "4")]
     pub released: bool,
-    /// Released: the process that is to take it; empty: by the usual order.
+    /// Process that should take over a released partition; empty for the usual order.
     #[prost(string, tag = "5")]
     pub successor: String,
 }
 
-/// What the owner holds.
+/// State of an owned partition's lease.
 #[derive(Debug)]
 pub(super) struct Ownership {
     pub lease: Arc<OwnerLease>,
-    /// Version of the owner row that the owner wrote last.
+    /// Version of the owner row after this owner's last write.
     pub version: u64,
-    /// Last beat that may have been written.
+    /// Write id of the last renewal that was sent, whether or not it took effect.
     pub write_id: u64,
-    /// When the next renewal is due.
+    /// When the next renewal is due, by this process's clock.
     pub next_renewal_at: Millis,
 }
 
-/// Keeps one partition's row.
+/// Manages the ownership lease of one partition.
 pub(super) struct LeaseManager {
     pub shared: Arc<Shared>,
     pub store: Platform,
@@ -52,7 +54,7 @@
     pub ownership: Option<Ownership>,
 }
 
-/// Runs the keeper of one partition until the process is to stop.
+/// Manages the lease of one partition until the process stops, then hands the partition over.
 pub(crate) async fn run(shared: Arc<Shared>, store: Platform, partition: PartitionId) {
     let mut manager = LeaseManager { shared, store, partition, ownership: None };
     let mut rows_changed = manager.shared.owner_rows_changed.subscribe();
@@ -80,14 +82,14 @@
         }
     }
 
-    /// Returns how long nothing is due, unless news of the rows come.
+    /// Returns the time until the next renewal, or the renewal interval without ownership.
     fn time_until_renewal(&self) -> Millis {
         let renew = self.shared.settings.lease.renew;
         let now = self.shared.clock.now();
         self.ownership.as_ref().map_or(renew, |ownership| ownership.next_renewal_at.since(now))
     }
 
-    /// Takes the lease off the books of what this process owns.
+    /// Removes the partition from the count and the metric of owned partitions.
     pub(super) fn decrement_owned_count(&self) {
         self.shared.owned_count.fetch_sub(1, Ordering::AcqRel);
         self.shared.metrics.partitions_owned.dec();
@@ -125,7 +127,7 @@
         match result {
             Ok(TxnResult::Committed(version)) => self.renewed(version, sent_at + length),
             Ok(TxnResult::Conflict(_)) => self.resolve_renewal_conflict(epoch).await,
-            // Whether it was written shows at the next renewal.
+            // The next renewal finds out whether this one took effect.
             Err(_) => {}
         }
     }
@@ -142,8 +144,8 @@
         }
     }
 
-    /// The row is not as we left it: an earlier renewal of ours took effect with its
-    /// reply lost, or another process has taken over.
+    /// Resolves a version conflict of a renewal: either an earlier renewal took effect and its
+    /// reply was lost, or another process has taken over.
     async fn resolve_renewal_conflict(&mut self, epoch: Epoch) {
         let Ok(Some(observed)) = self.read().await else {
             return;
@@ -151,7 +153,7 @@
         let is_ours =
             observed.row.process == self.shared.settings.process && observed.row.epoch == epoch.0;
         match &mut self.ownership {
-            // The lease itself is extended by the next renewal only.
+            // Only the next renewal extends the lease itself.
             Some(ownership) if is_ours => ownership.version = observed.version,
             _ => self.record_deposed(),
         }
@@ -164,7 +166,7 @@
         }
     }
 
-    /// Ends the lease, so that nothing more is decided by it. Returns its epoch.
+    /// Ends the lease, so that the `decide` thread drops the partition. Returns the epoch.
     pub(super) fn end_lease(&mut self) -> Option<Epoch> {
         let ownership = self.ownership.take()?;
         ownership.lease.end();
@@ -184,7 +186,7 @@
         }))
     }
 
-    /// Watches the row, and challenges once it has stood unchanged for the lease.
+    /// Watches the row, and takes over once it has been unchanged for [`Self::takeover_delay`].
     async fn watch_row(&mut self) {
         let is_released = self.shared.take_released(self.partition.0);
         if is_released && let Ok(Some(row)) = self.read().await {
@@ -198,17 +200,19 @@
         if now.since(observed.first_seen_at) >= delay {
             self.try_take_over(&observed).await;
         } else if observed.version == 0 || observed.row.released {
-            // Come back when this process's turn is.
+            // Check again when the delay has passed.
             tokio::time::sleep((observed.first_seen_at + delay).since(now).duration()).await;
             self.shared.owner_rows_changed.send_modify(|n| *n += 1);
         }
     }
 
-    /// Returns how long the row must have stood before this process takes it.
+    /// Returns how long the row must be unchanged before this process takes over. Lower-ranked
+    /// processes wait longer, so that they rarely compete.
     fn takeover_delay(&self, observed: &ObservedRow) -> Millis {
         let own = &self.shared.settings.process;
         let mut others = self.shared.members.available(&self.shared.clock);
-        // The heartbeat of one that leaves may not have told yet that it does.
+        // The last heartbeat of a process that just released the row may not say yet that it
+        // is stopping.
         others.retain(|p| !observed.row.released || *p != observed.row.process);
         let rank = owner_rank(self.partition, own, &others) as u64;
         let lease = self.shared.settings.lease.ownership;
@@ -218,7 +222,7 @@
         match &*observed.row.successor {
             "" => Millis(RELEASED_TAKEOVER_STEP.0 * rank),
             named if named == own => Millis(0),
-            // The one that is named goes first.
+            // The named successor goes first.
             _ => Millis(RELEASED_TAKEOVER_STEP.0 * (rank + 1)),
         }
     }
--- a/crates/hollowford-server/src/ownership/mod.rs
+++ b/crates/hollowford-server/src/ownership/mod.rs
@@ -1,4 +1,4 @@
-//! Ownership of partitions: a lease in the table, taken over by compare-and-set.
+//! Ownership of partitions by leases, which are rows in the store that change by compare-and-set.
 
 mod hand_over;
 mod lease;
--- a/crates/hollowford-server/src/ownership/owner_rows.rs
+++ b/crates/hollowford-server/src/ownership/owner_rows.rs
@@ -1,4 +1,4 @@
-//! All owner rows as this process has seen them, read by one scan for all partitions.
+//! The owner rows of all partitions, read by one periodic scan of the store.
 
 use super::lease_manager::OwnerRow;
 use crate::ledger::OWNER_PREFIX;
@@ -11,23 +11,24 @@
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// How often a stopping process looks for new owners.
+/// Scan interval of a stopping process, which must learn of new owners quickly to pass calls on.
 const STOPPING_SCAN_INTERVAL: Millis = Millis(100);
-/// Rows in one read.
+/// Maximum number of rows in one read.
 const PAGE_ROWS: usize = 1_000;
 
-/// A row as it was seen.
+/// An owner row as it was read.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct ObservedRow {
-    /// Version of the row; 0: there is none.
+    /// Version of the row; 0 if there is no row.
     pub version: u64,
     pub row: OwnerRow,
-    /// When this version was first seen, by this process's clock.
+    /// When this version was first read, by this process's clock.
     pub first_seen_at: Millis,
 }
 
 impl ObservedRow {
-    /// Names how the partition is free, for the metric of takeovers.
+    /// Returns which kind of takeover the row calls for, as a label value: `new` without a row,
+    /// `released` after a hand-over, otherwise `lapsed`.
     pub fn takeover_kind(&self) -> &'static str {
         match (self.version, self.row.released) {
             (0, _) => "new",
@@ -37,7 +38,7 @@
     }
 }
 
-/// All rows as they were seen.
+/// The owner rows as they were last read.
 #[derive(Debug, Default)]
 pub(crate) struct OwnerRows {
     rows: Mutex<Option<BTreeMap<PartitionId, ObservedRow>>>,
@@ -53,7 +54,7 @@
         self.lock().as_ref()?.get(&partition).cloned()
     }
 
-    /// Notes a row, keeping the time at which its version was first seen.
+    /// Records a row. An unchanged version keeps the time at which it was first read.
     pub(super) fn record(&self, partition: PartitionId, found: ObservedRow) {
         let mut rows = self.lock();
         let rows = rows.get_or_insert_default();
@@ -64,7 +65,7 @@
     }
 }
 
-/// Scans the owner rows for as long as the process lives.
+/// Scans the owner rows periodically. Never returns.
 pub(crate) async fn follow_owner_rows(shared: Arc<Shared>, store: Platform) {
     loop {
         let read = scan(&shared, &store).await;
--- a/crates/hollowford-server/src/ownership/takeover.rs
+++ b/crates/hollowford-server/src/ownership/takeover.rs
@@ -1,4 +1,4 @@
-//! Takes a partition over: the challenge, and the recovery that follows.
+//! Takes over a partition: writes the owner row and recovers the partition's state.
 
 use super::lease::OwnerLease;
 use super::lease_manager::{LeaseManager, OwnerRow, Ownership};
@@ -15,9 +15,9 @@
 use std::sync::atomic::Ordering;
 use tokio::sync::oneshot;
 
-/// Store timeouts after which a write without an answer takes effect no more.
+/// Number of store timeouts after which an unanswered write can't take effect any more.
 const LATE_WRITE_TIMEOUTS: u32 = 10;
-/// Wait before an attempt to recover is repeated.
+/// Delay before a failed recovery is retried.
 const RECOVERY_RETRY_DELAY: Millis = Millis(100);
 
 /// Row `p/N/epoch`.
@@ -27,7 +27,7 @@
     epoch: u64,
 }
 
-/// What a look at the row shows of a challenge whose reply was lost.
+/// Outcome of a takeover whose reply was lost, as read back from the owner row.
 enum TakeoverOutcome {
     Succeeded(u64),
     Failed,
@@ -35,7 +35,7 @@
 }
 
 impl LeaseManager {
-    /// Takes the partition over by compare-and-set.
+    /// Tries to take over the partition by compare-and-set.
     pub(super) async fn try_take_over(&mut self, observed: &ObservedRow) {
         if !self.register_takeover(observed) {
             return;
@@ -59,7 +59,7 @@
             Err(_) => match self.read_takeover_outcome(&row).await {
                 TakeoverOutcome::Succeeded(version) => Some(version),
                 TakeoverOutcome::Failed => None,
-                // Still open: it may take effect, so nothing is promised meanwhile.
+                // It may still take effect, so this process must not promise anything yet.
                 TakeoverOutcome::Unknown => {
                     self.end_takeover_later();
                     return;
@@ -68,14 +68,14 @@
         };
         self.shared.no_takeover_promise.end_takeover();
         if let Some(version) = version {
-            // Both rows were written by one transaction, so they share the version.
+            // One transaction wrote both rows, so they have the same version.
             self.shared.metrics.takeovers.with_label_values(&[observed.takeover_kind()]).inc();
             self.start_owning(epoch, version, row.write_id, until).await;
         }
     }
 
-    /// After a lost reply: reads the row back. A write that takes effect later than
-    /// this read is met as a row of ours that no one renews, and lapses.
+    /// Reads the row back after a lost reply. If the write takes effect only after this read,
+    /// the row names this process, but nobody renews it, so it lapses.
     async fn read_takeover_outcome(&self, row: &OwnerRow) -> TakeoverOutcome {
         match self.read().await {
             Ok(Some(observed)) if observed.row == *row => {
@@ -86,7 +86,8 @@
         }
     }
 
-    /// Notes the challenge, unless this process is young or has promised not to.
+    /// Registers a takeover. Returns false if the row has lapsed and this process has started
+    /// recently or has promised not to take over.
     fn register_takeover(&self, observed: &ObservedRow) -> bool {
         let no_takeover_promise = &self.shared.no_takeover_promise;
         if observed.takeover_kind() == "lapsed" {
@@ -97,8 +98,7 @@
         true
     }
 
-    /// Counts a challenge without an answer as open for as long as a write may still
-    /// take effect.
+    /// Ends an unanswered takeover once its write can't take effect any more.
     fn end_takeover_later(&self) {
         let late_write_time =
             self.shared.settings.platform.timeout.duration() * LATE_WRITE_TIMEOUTS;
@@ -109,14 +109,15 @@
         });
     }
 
-    /// A process that has just started may be unknown to an owner that goes by the
-    /// members' promises; it waits until that owner must have heard of it.
+    /// Returns true if this process may still be unknown to an owner that relies on the promises
+    /// of the members it knows. Such a process must not take over a lapsed row.
     fn has_started_recently(&self) -> bool {
         let lease = &self.shared.settings.lease;
         self.shared.clock.now() < lease.ownership + lease.promise
     }
 
-    /// Recovers the state, renewing the lease meanwhile, and starts to decide.
+    /// Recovers the state while renewing the lease, then passes the partition to the `decide`
+    /// thread.
     async fn start_owning(&mut self, epoch: Epoch, version: u64, write_id: u64, until: Millis) {
         log::info!("partition={} epoch={epoch} taken over", self.partition);
         let lease = Arc::new(OwnerLease::new(epoch, until));
@@ -134,7 +135,7 @@
                 }
                 tokio::time::sleep(RECOVERY_RETRY_DELAY.duration()).await;
             };
-            // The keeper may have been deposed meanwhile.
+            // The lease may have been lost meanwhile.
             let _ = tx.send(recovered);
         });
         let renew = self.shared.settings.lease.renew.duration();
@@ -144,7 +145,7 @@
                 () = tokio::time::sleep(renew) => self.renew().await,
             }
             if self.shared.is_stopping() {
-                // Nothing was decided yet, so the lease may just lapse.
+                // Nothing was scheduled under this lease, so it may simply lapse.
                 self.end_lease();
             }
             if self.ownership.is_none() {
--- a/crates/hollowford-server/src/ownership/tests.rs
+++ b/crates/hollowford-server/src/ownership/tests.rs
@@ -1,4 +1,4 @@
-//! What a lease lets its owner do, as time passes.
+//! What a lease allows its owner to do, as time passes.
 
 use super::OwnerLease;
 use hollowford_core::{Epoch, Millis};
--- a/crates/hollowford-server/src/peers/dialer.rs
+++ b/crates/hollowford-server/src/peers/dialer.rs
@@ -136,7 +136,7 @@
                 match frame.body {
                     Some(Body::Reply(reply)) => {
                         if let Some(tx) = pending.remove(&frame.id) {
-                            // The caller may have gone.
+                            // The caller may have disconnected.
                             let _ = tx.send(reply);
                         }
                     }
--- a/crates/hollowford-server/src/workers/event_loop.rs
+++ b/crates/hollowford-server/src/workers/event_loop.rs
@@ -1,4 +1,4 @@
-//! The loop of the worker-link thread.
+//! The event loop of the `workers` thread.
 
 use super::session::{self, Slot};
 use super::{AddressedOrder, WorkerMsg};
@@ -8,7 +8,7 @@
 use std::sync::{Arc, PoisonError};
 use tokio::task::JoinHandle;
 
-/// One worker that a session is held with.
+/// A worker with which a session is kept.
 pub(super) struct Link {
     pub addr: String,
     pub epoch: Epoch,
@@ -25,7 +25,7 @@
 /// All links, by partition and worker.
 pub(super) type Links = HashMap<(PartitionId, InstanceId), Link>;
 
-/// Runs the duty.
+/// Runs the event loop. Never returns.
 pub(crate) async fn run(shared: Arc<Shared>) {
     let mut links = Links::new();
     loop {
@@ -64,8 +64,8 @@
     }
 }
 
-/// Sends an order, if its session stands. An order of an ended session is dropped:
-/// the next claim settles what it was about.
+/// Sends an order if its session is open. An order of an ended session is dropped, because the
+/// next claim reports the state of the worker's tasks.
 pub(super) fn send(shared: &Shared, links: &Links, partition: PartitionId, order: AddressedOrder) {
     let Some(link) = links.get(&(partition, order.worker)) else {
         return;
@@ -75,7 +75,7 @@
         return;
     };
     if session.orders.try_send(order.order).is_err() {
-        // A worker that doesn't keep up: its session ends, and a new claim settles it.
+        // The worker receives too slowly: its session ends, and a new claim reports its state.
         shared.metrics.ring_full.with_label_values(&["worker_orders"]).inc();
         *slot = None;
     }
--- a/crates/hollowford-server/src/workers/mod.rs
+++ b/crates/hollowford-server/src/workers/mod.rs
@@ -1,4 +1,4 @@
-//! The duty that holds the sessions with workers.
+//! The `workers` thread, which keeps the sessions with workers.
 
 mod event_loop;
 mod session;
@@ -11,7 +11,7 @@
 use hollowford_protocol::v1;
 use std::collections::HashMap;
 
-/// An order, for one session only.
+/// An order for a worker, valid in one session only.
 #[derive(Debug)]
 pub(crate) struct AddressedOrder {
     pub worker: InstanceId,
@@ -19,10 +19,10 @@
     pub order: v1::Order,
 }
 
-/// What the duty is told.
+/// A message to the `workers` thread.
 #[derive(Debug)]
 pub(crate) enum WorkerMsg {
-    /// Hold sessions with just these workers, by address.
+    /// Keep sessions with exactly these workers of a partition. The values are addresses.
     SetWorkers { partition: PartitionId, epoch: Epoch, workers: HashMap<InstanceId, String> },
     /// End all sessions of a partition.
     EndSessions { partition: PartitionId },
--- a/crates/hollowford-server/src/workers/session.rs
+++ b/crates/hollowford-server/src/workers/session.rs
@@ -1,4 +1,4 @@
-//! Holds one session with one worker after the other.
+//! Keeps a session with one worker, and opens a new one when it ends.
 
 use crate::decide::DecideMsg;
 use crate::shared::Shared;
@@ -7,24 +7,26 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// Longest wait for the reply to a claim, and longest silence of a worker.
+/// Maximum wait for the reply to a claim.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Time without a report after which a session ends.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// First and longest wait before a worker is claimed again.
+/// Delay before a worker is claimed again. It doubles with each failed claim.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Maximum delay before a worker is claimed again.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 
-/// The session that stands.
+/// An open session.
 #[derive(Debug)]
 pub(super) struct OpenSession {
     pub session: u64,
     pub orders: Orders,
 }
 
-/// Where the session that stands is found.
+/// Holds the open session with a worker, if there is one.
 pub(super) type Slot = Arc<Mutex<Option<OpenSession>>>;
 
-/// The worker that a session is held with.
+/// The worker with which a session is kept.
 #[derive(Debug)]
 pub(super) struct Target {
     pub partition: PartitionId,
@@ -33,7 +35,8 @@
     pub addr: String,
 }
 
-/// Takes the session out of its slot and off the gauge, also when the task is aborted.
+/// Clears the session's slot and decrements the metric of open sessions when dropped, also when
+/// the task is aborted.
 struct SessionGuard<'a>(&'a Shared, &'a Slot);
 
 impl Drop for SessionGuard<'_> {
@@ -43,7 +46,7 @@
     }
 }
 
-/// Claims the worker again and again, until the task is aborted.
+/// Claims the worker, relays its reports, and repeats this until the task is aborted.
 pub(super) async fn keep_session(shared: Arc<Shared>, target: Target, slot: Slot) {
     let owner = shared.settings.process.clone();
     let mut delay = INITIAL_RETRY_DELAY;
@@ -68,7 +71,8 @@
                 let (partition, worker) = (t.partition, t.worker.clone());
                 shared.decide.send(DecideMsg::SessionEnded { partition, worker, session }).await;
             }
-            // A higher epoch: the keeper of the partition finds out by the table.
+            // The worker knows a higher epoch. The lease manager of the partition learns of it
+            // from the store.
             Err(LinkError::Deposed) => delay = MAX_RETRY_DELAY,
             Err(LinkError::Unreachable(_)) => {}
         }
@@ -77,7 +81,7 @@
     }
 }
 
-/// Relays a session's reports, until it ends or its orders can't be sent.
+/// Relays a session's reports to the `decide` thread until the session ends.
 async fn relay_reports(
     shared: &Shared,
     t: &Target,
--- a/crates/hollowford-server/src/workers/tests.rs
+++ b/crates/hollowford-server/src/workers/tests.rs
@@ -1,4 +1,4 @@
-//! Orders reach the session that they were decided for, and no other.
+//! Tests that an order reaches the worker only in the session for which it was made.
 
 use super::AddressedOrder;
 use super::event_loop::{Link, Links, send};
@@ -49,7 +49,7 @@
     let slot = &links[&(P, InstanceId::from("w"))].slot;
     assert!(slot.lock().unwrap().is_none());
     assert!(rx.try_recv().is_ok());
-    // Nothing is sent in that session any more.
+    // No further order is sent in that session.
     send(&shared, &links, P, order(1));
     assert!(rx.try_recv().is_err());
 }
