--- a/crates/hollowford-server/src/accounts.rs
+++ b/crates/hollowford-server/src/accounts.rs
@@ -1,7 +1,7 @@
-//! The configuration in force: client accounts, their tokens and what they may use.
+//! The active configuration of the client accounts: their tokens, weights and quotas.
 //!
-//! A change is one transaction over three rows: the account's own row, the head (a
-//! counter over all accounts) and one row of the history. Versions only go up.
+//! A change is one transaction over three rows: the account's own row, the head (a counter of the
+//! changes of all accounts) and one row of the history. Versions only increase.
 
 use hollowford_core::{AccountId, Clock, Error, ErrorKind, Millis, Totals};
 use hollowford_engine::AccountPolicy;
@@ -16,7 +16,7 @@
 pub(crate) const HEAD_KEY: &str = "config/head";
 pub(crate) const ACCOUNT_PREFIX: &str = "config/account/";
 pub(crate) const HISTORY_PREFIX: &str = "config/log/";
-/// Times that a change is tried again when only the head was in its way.
+/// Maximum number of attempts of a change that conflicts with concurrent changes.
 const MAX_HEAD_ATTEMPTS: usize = 20;
 
 /// Row `config/head`.
@@ -38,7 +38,7 @@
     pub author: String,
 }
 
-/// One account as it is in force.
+/// The active configuration of one account.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct AccountEntry {
     pub id: AccountId,
@@ -48,7 +48,7 @@
 }
 
 impl AccountEntry {
-    /// Reads an account's row.
+    /// Decodes an account's row. Returns `None` if it is malformed.
     pub fn from_row(name: &str, bytes: &[u8]) -> Option<AccountEntry> {
         let row = AccountRow::decode(bytes).ok()?;
         Some(AccountEntry {
@@ -59,7 +59,7 @@
         })
     }
 
-    /// Returns what the engine needs to know.
+    /// Returns the account's weight, quota and queue limit for the engine.
     pub fn policy(&self) -> AccountPolicy {
         AccountPolicy {
             weight: self.config.weight,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Returns what operators see.
+    /// Returns the configuration as operators see it.
     pub fn view(&self) -> v1::ConfigView {
         v1::ConfigView {
             account: self.id.to_string(),
@@ -83,22 +83,22 @@
     }
 }
 
-/// All accounts, as of one change.
+/// The active configuration of all accounts.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ActiveAccounts {
+    /// Number of the newest change included.
     pub head: u64,
     pub accounts: HashMap<AccountId, Arc<AccountEntry>>,
     by_token: HashMap<String, AccountId>,
 }
 
 impl ActiveAccounts {
-    /// Finds the account that a token names.
+    /// Returns the account to which a token belongs.
     pub fn by_token(&self, token: &str) -> Option<&AccountId> {
         self.by_token.get(&hash_token(token))
     }
 
-    /// Returns a copy with these accounts changed. An older version of an account
-    /// never replaces a newer one.
+    /// Returns a copy with these accounts changed. An older version never replaces a newer one.
     pub fn with_changes(&self, head: u64, entries: Vec<AccountEntry>) -> ActiveAccounts {
         let mut next = self.clone();
         next.head = next.head.max(head);
@@ -117,19 +117,19 @@
     }
 }
 
-/// When the configuration in force was last known to be the newest.
+/// When the active configuration was last known to be the newest.
 #[derive(Debug, Default)]
 pub(crate) struct ConfigFreshness {
     confirmed_at: AtomicU64,
 }
 
 impl ConfigFreshness {
-    /// Notes that what is in force was the newest at `at`.
+    /// Records that the active configuration was the newest at `at`.
     pub fn confirm(&self, at: Millis) {
         self.confirmed_at.fetch_max(at.0.max(1), Ordering::AcqRel);
     }
 
-    /// Returns how long ago that was; `None` when it never was.
+    /// Returns the time since the last confirmation, or `None` before the first one.
     pub fn age(&self, clock: &Clock) -> Option<Millis> {
         match self.confirmed_at.load(Ordering::Acquire) {
             0 => None,
@@ -170,18 +170,21 @@
     match e {
         StoreError::Refused(_) => Error::new(ErrorKind::Internal, e.to_string()),
         StoreError::Unanswered(_) => {
-            let message = format!("the change may have been made; read it back: {e}");
+            let message = format!(
+                "the change may have taken effect; read the configuration to find out: {e}"
+            );
             Error::new(ErrorKind::Unknown, message)
         }
     }
 }
 
-/// Changes one account's configuration, when its version is the expected one.
-/// Returns the accepted version and the number of the change.
+/// Changes one account's configuration if its current version is the expected one. Returns the
+/// new configuration and the number of the change.
 ///
 /// # Errors
-/// `Invalid`; `Conflict`, naming the current version and its author; `Unknown`
-/// when the store did not answer and reading back did not settle it.
+/// `Invalid`; `Conflict`, naming the current version and its author; `Unknown` if the store
+/// didn't answer and reading the row back didn't show the change; `Unavailable` if nothing was
+/// written; `Internal` if the store refused the write.
 pub(crate) async fn set_account(
     store: &Platform,
     clock: &Clock,
@@ -204,7 +207,7 @@
     Err(Error::new(ErrorKind::Unavailable, "too many changes at once; the change was not made"))
 }
 
-/// Returns `None` when only the head was in the way.
+/// Makes one attempt of a change. Returns `None` after a conflict with a concurrent change.
 async fn try_set_account(
     store: &Platform,
     clock: &Clock,
@@ -212,7 +215,7 @@
 ) -> Result<Option<u64>, Error> {
     let key = format!("{ACCOUNT_PREFIX}{}", entry.id);
     let rows = store.read(&[HEAD_KEY, &key]).await;
-    // Nothing was written yet, so an unanswered read leaves no doubt.
+    // Nothing was written yet, so the outcome of an unanswered read is known.
     let rows = rows.map_err(|e| Error::new(ErrorKind::Unavailable, e.to_string()))?;
     let row = |k: &str| rows.iter().find(|r| r.key == k);
     let own = row(&key);
@@ -220,7 +223,7 @@
     let version = current.as_ref().map_or(0, |c| c.version);
     if version + 1 != entry.version {
         if current.as_ref() == Some(entry) {
-            // A change of ours whose reply was lost: it is in force.
+            // An earlier attempt took effect, and its reply was lost.
             return Ok(Some(decode_head(row(HEAD_KEY)).1));
         }
         return Err(conflict(&entry.id, current.as_ref()));
@@ -234,7 +237,7 @@
     }
 }
 
-/// Reads back after a lost reply.
+/// Reads the account back after a lost reply. Returns the head if the change took effect.
 async fn read_back(store: &Platform, key: &str, entry: &AccountEntry) -> Option<u64> {
     let rows = store.read(&[HEAD_KEY, key]).await.ok()?;
     let own = rows.iter().find(|r| r.key == key)?;
@@ -285,10 +288,10 @@
     Error::new(ErrorKind::Conflict, message)
 }
 
-/// Gives a client account a configuration, for `dev` and tests.
+/// Sets the configuration of a client account, for the `dev` command and tests.
 ///
 /// # Errors
-/// As a change by an operator.
+/// The same as for a change by an operator.
 pub async fn seed_account(store: &Platform, req: &v1::SetConfigRequest) -> Result<(), Error> {
     set_account(store, &Clock::new(), req).await.map(|_| ())
 }
--- a/crates/hollowford-server/src/accounts_tests.rs
+++ b/crates/hollowford-server/src/accounts_tests.rs
@@ -1,4 +1,4 @@
-//! Configuration in force: versions only go up.
+//! Tests that the versions of the active configuration only increase.
 
 use crate::accounts::{AccountEntry, ActiveAccounts, hash_token};
 use hollowford_core::AccountId;
--- a/crates/hollowford-server/src/admin.rs
+++ b/crates/hollowford-server/src/admin.rs
@@ -1,4 +1,4 @@
-//! Metrics, health and state, by HTTP.
+//! HTTP endpoints for metrics, health and state.
 
 use crate::decide::DecideMsg;
 use crate::shared::Shared;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Longest wait for the deciding thread's part of the state.
+/// Maximum wait for the `decide` thread's part of the state.
 const STATE_TIMEOUT: Duration = Duration::from_secs(2);
 
 #[handler]
@@ -33,14 +33,14 @@
     }
 }
 
-/// The process lives.
+/// Answers liveness probes.
 #[handler]
 fn healthz() -> &'static str {
     "ok"
 }
 
-/// The balancer may send calls here: the configuration is known, and the process
-/// is not about to stop.
+/// Answers readiness probes of the load balancer. The process is ready once it has read the
+/// configuration and until it is told to stop.
 #[handler]
 async fn readyz(shared: Data<&Arc<Shared>>) -> Response {
     let is_configured = shared.config_freshness.age(&shared.clock).is_some();
@@ -57,7 +57,7 @@
     text.with_content_type("application/json").into_response()
 }
 
-/// Describes the state of the process. Secrets are left out.
+/// Describes the state of the process as JSON, without secrets.
 pub(crate) async fn state_json(shared: &Shared) -> serde_json::Value {
     let (tx, rx) = oneshot::channel();
     let partitions = match shared.decide.push(DecideMsg::DumpState(tx)) {
@@ -97,7 +97,7 @@
     })
 }
 
-/// Makes the routes of the admin address.
+/// Creates the routes of the admin address.
 pub(crate) fn routes(shared: Arc<Shared>) -> impl poem::Endpoint {
     Route::new()
         .at("/metrics", get(metrics))
--- a/crates/hollowford-server/src/codec.rs
+++ b/crates/hollowford-server/src/codec.rs
@@ -1,4 +1,4 @@
-//! Turns the engine's records, orders and reports into messages, and back.
+//! Converts the engine's records, orders and reports to messages, and back.
 
 use hollowford_core::{AccountId, Error, RequestKey, RequestNo, Resources, Spec, TaskId};
 use hollowford_engine::{
@@ -14,7 +14,7 @@
 const END_LOST: u32 = 4;
 const END_CRASHED: u32 = 5;
 
-/// Turns a record into its ledger message.
+/// Converts a record to its ledger message.
 pub fn record_to_wire(record: &Record) -> ledger::Record {
     let (task, change) = change_to_wire(&record.change);
     ledger::Record {
@@ -92,7 +92,7 @@
     }
 }
 
-/// Turns an outcome into the schema's.
+/// Converts an outcome to its message.
 pub fn outcome_to_wire(outcome: Outcome) -> v1::Outcome {
     match outcome {
         Outcome::Done => v1::Outcome::Done,
@@ -109,22 +109,23 @@
         Ok(v1::Outcome::Failed) => Outcome::Failed,
         Ok(v1::Outcome::NotRun) => Outcome::NotRun,
         Ok(v1::Outcome::Cancelled) => Outcome::Cancelled,
-        // What a later version may add is read as the most careful answer.
+        // Values that a later version may add are read as the most cautious outcome.
         Ok(v1::Outcome::MayHaveRun | v1::Outcome::Unspecified) | Err(_) => Outcome::MayHaveRun,
     }
 }
 
-/// Turns a ledger message back into a record.
+/// Converts a ledger message to a record.
 ///
 /// # Errors
-/// `Invalid` for a message that no version of the program writes.
+/// `Invalid` if the record has no change or an acceptance has no spec; otherwise the error of an
+/// invalid spec.
 pub fn record_from_wire(wire: ledger::Record) -> Result<Record, Error> {
     let request = RequestNo(wire.request);
     let task = TaskId { request, index: wire.index, attempt: wire.attempt };
     let invalid = |what: &str| Error::new(hollowford_core::ErrorKind::Invalid, what);
-    let change = match wire.change.ok_or_else(|| invalid("a record without a change"))? {
+    let change = match wire.change.ok_or_else(|| invalid("the record has no change"))? {
         ledger::Change::Accept(a) => {
-            let spec = a.spec.as_ref().ok_or_else(|| invalid("an acceptance without a body"))?;
+            let spec = a.spec.as_ref().ok_or_else(|| invalid("the acceptance has no spec"))?;
             let account = AccountId::from(a.account.as_str());
             let key = RequestKey::new(&account, &a.id);
             Change::Accept { key, spec: Arc::new(Spec::try_from(spec)?) }
@@ -171,12 +172,12 @@
     v1::TaskRef { request: task.request.0, index: task.index, attempt: task.attempt }
 }
 
-/// Turns a worker's name of a task into ours.
+/// Converts a task reference of a worker to a task id.
 pub fn task_from_wire(task: &v1::TaskRef) -> TaskId {
     TaskId { request: RequestNo(task.request), index: task.index, attempt: task.attempt }
 }
 
-/// Turns an action that is meant for a worker into its order.
+/// Converts an action for a worker to an order. Returns `None` for other actions.
 pub fn order_to_wire(action: &Action) -> Option<v1::Order> {
     use v1::order::Order;
     let order = match action {
@@ -206,7 +207,7 @@
     Some(v1::Order { order: Some(order) })
 }
 
-/// Turns a worker's reply to a claim into the engine's.
+/// Converts a worker's reply to a claim.
 pub fn claim_from_wire(reply: &v1::ClaimReply, clock: u64) -> Claim {
     let running = reply.running.iter().filter_map(|r| {
         let task = task_from_wire(r.task.as_ref()?);
@@ -223,7 +224,7 @@
     }
 }
 
-/// Turns a worker's report of an end into the engine's.
+/// Converts a worker's report of the end of a task. Returns `None` if it names no task.
 pub fn ended_from_wire(e: &v1::Ended) -> Option<EndReport> {
     let task = task_from_wire(e.task.as_ref()?);
     let end = match e.end() {
@@ -240,7 +241,7 @@
     Some(EndReport { task, end, ran: hollowford_core::Millis(e.ran_ms) })
 }
 
-/// Turns a worker's report of use into the engine's.
+/// Converts a worker's report of resource usage. Entries that name no task are skipped.
 pub fn usage_from_wire(tasks: &[v1::TaskUsage]) -> Vec<TaskUsage> {
     let one = |t: &v1::TaskUsage| {
         let task = task_from_wire(t.task.as_ref()?);
--- a/crates/hollowford-server/src/entry/router.rs
+++ b/crates/hollowford-server/src/entry/router.rs
@@ -90,7 +90,7 @@
     let msg = PeerMsg::Call { process: owner.process, call, reply };
     if shared.peers.push(msg).is_err() {
         shared.metrics.ring_full.with_label_values(&["peers"]).inc();
-        let error = Error::new(ErrorKind::QueueFull, "this entry takes no more calls now");
+        let error = Error::new(ErrorKind::QueueFull, "this process accepts no more calls now");
         return AttemptOutcome::Answered(Box::new(Err(error)));
     }
     match tokio::time::timeout(REPLY_TIMEOUT.duration(), answer).await {
@@ -108,7 +108,7 @@
     let (reply, answer) = oneshot::channel();
     if shared.decide.push(DecideMsg::Call { call, reply }).is_err() {
         shared.metrics.ring_full.with_label_values(&["decide"]).inc();
-        let error = Error::new(ErrorKind::QueueFull, "the owner takes no more calls now");
+        let error = Error::new(ErrorKind::QueueFull, "the owner accepts no more calls now");
         return AttemptOutcome::Answered(Box::new(Err(error)));
     }
     match answer.await {
--- a/crates/hollowford-server/src/ledger/recover.rs
+++ b/crates/hollowford-server/src/ledger/recover.rs
@@ -47,7 +47,7 @@
 ///
 /// # Errors
 /// `Unavailable` if the store doesn't answer; `Internal` if a row or the snapshot is missing or
-/// damaged; `Invalid` if a record can't be decoded.
+/// damaged; as [`record_from_wire`] for an invalid record.
 pub(crate) async fn recover(store: &Platform, p: PartitionId) -> Result<Recovered, Error> {
     let row = store.get(&snapshot_key(p)).await.map_err(store_unavailable)?;
     let snapshot = match row {
--- a/crates/hollowford-server/src/lib.rs
+++ b/crates/hollowford-server/src/lib.rs
@@ -1,11 +1,12 @@
-//! One process of the system: its duties, a thread each, and the rings that join them.
+//! A scheduler process: its components, each with a thread of its own, and the rings that
+//! connect them.
 //!
-//! | duty | thread | takes from | gives to |
+//! | component | thread | receives from | sends to |
 //! | --- | --- | --- | --- |
 //! | entry | `entry` | callers, by gRPC | decide, peers |
 //! | decide | `decide` | its ring | ledger, workers |
-//! | ledger | `ledger` | a ring for each partition | the table |
-//! | ownership, configuration, lists | `watch` | the table | decide, workers |
+//! | ledger | `ledger` | a ring for each partition | the store |
+//! | ownership, configuration, lists | `watch` | the store | decide, workers |
 //! | peer links | `peers` | its ring, other processes | decide |
 //! | worker links | `workers` | its ring, workers | decide |
 //! | metrics, health, state | `admin` | operators, by HTTP | |
--- a/crates/hollowford-server/src/members.rs
+++ b/crates/hollowford-server/src/members.rs
@@ -1,31 +1,31 @@
-//! The other processes of the cell, as far as this one knows.
+//! The other processes of the cell that this process knows.
 
 use hollowford_core::{Clock, Millis};
 use hollowford_protocol::peer::Heartbeat;
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Silence after which a process counts as dead for the choice of owners.
+/// Time without a heartbeat after which a process is no longer considered as an owner.
 const MEMBER_TIMEOUT: Millis = Millis(1_500);
 
-/// One other process.
+/// Another process of the cell.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Member {
-    /// Where it takes peer links, as `IP:port`.
+    /// Address at which it accepts peer links, as `IP:port`.
     pub addr: String,
-    /// When it was last heard, by this process's clock.
+    /// When its last heartbeat arrived, by this process's clock.
     pub heard_at: Option<Millis>,
-    /// It said that it is about to stop.
+    /// Whether it is about to stop.
     pub leaving: bool,
-    /// Newest configuration change that it has in force.
+    /// Number of the newest configuration change that it has applied.
     pub config_head: u64,
-    /// Its clock in its last heartbeat.
+    /// Reading of its clock in its last heartbeat.
     pub stamp: u64,
-    /// Until when it has promised not to take over, by this process's clock.
+    /// Time until which it has promised not to take over partitions, by this process's clock.
     pub no_takeover_until: Millis,
 }
 
-/// All other processes.
+/// All other processes of the cell that this process knows.
 #[derive(Debug, Default)]
 pub(crate) struct Members {
     map: Mutex<BTreeMap<String, Member>>,
@@ -36,7 +36,8 @@
         self.map.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Learns a process's address. A new address is a new start of the process.
+    /// Adds a process, or updates its address. A new address means that the process has
+    /// restarted, so its earlier state is reset.
     pub fn add(&self, process: &str, addr: &str) {
         let mut map = self.lock();
         if map.get(process).is_some_and(|m| m.addr == addr) {
@@ -53,12 +54,12 @@
         map.insert(process.to_owned(), member);
     }
 
-    /// Forgets a process.
+    /// Removes a process.
     pub fn remove(&self, process: &str) {
         self.lock().remove(process);
     }
 
-    /// Notes a heartbeat.
+    /// Records a heartbeat. Ignores processes that were not added.
     pub fn record_heartbeat(&self, now: Millis, heartbeat: &Heartbeat) {
         let mut map = self.lock();
         let Some(m) = map.get_mut(&heartbeat.process) else {
@@ -68,25 +69,25 @@
         m.leaving = heartbeat.leaving;
         m.config_head = heartbeat.config_head;
         m.stamp = heartbeat.stamp;
-        // The echo is our own clock before the promise was made, so the promise ends
-        // no earlier than this.
+        // The echo is a reading of this process's clock from before the promise was made, so
+        // the promise ends no earlier than the sum.
         if heartbeat.promise_ms > 0 && heartbeat.echo > 0 {
             m.no_takeover_until =
                 m.no_takeover_until.max(Millis(heartbeat.echo + heartbeat.promise_ms));
         }
     }
 
-    /// Returns the last stamp heard from a process.
+    /// Returns the stamp of a process's last heartbeat, or 0 if there is none.
     pub fn last_stamp(&self, process: &str) -> u64 {
         self.lock().get(process).map_or(0, |m| m.stamp)
     }
 
-    /// Returns until when every process that is known has promised not to take over;
-    /// zero when one has not, or knows of a later configuration change than `head`.
-    /// Without any other process there is no one to promise: then it is `alone`.
+    /// Returns the time until which all known processes have promised not to take over
+    /// partitions. Returns zero if a process has not, or knows a later configuration change than
+    /// `head`, and `if_alone` if there is no other process.
     pub fn no_takeover_until(&self, head: u64, if_alone: Millis) -> Millis {
         let map = self.lock();
-        // One that leaves takes nothing over any more.
+        // A process that is about to stop takes over nothing.
         let mut others = map.values().filter(|m| !m.leaving).peekable();
         if others.peek().is_none() {
             return if_alone;
@@ -96,12 +97,12 @@
         others.map(promise).min().unwrap_or(Millis(0))
     }
 
-    /// Returns all processes that are known.
+    /// Returns all known processes.
     pub fn all(&self) -> BTreeMap<String, Member> {
         self.lock().clone()
     }
 
-    /// Returns the processes that live and stay.
+    /// Returns the processes that are alive and not about to stop.
     pub fn available(&self, clock: &Clock) -> Vec<String> {
         let now = clock.now();
         let is_alive = |m: &Member| m.heard_at.is_some_and(|at| now.since(at) < MEMBER_TIMEOUT);
--- a/crates/hollowford-server/src/metrics.rs
+++ b/crates/hollowford-server/src/metrics.rs
@@ -1,32 +1,32 @@
-//! Counters and histograms, for Prometheus.
+//! Prometheus metrics of a process.
 
 use hollowford_core::{Kind, Millis};
 use prometheus::{
     Histogram, HistogramOpts, HistogramVec, IntCounter, IntCounterVec, IntGauge, Opts, Registry,
 };
 
-/// Bounds of the waiting-time histogram, in seconds.
+/// Bucket limits of the waiting time histogram, in seconds.
 const WAIT_BUCKETS: &[f64] =
     &[0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 3.1, 10.0, 60.0, 600.0];
-/// Bounds of the batch-size histogram, in records.
+/// Bucket limits of the batch size histogram, in records.
 const BATCH_BUCKETS: &[f64] = &[1.0, 3.0, 10.0, 30.0, 100.0, 300.0, 1_000.0, 3_000.0];
 
 /// All metrics of a process.
 #[derive(Debug)]
 pub struct Metrics {
-    /// Where they are gathered from.
+    /// Registry of the metrics below.
     pub registry: Registry,
-    /// Calls of callers, by call and by error kind (`ok` for none).
+    /// Calls of client accounts, by call and error kind (`ok` without an error).
     pub calls: IntCounterVec,
-    /// Calls that an entry sent again, by why.
+    /// Calls that the router retried, by reason.
     pub retries: IntCounterVec,
-    /// Time from acceptance to the first start, by kind.
+    /// Time from acceptance to the first start, by kind of request.
     pub waiting: HistogramVec,
-    /// Intents appended.
+    /// Intents appended to the ledger, one for each placement of a task.
     pub placed: IntCounter,
-    /// Starts sent.
+    /// Start orders sent to workers.
     pub started: IntCounter,
-    /// Tasks displaced for urgent work.
+    /// Tasks preempted for urgent work.
     pub preempted: IntCounter,
     /// Ledger rows written.
     pub ledger_writes: IntCounter,
@@ -34,27 +34,27 @@
     pub ledger_unanswered: IntCounter,
     /// Records in one ledger row.
     pub ledger_batch: Histogram,
-    /// Reads and writes sent to the store, of all kinds.
+    /// Reads and writes sent to the store, by operation.
     pub store_calls: IntCounterVec,
-    /// Partitions owned now.
+    /// Partitions that this process owns.
     pub partitions_owned: IntGauge,
-    /// Takeovers made, by how the partition was free: `new`, `released` or `lapsed`.
+    /// Takeovers by this process, by kind: `new`, `released` or `lapsed`.
     pub takeovers: IntCounterVec,
-    /// Ownerships lost to another process.
+    /// Partitions lost to another process.
     pub deposed: IntCounter,
-    /// Newest configuration change in force.
+    /// Number of the newest active configuration change.
     pub config_head: IntGauge,
-    /// Sessions with workers.
+    /// Open sessions with workers.
     pub sessions: IntGauge,
     /// Items refused because a ring was full, by ring.
     pub ring_full: IntCounterVec,
 }
 
 impl Metrics {
-    /// Makes the metrics.
+    /// Creates and registers the metrics.
     ///
     /// # Errors
-    /// When two of them have one name, which is a fault in the program.
+    /// If two metrics have the same name, which is a bug.
     pub fn new() -> Result<Metrics, prometheus::Error> {
         let r = Registry::new();
         Ok(Metrics {
@@ -92,7 +92,7 @@
         })
     }
 
-    /// Notes how long a request waited.
+    /// Records how long a request waited for its first start.
     pub fn observe_first_start(&self, kind: Kind, waited: Millis) {
         const MS_PER_SECOND: f64 = 1_000.0;
         let seconds = waited.0 as f64 / MS_PER_SECOND;
--- a/crates/hollowford-server/src/owners.rs
+++ b/crates/hollowford-server/src/owners.rs
@@ -1,4 +1,4 @@
-//! Who owns which partition, as far as this process knows.
+//! The owners of the partitions, as known to this process.
 
 use hollowford_core::{Epoch, PartitionId, hash64};
 use hollowford_protocol::peer::OwnedPartition;
@@ -26,7 +26,7 @@
         self.list.read().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Notes an owner, unless a later one is known.
+    /// Sets the owner of a partition. Ignores an owner with a lower epoch than the known one.
     pub fn set(&self, partition: PartitionId, owner: Option<Owner>) {
         let mut list = self.list.write().unwrap_or_else(std::sync::PoisonError::into_inner);
         let current = &mut list[partition.0 as usize];
@@ -52,8 +52,8 @@
         owned.collect()
     }
 
-    /// Notes the partitions that a process says it owns. Those that this process doesn't have
-    /// are of a cell with other settings.
+    /// Records the partitions that a process reports as its own. Partitions outside this
+    /// process's settings are ignored: the sender runs with other settings.
     pub fn record_owned(&self, process: &str, owned: &[OwnedPartition]) {
         let partitions = self.read().len() as u32;
         for o in owned.iter().filter(|o| o.partition < partitions) {
@@ -62,14 +62,14 @@
         }
     }
 
-    /// Returns all owners, by partition.
+    /// Returns the owners of all partitions, indexed by partition.
     pub fn all(&self) -> Vec<Option<Owner>> {
         self.read().clone()
     }
 }
 
-/// Returns the place of `process` among those that could own a partition, by
-/// rendezvous hashing: 0 is the first choice.
+/// Returns the rank of `process` among the candidates for a partition, by rendezvous hashing.
+/// Rank 0 is the first choice.
 pub(crate) fn owner_rank(partition: PartitionId, process: &str, others: &[String]) -> usize {
     let weight = |p: &str| hash64(&["owner", &partition.to_string(), p]);
     let own_weight = weight(process);
--- a/crates/hollowford-server/src/owners_tests.rs
+++ b/crates/hollowford-server/src/owners_tests.rs
@@ -1,4 +1,4 @@
-//! Who owns which partition, as heartbeats tell it.
+//! Tests that a process learns the owners of partitions from heartbeats.
 
 use crate::owners::{Owner, Owners};
 use hollowford_core::{Epoch, PartitionId};
@@ -8,8 +8,9 @@
     Owner { process: process.to_owned(), epoch: Epoch(epoch) }
 }
 
-/// Pattern: a process that was just starting has missed that another took a partition, and the
-/// store is away from then on. Until the store was back it had nobody to send a call to.
+/// Guards against a starting process that missed the announcement of a takeover and can't read
+/// the owner rows, because the store is unavailable. It could not route calls to that partition
+/// until the store was back.
 #[test]
 fn an_owner_is_learned_from_its_heartbeats() {
     let sender = Owners::new(2);
--- a/crates/hollowford-server/src/peers/dialer.rs
+++ b/crates/hollowford-server/src/peers/dialer.rs
@@ -1,4 +1,4 @@
-//! The links that this process opens, one to each other process.
+//! Outgoing links, one to each other process.
 
 use super::listener::send_all;
 use super::{
@@ -17,13 +17,13 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 
-/// What a link is to send.
+/// A message to be sent on a link.
 enum Outgoing {
     Call(Box<Call>, oneshot::Sender<Reply>),
     Message(Box<Body>),
 }
 
-/// One link.
+/// An outgoing link. Its task is aborted when it is dropped.
 struct Dialer {
     addr: String,
     tx: mpsc::Sender<Outgoing>,
@@ -36,14 +36,14 @@
     }
 }
 
-/// All links that this process opens.
+/// All outgoing links, by process.
 #[derive(Default)]
 pub(super) struct Dialers {
     links: BTreeMap<String, Dialer>,
 }
 
 impl Dialers {
-    /// Opens links to new processes and closes those to forgotten ones.
+    /// Opens links to new members and closes links to removed members.
     pub fn update(&mut self, shared: &Arc<Shared>) {
         let members = shared.members.all();
         self.links
@@ -58,8 +58,7 @@
         }
     }
 
-    /// Sends what the duty was told to send. A call that can't be sent fails at
-    /// once, by dropping its reply channel.
+    /// Sends a message. A call that can't be sent fails at once: its reply channel is dropped.
     pub fn send(&mut self, shared: &Shared, msg: PeerMsg) {
         let count_full = || shared.metrics.ring_full.with_label_values(&["peer_link"]).inc();
         match msg {
@@ -81,7 +80,7 @@
     }
 }
 
-/// Keeps one link open.
+/// Keeps one link open: reconnects whenever it ends.
 async fn keep_open(
     shared: Arc<Shared>,
     process: String,
@@ -92,10 +91,10 @@
         if let Ok(Ok(link)) =
             tokio::time::timeout(CONNECT_TIMEOUT, open(&shared, &process, &addr)).await
         {
-            // The end of a link is no news: it is opened again.
+            // The reason why a link ended doesn't matter: it is opened again.
             let _ = run_link(&shared, &process, link, &mut rx).await;
         }
-        // Calls that waited meanwhile fail now, so that their entry asks elsewhere.
+        // Queued calls fail now, so that the router retries them, maybe with another owner.
         while rx.try_recv().is_ok() {}
         tokio::time::sleep(RECONNECT_DELAY).await;
     }
@@ -162,7 +161,8 @@
     }
 }
 
-/// Turns what is to be sent into a frame. A call that finds no room fails at once.
+/// Queues a message as a frame. If the queue is full, the message is dropped, and a call fails at
+/// once.
 fn queue_frame(
     outgoing: Outgoing,
     frames: &mpsc::Sender<Frame>,
--- a/crates/hollowford-server/src/peers/listener.rs
+++ b/crates/hollowford-server/src/peers/listener.rs
@@ -1,4 +1,4 @@
-//! The loop of the peer-link thread, and the links that others open.
+//! The event loop of the `peers` thread, and the links that other processes open.
 
 use super::dialer::Dialers;
 use super::{HEARTBEAT_INTERVAL, MAX_QUEUED_FRAMES, SILENCE_TIMEOUT, heartbeat, record_heartbeat};
@@ -17,15 +17,18 @@
 use tokio::sync::{mpsc, oneshot};
 
 const NONCE_LEN: usize = 16;
-/// Longest wait for a hello.
+/// Time limit of the authentication of a new link.
 const HELLO_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(2);
 
-/// Binds the address that takes peer links.
+/// Binds the address for peer links.
+///
+/// # Errors
+/// If the address can't be bound.
 pub(crate) async fn bind(addr: SocketAddr) -> std::io::Result<TcpListener> {
     TcpListener::bind(addr).await
 }
 
-/// Runs the duty.
+/// Runs the event loop. Never returns.
 pub(crate) async fn run(shared: Arc<Shared>, listener: TcpListener) {
     let mut dialers = Dialers::default();
     let mut ticks = tokio::time::interval(HEARTBEAT_INTERVAL);
@@ -43,18 +46,19 @@
 }
 
 async fn serve(shared: Arc<Shared>, stream: TcpStream) {
-    // Without it, small frames wait for each other; the link works all the same.
+    // Without it, small frames are delayed. An error is harmless, since the link still works.
     let _ = stream.set_nodelay(true);
     let mut link = frames(stream);
     if let Ok(Some(process)) =
         tokio::time::timeout(HELLO_TIMEOUT, authenticate(&shared, &mut link)).await
     {
-        // The end of a link is no news: the other side opens it again.
+        // The reason why a link ended doesn't matter: the other process opens it again.
         let _ = run_link(&shared, &process, link).await;
     }
 }
 
-/// Lets the caller prove that it knows the key. Returns its id.
+/// Authenticates the other process by a challenge that requires the peer key. Returns its name,
+/// or `None` if it fails.
 async fn authenticate(shared: &Shared, link: &mut Frames<TcpStream>) -> Option<String> {
     let nonce: Vec<u8> = std::iter::repeat_with(|| fastrand::u8(..)).take(NONCE_LEN).collect();
     let challenge = Body::Challenge(Challenge { nonce: nonce.clone() });
@@ -65,7 +69,7 @@
     };
     let expected = mac(shared.settings.peer_key.expose().as_bytes(), &nonce, &process);
     if proof != expected {
-        log::warn!("peer={process} refused: it does not know the key");
+        log::warn!("peer={process} refused: it does not have the peer key");
         return None;
     }
     Some(process)
@@ -96,7 +100,7 @@
     }
 }
 
-/// Sends a frame and those that wait behind it, as one write.
+/// Sends a frame and all frames queued behind it in one write.
 pub(super) async fn send_all(
     link: &mut Frames<TcpStream>,
     first: Frame,
@@ -121,7 +125,7 @@
             shared.owners.set(PartitionId(took.partition), Some(owner));
         }
         Some(Body::Call(call)) => handle_call(shared, frame.id, call, tx),
-        // Nothing else is sent to the side that was called.
+        // The process that opened the link sends no other frames.
         Some(Body::Challenge(_) | Body::Hello(_) | Body::Reply(_)) | None => {}
     }
 }
@@ -132,19 +136,19 @@
         shared.decide.push(DecideMsg::Call { call: Box::new(call), reply })
     {
         shared.metrics.ring_full.with_label_values(&["decide"]).inc();
-        let error = Error::new(ErrorKind::QueueFull, "the owner takes no more calls now");
-        // The receiver is right here.
+        let error = Error::new(ErrorKind::QueueFull, "the owner accepts no more calls now");
+        // The receiver still exists: the task below awaits it.
         let _ = reply.send(Err(error));
     }
     let tx = tx.clone();
     tokio::spawn(async move {
-        // The owner may have dropped the call with the partition.
+        // The call is dropped without an answer when this process drops the partition.
         let said = answer.await.unwrap_or_else(|_| {
-            Err(Error::new(ErrorKind::Moved, "the owner let the partition go"))
+            Err(Error::new(ErrorKind::Moved, "the owner no longer has the partition"))
         });
         let said = said.unwrap_or_else(|e| Said::Refused(Refused::from(&e)));
         let body = Some(Body::Reply(Reply { said: Some(said) }));
-        // A closed link: the caller asks again.
+        // If the link is closed, the router of the calling process retries the call.
         let _ = tx.send(Frame { id, body }).await;
     });
 }
--- a/crates/hollowford-server/src/peers/mod.rs
+++ b/crates/hollowford-server/src/peers/mod.rs
@@ -1,4 +1,4 @@
-//! The duty that links this process to the others of the cell.
+//! The `peers` thread, which links this process to the other processes of the cell.
 
 mod dialer;
 mod listener;
@@ -8,27 +8,27 @@
 use hollowford_protocol::peer::{Call, Reply};
 use tokio::sync::oneshot;
 
-/// What the duty is told.
+/// A message to the `peers` thread.
 #[derive(Debug)]
 pub(crate) enum PeerMsg {
     /// Relay a call to a process. The reply channel is dropped when the link fails.
     Call { process: String, call: Box<Call>, reply: oneshot::Sender<Reply> },
-    /// Tell all other processes something.
+    /// Send a message to all other processes.
     Broadcast(Box<Body>),
 }
 
-/// How often heartbeats are sent on each link.
+/// Interval of the heartbeats on each link.
 const HEARTBEAT_INTERVAL: std::time::Duration = std::time::Duration::from_millis(300);
-/// Silence after which a link is closed.
+/// Time without a received frame after which a link is closed.
 const SILENCE_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(1_200);
-/// Frames that may wait to be sent on one link.
+/// Maximum number of frames that wait to be sent on one link.
 const MAX_QUEUED_FRAMES: usize = 4_096;
 
 use crate::shared::Shared;
 use hollowford_core::Millis;
 use hollowford_protocol::peer::{Body, Frame, Heartbeat};
 
-/// Makes this process's heartbeat to another one.
+/// Creates this process's heartbeat for the process `to`.
 fn heartbeat(shared: &Shared, to: &str) -> Frame {
     let age = shared.config_freshness.age(&shared.clock).unwrap_or(Millis::MAX);
     let echo = shared.members.last_stamp(to);
@@ -46,7 +46,7 @@
     Frame { id: 0, body: Some(body) }
 }
 
-/// Takes in another process's heartbeat.
+/// Processes another process's heartbeat.
 fn record_heartbeat(shared: &Shared, heartbeat: &Heartbeat) {
     let now = shared.clock.now();
     shared.members.add(&heartbeat.process, &heartbeat.addr);
@@ -56,7 +56,7 @@
     if heartbeat.config_head > head {
         shared.config_changed.notify_one();
     } else if heartbeat.config_head == head && heartbeat.config_age_ms < now.0 {
-        // The sender knew then that this is the newest.
+        // The sender knew at that time that this configuration was the newest.
         shared.config_freshness.confirm(Millis(now.0 - heartbeat.config_age_ms));
     }
 }
--- a/crates/hollowford-server/src/process.rs
+++ b/crates/hollowford-server/src/process.rs
@@ -1,4 +1,4 @@
-//! Starts and stops the duties of one process.
+//! Starts and stops the threads of one process.
 
 use crate::entry::TlsError;
 use crate::entry::{OperatorService, ReloadingTlsConfig, SchedulerService, accept_tls};
@@ -20,39 +20,40 @@
 use tokio::runtime::{Builder, Runtime};
 use tonic::transport::server::TcpIncoming;
 
-/// Threads of the entry duty.
+/// Number of threads of the entry's runtime.
 const ENTRY_THREADS: usize = 2;
-/// Longest wait for open calls at a planned stop.
+/// Maximum wait for open calls at a planned stop.
 const STOP_TIMEOUT: Duration = Duration::from_secs(20);
+/// Interval of the checks whether a stop is complete.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// Time that the balancer has to notice that the process is not ready.
+/// Time for the load balancer to notice that the process is no longer ready.
 const LOAD_BALANCER_DELAY: Duration = Duration::from_millis(300);
 
-/// Why a process could not start.
+/// An error that prevents a process from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// An address can't be bound, or a thread can't be started.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// The client of the store can't be made.
+    /// The client of the store can't be created.
     #[error("{0}")]
     Store(#[from] StoreError),
     /// A certificate or key can't be used.
     #[error("tls: {0}")]
     Tls(#[from] TlsError),
-    /// Two metrics have one name.
+    /// Two metrics have the same name.
     #[error("{0}")]
     Metrics(#[from] prometheus::Error),
 }
 
-/// Where a process listens, with the ports that the system chose.
+/// The addresses on which a process listens, with the actual ports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Addresses {
-    /// Callers and operators.
+    /// Address for client accounts and operators.
     pub callers: SocketAddr,
-    /// Other processes.
+    /// Address for other processes.
     pub peers: SocketAddr,
-    /// Metrics, health and state.
+    /// Address for metrics, health and state.
     pub admin: SocketAddr,
 }
 
@@ -74,7 +75,7 @@
     builder.enable_all().build()
 }
 
-/// Starts a thread with a runtime of its own for one duty.
+/// Starts a thread that runs the future on a runtime of its own.
 fn spawn_thread<F>(name: &str, run: F) -> io::Result<()>
 where
     F: Future<Output = ()> + Send + 'static,
@@ -85,10 +86,11 @@
 }
 
 impl Process {
-    /// Starts all duties.
+    /// Starts all threads.
     ///
     /// # Errors
-    /// When an address can't be bound or a thread can't be started.
+    /// If an address can't be bound, a thread can't be started, a certificate can't be used, or
+    /// the client of the store can't be created.
     pub fn start(settings: Settings) -> Result<Process, StartError> {
         let shared = Shared::new(settings)?;
         let listen = shared.settings.listen;
@@ -102,7 +104,7 @@
         let s = shared.clone();
         spawn_thread("ledger", async move {
             if let Err(e) = ledger::run(s).await {
-                log::error!("the ledger duty ended: {e}");
+                log::error!("the ledger thread ended: {e}");
             }
         })?;
         spawn_thread("workers", workers::run(shared.clone()))?;
@@ -111,7 +113,7 @@
         spawn_thread("peers", async move {
             match TcpListener::from_std(peers) {
                 Ok(listener) => peers::run(s, listener).await,
-                Err(e) => log::error!("the peers duty ended: {e}"),
+                Err(e) => log::error!("the peers thread ended: {e}"),
             }
         })?;
         start_watch(&shared)?;
@@ -120,22 +122,23 @@
         Ok(Process { shared, addresses })
     }
 
-    /// Returns where the process listens.
+    /// Returns the addresses on which the process listens.
     pub fn addresses(&self) -> Addresses {
         self.addresses
     }
 
-    /// Tells the process to hand over its partitions and to stop.
+    /// Starts a planned stop: the process hands over its partitions. Doesn't wait for it.
     pub fn stop(&self) {
         self.shared.stopping.send_replace(true);
     }
 
-    /// Tells whether the process was told to stop, by a signal or an operator.
+    /// Returns true if the process was told to stop, by a signal or an operator.
     pub fn is_stopping(&self) -> bool {
         self.shared.is_stopping()
     }
 
-    /// Waits until the partitions are handed over and the open calls are answered.
+    /// Waits until the partitions are handed over and the open calls are answered, for at most
+    /// [`STOP_TIMEOUT`] after the hand-over.
     pub fn wait_stopped(self) {
         while !self.shared.handed_over.load(Ordering::Acquire) {
             std::thread::sleep(STOP_CHECK_INTERVAL);
@@ -146,14 +149,14 @@
             std::thread::sleep(STOP_CHECK_INTERVAL);
             waited += STOP_CHECK_INTERVAL;
         }
-        // Replies that are written still need a moment on the wire.
+        // The last replies are written but may not be sent yet.
         std::thread::sleep(STOP_CHECK_INTERVAL);
         let open = self.shared.calls_open.load(Ordering::Acquire);
         log::info!("stopped calls_open={open}");
     }
 }
 
-/// The bound addresses.
+/// The listening sockets of a process and their addresses.
 struct BoundListeners {
     addresses: Addresses,
     callers: TcpListener,
@@ -173,7 +176,7 @@
     Ok(BoundListeners { addresses, callers, peers, admin })
 }
 
-/// Starts the watch duty.
+/// Starts the `watch` thread, which reads the store periodically and manages the leases.
 fn start_watch(shared: &Arc<Shared>) -> Result<(), StartError> {
     let shared = shared.clone();
     let store = shared.store()?;
@@ -187,11 +190,11 @@
             .collect();
         for task in managers.into_iter().chain([members]) {
             if let Err(e) = task.await {
-                log::error!("a task of the watch duty ended by a fault: {e}");
+                log::error!("a task of the watch thread failed: {e}");
             }
         }
         shared.handed_over.store(true, Ordering::Release);
-        // The owner rows are followed still, so that calls find the next owners.
+        // The thread keeps reading the owner rows, so that open calls reach the next owners.
         std::future::pending().await
     };
     spawn_thread("watch", watch)?;
@@ -206,7 +209,7 @@
             poem::Server::new_with_acceptor(acceptor).run(app).await
         };
         if let Err(e) = run.await {
-            log::error!("the admin duty ended: {e}");
+            log::error!("the admin thread ended: {e}");
         }
     })?;
     Ok(())
@@ -219,7 +222,7 @@
     let server = tonic::transport::Server::builder()
         .add_service(SchedulerServer::new(scheduler))
         .add_service(OperatorServer::new(operator));
-    // Without it, small replies wait for the other side's acknowledgement.
+    // Without it, small replies are delayed until the caller acknowledges earlier ones.
     let incoming = TcpIncoming::from(listener).with_nodelay(Some(true));
     let tls = shared.settings.tls.as_ref().map(ReloadingTlsConfig::new).transpose()?;
     let run = move || {
@@ -230,7 +233,7 @@
             }
         };
         if let Err(e) = served {
-            log::error!("the entry duty ended: {e}");
+            log::error!("the entry thread ended: {e}");
         }
     };
     std::thread::Builder::new().name("entry".to_owned()).spawn(run)?;
--- a/crates/hollowford-server/src/ring.rs
+++ b/crates/hollowford-server/src/ring.rs
@@ -1,13 +1,13 @@
-//! Bounded rings that join the duties.
+//! Bounded queues between the threads of a process.
 //!
-//! A ring has one consumer and any number of producers. A producer that must not
-//! wait gets its item back when the ring is full, and refuses its caller.
+//! A ring has one consumer and any number of producers. A producer that must not wait gets its
+//! item back when the ring is full, and refuses the call.
 
 use crossbeam_queue::ArrayQueue;
 use std::sync::Arc;
 use tokio::sync::Notify;
 
-/// A bounded ring. Cheap to clone; all clones are the same ring.
+/// A bounded queue with one consumer. Cheap to clone; all clones share the same queue.
 #[derive(Debug)]
 pub struct Ring<T> {
     inner: Arc<Inner<T>>,
@@ -27,7 +27,7 @@
 }
 
 impl<T> Ring<T> {
-    /// Makes a ring for `bound` items.
+    /// Creates a ring for at most `capacity` items.
     pub fn new(capacity: usize) -> Ring<T> {
         let inner = Inner {
             queue: ArrayQueue::new(capacity),
@@ -37,17 +37,17 @@
         Ring { inner: Arc::new(inner) }
     }
 
-    /// Puts an item in.
+    /// Adds an item without waiting.
     ///
     /// # Errors
-    /// Gives the item back when the ring is full.
+    /// Returns the item if the ring is full.
     pub fn push(&self, item: T) -> Result<(), T> {
         self.inner.queue.push(item)?;
         self.inner.item_added.notify_one();
         Ok(())
     }
 
-    /// Puts an item in, waiting for room.
+    /// Adds an item, waiting while the ring is full.
     pub async fn send(&self, item: T) {
         let mut item = item;
         loop {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Takes the oldest item, if there is one.
+    /// Removes and returns the oldest item, if there is one.
     pub fn pop(&self) -> Option<T> {
         let item = self.inner.queue.pop();
         if item.is_some() {
@@ -69,15 +69,15 @@
         item
     }
 
-    /// Waits until the ring may hold an item, or [`Ring::wake`] is called. For the
-    /// one consumer.
+    /// Waits until the ring may hold an item or [`Ring::wake`] is called. Only the consumer may
+    /// call this.
     pub async fn ready(&self) {
         if self.inner.queue.is_empty() {
             self.inner.item_added.notified().await;
         }
     }
 
-    /// Takes the oldest item, waiting for one. For the one consumer.
+    /// Removes and returns the oldest item, waiting for one. Only the consumer may call this.
     pub async fn recv(&self) -> T {
         loop {
             if let Some(item) = self.pop() {
@@ -92,12 +92,12 @@
         self.inner.item_added.notify_one();
     }
 
-    /// Returns how many items wait.
+    /// Returns the number of queued items.
     pub fn len(&self) -> usize {
         self.inner.queue.len()
     }
 
-    /// Tells whether no item waits.
+    /// Returns true if no item is queued.
     pub fn is_empty(&self) -> bool {
         self.inner.queue.is_empty()
     }
--- a/crates/hollowford-server/src/shared.rs
+++ b/crates/hollowford-server/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the duties of one process share.
+//! State that the threads of one process share.
 
 use crate::accounts::{ActiveAccounts, ConfigFreshness};
 use crate::decide::DecideMsg;
@@ -19,53 +19,54 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::sync::{Notify, watch};
 
-/// Long-lived state of a process.
+/// State of a process, shared by its threads.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub settings: Settings,
     pub clock: Clock,
     pub metrics: Metrics,
-    /// The configuration in force.
+    /// The active configuration of the client accounts.
     pub accounts: ArcSwap<ActiveAccounts>,
     pub config_freshness: ConfigFreshness,
-    /// Wakes the watch of the configuration.
+    /// Wakes the task that reads the configuration, when another process knows a newer one.
     pub config_changed: Notify,
     pub members: Members,
     pub owners: Owners,
-    /// The owner rows as last read.
+    /// The owner rows, as last read.
     pub owner_rows: OwnerRows,
-    /// Promises not to take over.
+    /// The promise of this process not to take over partitions.
     pub no_takeover_promise: NoTakeoverPromise,
-    /// Number of partitions that this process owns now.
+    /// Number of partitions that this process owns.
     pub owned_count: AtomicUsize,
-    /// When this process last handed a partition over to even the load.
+    /// When this process last handed a partition over to balance the load.
     pub rebalanced_at: Mutex<Millis>,
-    /// Partitions that were released and may be taken at once.
+    /// Partitions whose release another process has announced.
     pub released: Mutex<Vec<u32>>,
+    /// Counts the changes of the owner rows, and wakes the lease managers.
     pub owner_rows_changed: watch::Sender<u64>,
     /// The platform's instance list, as last read.
     pub instances: ArcSwap<Vec<Instance>>,
-    /// Wakes the watch of the instance list.
+    /// Wakes the task that reads the instance list.
     pub instances_requested: Notify,
     pub decide: Ring<DecideMsg>,
     pub ledger: Ring<Writer>,
     pub peers: Ring<PeerMsg>,
     pub workers: Ring<WorkerMsg>,
-    /// Set once the process is to stop.
+    /// True once the process was told to stop.
     pub stopping: watch::Sender<bool>,
-    /// Set once the partitions are handed over at a stop.
+    /// Set once all partitions were handed over at a planned stop.
     pub handed_over: AtomicBool,
-    /// Calls of callers that are being answered.
+    /// Number of calls of client accounts in progress.
     pub calls_open: AtomicUsize,
-    /// Whether the store answered the last call of the watch duty.
+    /// Whether the store answered the last call about owner rows.
     pub store_available: AtomicBool,
-    /// Where this process takes peer links.
+    /// Address at which this process accepts peer links.
     pub peer_addr: Mutex<String>,
     stores: Mutex<Vec<Platform>>,
     next_id: AtomicU64,
 }
 
-/// Items that each ring may hold.
+/// Capacities of the rings, in items.
 const DECIDE_RING_CAPACITY: usize = 32_768;
 const LEDGER_RING_CAPACITY: usize = 64;
 const PEERS_RING_CAPACITY: usize = 8_192;
@@ -104,7 +105,8 @@
         }))
     }
 
-    /// Makes a client of the platform for one duty, whose calls are counted.
+    /// Creates a client of the platform for one thread. Its calls are included in
+    /// [`Self::store_calls`].
     pub fn store(&self) -> Result<Platform, StoreError> {
         let p = &self.settings.platform;
         let store = Platform::new(&p.address.to_string(), p.timeout.duration())?;
@@ -112,37 +114,37 @@
         Ok(store)
     }
 
-    /// Returns the reads and writes sent to the store by all duties.
+    /// Returns the numbers of reads and writes that all threads have sent to the store.
     pub fn store_calls(&self) -> (u64, u64) {
         let stores = self.stores.lock().unwrap_or_else(PoisonError::into_inner);
         let sum = |(r, w): (u64, u64), s: &Platform| (r + s.calls().0, w + s.calls().1);
         stores.iter().fold((0, 0), sum)
     }
 
-    /// Returns a number that this process has not used before.
+    /// Returns a number that is unique in this process.
     pub fn next_id(&self) -> u64 {
         self.next_id.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Tells whether the process is to stop.
+    /// Returns true if the process was told to stop.
     pub fn is_stopping(&self) -> bool {
         *self.stopping.borrow()
     }
 
-    /// Returns where this process takes peer links.
+    /// Returns the address at which this process accepts peer links.
     pub fn peer_addr(&self) -> String {
         self.peer_addr.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Tells whether the configuration in force was confirmed recently enough to
-    /// decide by it.
+    /// Returns true if the active configuration was confirmed recently enough to accept changes
+    /// under it.
     pub fn is_config_fresh(&self) -> bool {
         let age = self.config_freshness.age(&self.clock);
         age.is_some_and(|age| age < self.settings.lease.config_fresh)
     }
 
-    /// Returns until when every other process has promised not to take over, while
-    /// the store does not answer this one; zero: that is not known.
+    /// Returns the time until which all other processes have promised not to take over
+    /// partitions, while the store doesn't answer this process. Zero means there is no such time.
     pub fn no_takeover_until(&self) -> Millis {
         if self.store_available.load(Ordering::Acquire) {
             return Millis(0);
@@ -151,19 +153,19 @@
         self.members.no_takeover_until(self.accounts.load().head, if_alone)
     }
 
-    /// Tells whether the configuration in force may be decided by: it was confirmed
-    /// recently, or the store answers no one, so that no change can be accepted.
+    /// Returns true if the active configuration may be used: either it was confirmed recently,
+    /// or no process can reach the store, so that no change of it can be accepted.
     pub fn is_config_usable(&self) -> bool {
         self.is_config_fresh() || self.no_takeover_until() > self.clock.now()
     }
 
-    /// Notes a partition that may be taken at once.
+    /// Records that another process has released a partition, and wakes the lease managers.
     pub fn record_released(&self, partition: u32) {
         self.released.lock().unwrap_or_else(PoisonError::into_inner).push(partition);
         self.owner_rows_changed.send_modify(|n| *n += 1);
     }
 
-    /// Takes the note of a released partition.
+    /// Removes the record of a released partition. Returns true if there was one.
     pub fn take_released(&self, partition: u32) -> bool {
         let mut released = self.released.lock().unwrap_or_else(PoisonError::into_inner);
         let count_before = released.len();
--- a/crates/hollowford-server/src/views.rs
+++ b/crates/hollowford-server/src/views.rs
@@ -1,4 +1,4 @@
-//! Turns the engine's views into the schema's.
+//! Converts the engine's views of requests to messages.
 
 use crate::codec::outcome_to_wire;
 use hollowford_core::ErrorKind;
@@ -6,7 +6,7 @@
 use hollowford_protocol::peer::{ObjectResult, ViewReply};
 use hollowford_protocol::v1;
 
-/// Turns a request's view into the reply that an entry gets from the owner.
+/// Converts a request's view to the reply that the owner sends to the entry.
 pub fn view_to_wire(view: &View<'_>) -> ViewReply {
     let mut objects = Vec::new();
     for (index, result) in &view.results {
--- a/crates/hollowford-server/src/watch.rs
+++ b/crates/hollowford-server/src/watch.rs
@@ -1,5 +1,4 @@
-//! What is read from the platform again and again: the configuration, the other
-//! processes, the instance list.
+//! Periodic reads of the configuration, the member rows and the instance list.
 
 use crate::accounts::{ACCOUNT_PREFIX, AccountEntry, HEAD_KEY, HISTORY_PREFIX, HeadRow};
 use crate::decide::DecideMsg;
@@ -10,17 +9,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often the head of the configuration is read.
+/// Interval at which the head of the configuration is read.
 const CONFIG_READ_INTERVAL: Duration = Duration::from_millis(500);
-/// How often the rows of the other processes are read.
+/// Interval at which the member rows are read.
 const MEMBERS_READ_INTERVAL: Duration = Duration::from_millis(1_500);
-/// How often an owner, and a process that owns nothing, reads the instance list.
+/// Interval at which a process that owns partitions reads the instance list.
 const OWNER_LIST_INTERVAL: Duration = Duration::from_millis(700);
+/// Interval at which a process that owns no partition reads the instance list.
 const NON_OWNER_LIST_INTERVAL: Duration = Duration::from_secs(10);
-/// Rows in one read.
+/// Maximum number of rows in one read.
 const PAGE_ROWS: usize = 500;
 const MEMBER_PREFIX: &str = "member/";
-/// Silence after which another process's row is deleted, in milliseconds.
+/// Time without a heartbeat after which another process's row is deleted, in milliseconds.
 const MEMBER_ROW_EXPIRY_MS: u64 = 60_000;
 
 /// Row `member/PROCESS`.
@@ -32,7 +32,7 @@
     zone: String,
 }
 
-/// Keeps the configuration in force at the newest change.
+/// Keeps the active configuration up to date. Never returns.
 pub(crate) async fn watch_config(shared: Arc<Shared>, store: Platform) {
     loop {
         if let Err(e) = refresh_config(&shared, &store).await {
@@ -45,7 +45,7 @@
     }
 }
 
-/// Reads the head, and what has changed since the last read.
+/// Reads the head of the configuration, and the accounts that changed since the last read.
 pub(crate) async fn refresh_config(shared: &Shared, store: &Platform) -> Result<(), StoreError> {
     let requested_at = shared.clock.now();
     let known = shared.accounts.load().head;
@@ -56,7 +56,7 @@
             0 => read_all(store).await?,
             _ => read_changed(store, known, head).await?,
         };
-        // Another refresh may have come first; versions only go up.
+        // Concurrent refreshes may finish in any order; older versions are ignored.
         shared.accounts.rcu(|now| now.with_changes(head, entries.clone()));
         shared.metrics.config_head.set(head as i64);
         log::info!("config_head={head} in force");
@@ -91,7 +91,7 @@
     let after = format!("{HISTORY_PREFIX}{known:016x}");
     let log = store.scan(HISTORY_PREFIX, &after, PAGE_ROWS).await?;
     if log.len() as u64 != head - known {
-        // Too far behind, or changed meanwhile: everything is read.
+        // More changes than one read returns, or a change during the reads: read all accounts.
         return read_all(store).await;
     }
     let mut names: Vec<String> = log
@@ -109,7 +109,8 @@
     Ok(rows.iter().filter_map(entry).collect())
 }
 
-/// Keeps this process's row, and learns of the others.
+/// Writes this process's member row, and reads the rows of the others until the process stops.
+/// Then deletes its own row.
 pub(crate) async fn watch_members(shared: Arc<Shared>, store: Platform) {
     let own = format!("{MEMBER_PREFIX}{}", shared.settings.process);
     let row = MemberRow { addr: shared.peer_addr(), zone: shared.settings.zone.clone() };
@@ -168,7 +169,7 @@
     }
 }
 
-/// Keeps the instance list.
+/// Keeps the instance list up to date. Never returns.
 pub(crate) async fn watch_instances(shared: Arc<Shared>, store: Platform) {
     loop {
         let is_owner = shared.metrics.partitions_owned.get() > 0;
--- a/crates/hollowford-server/src/workers/session.rs
+++ b/crates/hollowford-server/src/workers/session.rs
@@ -11,7 +11,7 @@
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Time without a report after which a session ends.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// Delay before a worker is claimed again. It doubles with each failed claim.
+/// Delay before a worker is claimed again. It doubles each time until a claim succeeds.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Maximum delay before a worker is claimed again.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(1_000);
