--- a/crates/hollowford-server/src/decide/calls.rs
+++ b/crates/hollowford-server/src/decide/calls.rs
@@ -218,7 +218,7 @@
         0 => DEFAULT_PAGE_SIZE,
         n if n <= MAX_PAGE_SIZE => n,
         n => {
-            let message = format!("limit: {n} is over the limit of {MAX_PAGE_SIZE}");
+            let message = format!("limit: {n} is over the maximum of {MAX_PAGE_SIZE}");
             return Err(Error::new(ErrorKind::TooLarge, message));
         }
     };
