--- a/crates/hollowford-server/src/entry/scheduler.rs
+++ b/crates/hollowford-server/src/entry/scheduler.rs
@@ -30,7 +30,7 @@
     pub store: Platform,
 }
 
-/// Counts a call as open until it is dropped.
+/// Counts a call as open until the guard is dropped.
 pub(crate) struct OpenCallGuard(Arc<Shared>);
 
 impl OpenCallGuard {
--- a/crates/hollowford-server/src/process.rs
+++ b/crates/hollowford-server/src/process.rs
@@ -137,8 +137,8 @@
         self.shared.is_stopping()
     }
 
-    /// Waits until the partitions are handed over and the open calls are answered, for at most
-    /// [`STOP_TIMEOUT`] after the hand-over.
+    /// Waits until the partitions are handed over and the open calls are answered. Calls that are
+    /// still open 20 seconds after the hand-over are not waited for.
     pub fn wait_stopped(self) {
         while !self.shared.handed_over.load(Ordering::Acquire) {
             std::thread::sleep(STOP_CHECK_INTERVAL);
