--- a/crates/hollowford-server/src/process.rs
+++ b/crates/hollowford-server/src/process.rs
@@ -137,8 +137,8 @@
         self.shared.is_stopping()
     }
 
-    /// Waits until the partitions are handed over and the open calls are answered. Calls that are
-    /// still open 20 seconds after the hand-over are not waited for.
+    /// Waits until the partitions are handed over and the open calls are answered. After the
+    /// hand-over it waits for open calls for a limited time only.
     pub fn wait_stopped(self) {
         while !self.shared.handed_over.load(Ordering::Acquire) {
             std::thread::sleep(STOP_CHECK_INTERVAL);
