--- a/crates/hollowford-server/src/accounts.rs
+++ b/crates/hollowford-server/src/accounts.rs
@@ -1,7 +1,7 @@
-//! The configuration in force: client accounts, their tokens and what they may use.
+//! The active configuration of the client accounts: their tokens, weights and quotas.
 //!
-//! A change is one transaction over three rows: the account's own row, the head (a
-//! counter over all accounts) and one row of the history. Versions only go up.
+//! A change is one transaction over three rows: the account's own row, the head (a counter of the
+//! changes of all accounts) and one row of the history. Versions only increase.
 
 use hollowford_core::{AccountId, Clock, Error, ErrorKind, Millis, Totals};
 use hollowford_engine::AccountPolicy;
@@ -15,9 +15,9 @@
 
 pub(crate) const HEAD_KEY: &str = "config/head";
 pub(crate) const ACCOUNT_PREFIX: &str = "config/account/";
-pub(crate) const LOG_PREFIX: &str = "config/log/";
-/// Times that a change is tried again when only the head was in its way.
-const HEAD_TRIES: usize = 20;
+pub(crate) const HISTORY_PREFIX: &str = "config/log/";
+/// Maximum number of attempts of a change that conflicts with concurrent changes.
+const MAX_HEAD_ATTEMPTS: usize = 20;
 
 /// Row `config/head`.
 #[derive(Clone, PartialEq, prost::Message)]
@@ -38,7 +38,7 @@
     pub author: String,
 }
 
-/// One account as it is in force.
+/// The active configuration of one account.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct AccountEntry {
     pub id: AccountId,
@@ -48,7 +48,7 @@
 }
 
 impl AccountEntry {
-    /// Reads an account's row.
+    /// Decodes an account's row. Returns `None` if it is malformed.
     pub fn from_row(name: &str, bytes: &[u8]) -> Option<AccountEntry> {
         let row = AccountRow::decode(bytes).ok()?;
         Some(AccountEntry {
@@ -59,7 +59,7 @@
         })
     }
 
-    /// Returns what the engine needs to know.
+    /// Returns the account's weight, quota and queue limit for the engine.
     pub fn policy(&self) -> AccountPolicy {
         AccountPolicy {
             weight: self.config.weight,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Returns what operators see.
+    /// Returns the configuration as operators see it.
     pub fn view(&self) -> v1::ConfigView {
         v1::ConfigView {
             account: self.id.to_string(),
@@ -83,23 +83,23 @@
     }
 }
 
-/// All accounts, as of one change.
+/// The active configuration of all accounts.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct AccountsInForce {
+pub(crate) struct ActiveAccounts {
+    /// Number of the newest change included.
     pub head: u64,
     pub accounts: HashMap<AccountId, Arc<AccountEntry>>,
     by_token: HashMap<String, AccountId>,
 }
 
-impl AccountsInForce {
-    /// Finds the account that a token names.
+impl ActiveAccounts {
+    /// Returns the account to which a token belongs.
     pub fn by_token(&self, token: &str) -> Option<&AccountId> {
         self.by_token.get(&hash_token(token))
     }
 
-    /// Returns a copy with these accounts changed. An older version of an account
-    /// never replaces a newer one.
-    pub fn with(&self, head: u64, entries: Vec<AccountEntry>) -> AccountsInForce {
+    /// Returns a copy with these accounts changed. An older version never replaces a newer one.
+    pub fn with_changes(&self, head: u64, entries: Vec<AccountEntry>) -> ActiveAccounts {
         let mut next = self.clone();
         next.head = next.head.max(head);
         for entry in entries {
@@ -117,19 +117,19 @@
     }
 }
 
-/// When the configuration in force was last known to be the newest.
+/// When the active configuration was last known to be the newest.
 #[derive(Debug, Default)]
-pub(crate) struct Freshness {
+pub(crate) struct ConfigFreshness {
     confirmed_at: AtomicU64,
 }
 
-impl Freshness {
-    /// Notes that what is in force was the newest at `at`.
+impl ConfigFreshness {
+    /// Records that the active configuration was the newest at `at`.
     pub fn confirm(&self, at: Millis) {
         self.confirmed_at.fetch_max(at.0.max(1), Ordering::AcqRel);
     }
 
-    /// Returns how long ago that was; `None` when it never was.
+    /// Returns the time since the last confirmation, or `None` before the first one.
     pub fn age(&self, clock: &Clock) -> Option<Millis> {
         match self.confirmed_at.load(Ordering::Acquire) {
             0 => None,
@@ -152,12 +152,12 @@
     const MAX_NAME: usize = 64;
     const MAX_WEIGHT: u32 = 1_000;
     let invalid = |message: &str| Err(Error::new(ErrorKind::Invalid, message));
-    let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-    if account.is_empty() || account.len() > MAX_NAME || !account.chars().all(plain) {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+    if account.is_empty() || account.len() > MAX_NAME || !account.chars().all(is_allowed) {
         return invalid("account: 1 to 64 letters, digits, '-', '_' or '.'");
     }
-    let hex = |c: char| c.is_ascii_digit() || ('a'..='f').contains(&c);
-    if config.token_sha256.len() != 64 || !config.token_sha256.chars().all(hex) {
+    let is_lower_hex = |c: char| c.is_ascii_digit() || ('a'..='f').contains(&c);
+    if config.token_sha256.len() != 64 || !config.token_sha256.chars().all(is_lower_hex) {
         return invalid("config.token_sha256: 64 lower-case hex digits");
     }
     if config.weight == 0 || config.weight > MAX_WEIGHT {
@@ -166,22 +166,25 @@
     Ok(())
 }
 
-fn unavailable(e: &StoreError) -> Error {
+fn write_error(e: &StoreError) -> Error {
     match e {
         StoreError::Refused(_) => Error::new(ErrorKind::Internal, e.to_string()),
         StoreError::Unanswered(_) => {
-            let message = format!("the change may have been made; read it back: {e}");
+            let message = format!(
+                "the change may have taken effect; read the configuration to find out: {e}"
+            );
             Error::new(ErrorKind::Unknown, message)
         }
     }
 }
 
-/// Changes one account's configuration, when its version is the expected one.
-/// Returns the accepted version and the number of the change.
+/// Changes one account's configuration if its current version is the expected one. Returns the
+/// new configuration and the number of the change.
 ///
 /// # Errors
-/// `Invalid`; `Conflict`, naming the current version and its author; `Unknown`
-/// when the store did not answer and reading back did not settle it.
+/// `Invalid`; `Conflict`, naming the current version and its author; `Unknown` if the store
+/// didn't answer and reading the row back didn't show the change; `Unavailable` if nothing was
+/// written; `Internal` if the store refused the write.
 pub(crate) async fn set_account(
     store: &Platform,
     clock: &Clock,
@@ -196,23 +199,23 @@
         version: req.expected_version + 1,
         author: req.author.clone(),
     };
-    for _ in 0..HEAD_TRIES {
-        if let Some(head) = try_set(store, clock, &entry).await? {
+    for _ in 0..MAX_HEAD_ATTEMPTS {
+        if let Some(head) = try_set_account(store, clock, &entry).await? {
             return Ok((entry, head));
         }
     }
     Err(Error::new(ErrorKind::Unavailable, "too many changes at once; the change was not made"))
 }
 
-/// Returns `None` when only the head was in the way.
-async fn try_set(
+/// Makes one attempt of a change. Returns `None` after a conflict with a concurrent change.
+async fn try_set_account(
     store: &Platform,
     clock: &Clock,
     entry: &AccountEntry,
 ) -> Result<Option<u64>, Error> {
     let key = format!("{ACCOUNT_PREFIX}{}", entry.id);
     let rows = store.read(&[HEAD_KEY, &key]).await;
-    // Nothing was written yet, so an unanswered read leaves no doubt.
+    // Nothing was written yet, so the outcome of an unanswered read is known.
     let rows = rows.map_err(|e| Error::new(ErrorKind::Unavailable, e.to_string()))?;
     let row = |k: &str| rows.iter().find(|r| r.key == k);
     let own = row(&key);
@@ -220,36 +223,36 @@
     let version = current.as_ref().map_or(0, |c| c.version);
     if version + 1 != entry.version {
         if current.as_ref() == Some(entry) {
-            // A change of ours whose reply was lost: it is in force.
-            return Ok(Some(head_of(row(HEAD_KEY)).1));
+            // An earlier attempt took effect, and its reply was lost.
+            return Ok(Some(decode_head(row(HEAD_KEY)).1));
         }
         return Err(conflict(&entry.id, current.as_ref()));
     }
-    let (head_version, head) = head_of(row(HEAD_KEY));
-    let txn = set_txn(entry, &key, own.map_or(0, |r| r.version), head_version, head + 1, clock);
+    let (head_version, head) = decode_head(row(HEAD_KEY));
+    let txn = change_txn(entry, &key, own.map_or(0, |r| r.version), head_version, head + 1, clock);
     match store.txn(&txn).await {
         Ok(TxnResult::Committed(_)) => Ok(Some(head + 1)),
         Ok(TxnResult::Conflict(_)) => Ok(None),
-        Err(e) => settle_set(store, &key, entry).await.ok_or_else(|| unavailable(&e)).map(Some),
+        Err(e) => read_back(store, &key, entry).await.ok_or_else(|| write_error(&e)).map(Some),
     }
 }
 
-/// Reads back after a lost reply.
-async fn settle_set(store: &Platform, key: &str, entry: &AccountEntry) -> Option<u64> {
+/// Reads the account back after a lost reply. Returns the head if the change took effect.
+async fn read_back(store: &Platform, key: &str, entry: &AccountEntry) -> Option<u64> {
     let rows = store.read(&[HEAD_KEY, key]).await.ok()?;
     let own = rows.iter().find(|r| r.key == key)?;
     let current = AccountEntry::from_row(entry.id.as_str(), &own.value.0)?;
-    (current == *entry).then(|| head_of(rows.iter().find(|r| r.key == HEAD_KEY)).1)
+    (current == *entry).then(|| decode_head(rows.iter().find(|r| r.key == HEAD_KEY)).1)
 }
 
-fn head_of(row: Option<&hollowford_platform::rows::Row>) -> (u64, u64) {
+fn decode_head(row: Option<&hollowford_platform::rows::Row>) -> (u64, u64) {
     row.map_or((0, 0), |r| {
         let head = HeadRow::decode(&r.value.0[..]).unwrap_or_default();
         (r.version, head.head)
     })
 }
 
-fn set_txn(
+fn change_txn(
     entry: &AccountEntry,
     key: &str,
     own_version: u64,
@@ -274,7 +277,7 @@
         .check(HEAD_KEY, head_version)
         .put(key, row.encode_to_vec())
         .put(HEAD_KEY, HeadRow { head }.encode_to_vec())
-        .put(format!("{LOG_PREFIX}{head:016x}"), change.encode_to_vec())
+        .put(format!("{HISTORY_PREFIX}{head:016x}"), change.encode_to_vec())
 }
 
 fn conflict(id: &AccountId, current: Option<&AccountEntry>) -> Error {
@@ -285,10 +288,10 @@
     Error::new(ErrorKind::Conflict, message)
 }
 
-/// Gives a client account a configuration, for `dev` and tests.
+/// Sets the configuration of a client account, for the `dev` command and tests.
 ///
 /// # Errors
-/// As a change by an operator.
+/// The same as for a change by an operator.
 pub async fn seed_account(store: &Platform, req: &v1::SetConfigRequest) -> Result<(), Error> {
     set_account(store, &Clock::new(), req).await.map(|_| ())
 }
--- a/crates/hollowford-server/src/admin.rs
+++ b/crates/hollowford-server/src/admin.rs
@@ -1,4 +1,4 @@
-//! Metrics, health and state, by HTTP.
+//! HTTP endpoints for metrics, health and state.
 
 use crate::decide::DecideMsg;
 use crate::shared::Shared;
@@ -11,8 +11,8 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Longest wait for the deciding thread's part of the state.
-const DUMP_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum wait for the `decide` thread's part of the state.
+const STATE_TIMEOUT: Duration = Duration::from_secs(2);
 
 #[handler]
 async fn metrics(shared: Data<&Arc<Shared>>) -> Response {
@@ -33,35 +33,35 @@
     }
 }
 
-/// The process lives.
+/// Answers liveness probes.
 #[handler]
 fn healthz() -> &'static str {
     "ok"
 }
 
-/// The balancer may send calls here: the configuration is known, and the process
-/// is not about to stop.
+/// Answers readiness probes of the load balancer. The process is ready once it has read the
+/// configuration and until it is told to stop.
 #[handler]
 async fn readyz(shared: Data<&Arc<Shared>>) -> Response {
-    let known = shared.freshness.age(&shared.clock).is_some();
-    if known && !shared.is_stopping() {
+    let is_configured = shared.config_freshness.age(&shared.clock).is_some();
+    if is_configured && !shared.is_stopping() {
         return "ready".into_response();
     }
-    let why = if known { "stopping" } else { "the configuration was never read" };
-    Response::builder().status(StatusCode::SERVICE_UNAVAILABLE).body(why)
+    let reason = if is_configured { "stopping" } else { "the configuration was never read" };
+    Response::builder().status(StatusCode::SERVICE_UNAVAILABLE).body(reason)
 }
 
 #[handler]
 async fn state(shared: Data<&Arc<Shared>>) -> Response {
-    let text = dump(&shared).await.to_string();
+    let text = state_json(&shared).await.to_string();
     text.with_content_type("application/json").into_response()
 }
 
-/// Describes the state of the process. Secrets are left out.
-pub(crate) async fn dump(shared: &Shared) -> serde_json::Value {
+/// Describes the state of the process as JSON, without secrets.
+pub(crate) async fn state_json(shared: &Shared) -> serde_json::Value {
     let (tx, rx) = oneshot::channel();
-    let partitions = match shared.decide.push(DecideMsg::Dump(tx)) {
-        Ok(()) => tokio::time::timeout(DUMP_TIMEOUT, rx).await.ok().and_then(Result::ok),
+    let partitions = match shared.decide.push(DecideMsg::DumpState(tx)) {
+        Ok(()) => tokio::time::timeout(STATE_TIMEOUT, rx).await.ok().and_then(Result::ok),
         Err(_) => None,
     };
     let now = shared.clock.now();
@@ -70,9 +70,9 @@
         .all()
         .into_iter()
         .map(|(process, m)| {
-            let heard = m.heard_at.map(|at| now.since(at).0);
+            let heard_ms_ago = m.heard_at.map(|at| now.since(at).0);
             let v = serde_json::json!({
-                "addr": m.addr, "heard_ms_ago": heard, "leaving": m.leaving,
+                "addr": m.addr, "heard_ms_ago": heard_ms_ago, "leaving": m.leaving,
                 "config_head": m.config_head,
             });
             (process, v)
@@ -89,7 +89,7 @@
         "process": shared.settings.process, "zone": shared.settings.zone,
         "up_ms": now.0, "stopping": shared.is_stopping(),
         "config_head": shared.accounts.load().head,
-        "config_age_ms": shared.freshness.age(&shared.clock).map(|a| a.0),
+        "config_age_ms": shared.config_freshness.age(&shared.clock).map(|a| a.0),
         "calls_open": shared.calls_open.load(Ordering::Acquire),
         "store_reads": reads, "store_writes": writes,
         "decide_ring": shared.decide.len(), "members": members, "owners": owners,
@@ -97,7 +97,7 @@
     })
 }
 
-/// Makes the routes of the admin address.
+/// Creates the routes of the admin address.
 pub(crate) fn routes(shared: Arc<Shared>) -> impl poem::Endpoint {
     Route::new()
         .at("/metrics", get(metrics))
--- a/crates/hollowford-server/src/process.rs
+++ b/crates/hollowford-server/src/process.rs
@@ -1,7 +1,7 @@
-//! Starts and stops the duties of one process.
+//! Starts and stops the threads of one process.
 
 use crate::entry::TlsError;
-use crate::entry::{OperatorService, Reloading, SchedulerService, encrypted};
+use crate::entry::{OperatorService, ReloadingTlsConfig, SchedulerService, accept_tls};
 use crate::shared::Shared;
 use crate::{admin, decide, ledger, ownership, peers, watch, workers};
 use hollowford_config::Settings;
@@ -20,39 +20,40 @@
 use tokio::runtime::{Builder, Runtime};
 use tonic::transport::server::TcpIncoming;
 
-/// Threads of the entry duty.
+/// Number of threads of the entry's runtime.
 const ENTRY_THREADS: usize = 2;
-/// Longest wait for open calls at a planned stop.
-const STOP_WAIT: Duration = Duration::from_secs(20);
-const STOP_CHECK: Duration = Duration::from_millis(10);
-/// Time that the balancer has to notice that the process is not ready.
-const BALANCER_WAIT: Duration = Duration::from_millis(300);
-
-/// Why a process could not start.
+/// Maximum wait for open calls at a planned stop.
+const STOP_TIMEOUT: Duration = Duration::from_secs(20);
+/// Interval of the checks whether a stop is complete.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// Time for the load balancer to notice that the process is no longer ready.
+const LOAD_BALANCER_DELAY: Duration = Duration::from_millis(300);
+
+/// An error that prevents a process from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// An address can't be bound, or a thread can't be started.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// The client of the store can't be made.
+    /// The client of the store can't be created.
     #[error("{0}")]
     Store(#[from] StoreError),
     /// A certificate or key can't be used.
     #[error("tls: {0}")]
     Tls(#[from] TlsError),
-    /// Two metrics have one name.
+    /// Two metrics have the same name.
     #[error("{0}")]
     Metrics(#[from] prometheus::Error),
 }
 
-/// Where a process listens, with the ports that the system chose.
+/// The addresses on which a process listens, with the actual ports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Addresses {
-    /// Callers and operators.
+    /// Address for client accounts and operators.
     pub callers: SocketAddr,
-    /// Other processes.
+    /// Address for other processes.
     pub peers: SocketAddr,
-    /// Metrics, health and state.
+    /// Address for metrics, health and state.
     pub admin: SocketAddr,
 }
 
@@ -74,8 +75,8 @@
     builder.enable_all().build()
 }
 
-/// Starts a thread with a runtime of its own for one duty.
-fn duty<F>(name: &str, run: F) -> io::Result<()>
+/// Starts a thread that runs the future on a runtime of its own.
+fn spawn_thread<F>(name: &str, run: F) -> io::Result<()>
 where
     F: Future<Output = ()> + Send + 'static,
 {
@@ -85,83 +86,85 @@
 }
 
 impl Process {
-    /// Starts all duties.
+    /// Starts all threads.
     ///
     /// # Errors
-    /// When an address can't be bound or a thread can't be started.
+    /// If an address can't be bound, a thread can't be started, a certificate can't be used, or
+    /// the client of the store can't be created.
     pub fn start(settings: Settings) -> Result<Process, StartError> {
         let shared = Shared::new(settings)?;
         let listen = shared.settings.listen;
         let entry = runtime(ENTRY_THREADS)?;
-        let bound = entry.block_on(bind_all(listen))?;
-        let addresses = bound.addresses;
+        let listeners = entry.block_on(bind_all(listen))?;
+        let addresses = listeners.addresses;
         *shared.peer_addr.lock().unwrap_or_else(PoisonError::into_inner) =
             addresses.peers.to_string();
 
-        duty("decide", decide::run(shared.clone()))?;
+        spawn_thread("decide", decide::run(shared.clone()))?;
         let s = shared.clone();
-        duty("ledger", async move {
+        spawn_thread("ledger", async move {
             if let Err(e) = ledger::run(s).await {
-                log::error!("the ledger duty ended: {e}");
+                log::error!("the ledger thread ended: {e}");
             }
         })?;
-        duty("workers", workers::run(shared.clone()))?;
-        let peers = bound.peers;
+        spawn_thread("workers", workers::run(shared.clone()))?;
+        let peers = listeners.peers;
         let s = shared.clone();
-        duty("peers", async move {
+        spawn_thread("peers", async move {
             match TcpListener::from_std(peers) {
                 Ok(listener) => peers::run(s, listener).await,
-                Err(e) => log::error!("the peers duty ended: {e}"),
+                Err(e) => log::error!("the peers thread ended: {e}"),
             }
         })?;
         start_watch(&shared)?;
-        start_admin(&shared, bound.admin)?;
-        start_entry(&shared, entry, bound.callers)?;
+        start_admin(&shared, listeners.admin)?;
+        start_entry(&shared, entry, listeners.callers)?;
         Ok(Process { shared, addresses })
     }
 
-    /// Returns where the process listens.
+    /// Returns the addresses on which the process listens.
     pub fn addresses(&self) -> Addresses {
         self.addresses
     }
 
-    /// Tells the process to hand over its partitions and to stop.
+    /// Starts a planned stop: the process hands over its partitions. Doesn't wait for it.
     pub fn stop(&self) {
         self.shared.stopping.send_replace(true);
     }
 
-    /// Tells whether the process was told to stop, by a signal or an operator.
+    /// Returns true if the process was told to stop, by a signal or an operator.
     pub fn is_stopping(&self) -> bool {
         self.shared.is_stopping()
     }
 
-    /// Waits until the partitions are handed over and the open calls are answered.
+    /// Waits until the partitions are handed over and the open calls are answered. After the
+    /// hand-over it waits for open calls for a limited time only.
     pub fn wait_stopped(self) {
         while !self.shared.handed_over.load(Ordering::Acquire) {
-            std::thread::sleep(STOP_CHECK);
+            std::thread::sleep(STOP_CHECK_INTERVAL);
         }
-        std::thread::sleep(BALANCER_WAIT);
+        std::thread::sleep(LOAD_BALANCER_DELAY);
         let mut waited = Duration::ZERO;
-        while self.shared.calls_open.load(Ordering::Acquire) > 0 && waited < STOP_WAIT {
-            std::thread::sleep(STOP_CHECK);
-            waited += STOP_CHECK;
+        while self.shared.calls_open.load(Ordering::Acquire) > 0 && waited < STOP_TIMEOUT {
+            std::thread::sleep(STOP_CHECK_INTERVAL);
+            waited += STOP_CHECK_INTERVAL;
         }
-        // Replies that are written still need a moment on the wire.
-        std::thread::sleep(STOP_CHECK);
+        // The last replies are written but may not be sent yet.
+        std::thread::sleep(STOP_CHECK_INTERVAL);
         let open = self.shared.calls_open.load(Ordering::Acquire);
         log::info!("stopped calls_open={open}");
     }
 }
 
-/// The bound addresses.
-struct Bound {
+/// The listening sockets of a process and their addresses.
+struct BoundListeners {
     addresses: Addresses,
     callers: TcpListener,
     peers: std::net::TcpListener,
     admin: std::net::TcpListener,
 }
 
-async fn bind_all(listen: hollowford_config::Listen) -> io::Result<Bound> {
+async fn bind_all(listen: hollowford_config::Listen) -> io::Result<BoundListeners> {
     let callers = TcpListener::bind(listen.callers).await?;
     let peers = peers::bind(listen.peers).await?.into_std()?;
     let admin = TcpListener::bind(listen.admin).await?.into_std()?;
@@ -170,43 +173,43 @@
         peers: peers.local_addr()?,
         admin: admin.local_addr()?,
     };
-    Ok(Bound { addresses, callers, peers, admin })
+    Ok(BoundListeners { addresses, callers, peers, admin })
 }
 
-/// Starts the watch duty.
+/// Starts the `watch` thread, which reads the store periodically and manages the leases.
 fn start_watch(shared: &Arc<Shared>) -> Result<(), StartError> {
     let shared = shared.clone();
     let store = shared.store()?;
     let watch = async move {
-        tokio::spawn(watch::config(shared.clone(), store.clone()));
-        tokio::spawn(watch::instances(shared.clone(), store.clone()));
-        tokio::spawn(ownership::follow(shared.clone(), store.clone()));
-        let members = tokio::spawn(watch::members(shared.clone(), store.clone()));
-        let keepers: Vec<_> = (0..shared.settings.partitions)
+        tokio::spawn(watch::watch_config(shared.clone(), store.clone()));
+        tokio::spawn(watch::watch_instances(shared.clone(), store.clone()));
+        tokio::spawn(ownership::follow_owner_rows(shared.clone(), store.clone()));
+        let members = tokio::spawn(watch::watch_members(shared.clone(), store.clone()));
+        let managers: Vec<_> = (0..shared.settings.partitions)
             .map(|p| tokio::spawn(ownership::run(shared.clone(), store.clone(), PartitionId(p))))
             .collect();
-        for task in keepers.into_iter().chain([members]) {
+        for task in managers.into_iter().chain([members]) {
             if let Err(e) = task.await {
-                log::error!("a task of the watch duty ended by a fault: {e}");
+                log::error!("a task of the watch thread failed: {e}");
             }
         }
         shared.handed_over.store(true, Ordering::Release);
-        // The owner rows are followed still, so that calls find the next owners.
+        // The thread keeps reading the owner rows, so that open calls reach the next owners.
         std::future::pending().await
     };
-    duty("watch", watch)?;
+    spawn_thread("watch", watch)?;
     Ok(())
 }
 
 fn start_admin(shared: &Arc<Shared>, listener: std::net::TcpListener) -> Result<(), StartError> {
     let app = admin::routes(shared.clone());
-    duty("admin", async move {
+    spawn_thread("admin", async move {
         let run = async {
             let acceptor = TcpAcceptor::from_std(listener)?;
             poem::Server::new_with_acceptor(acceptor).run(app).await
         };
         if let Err(e) = run.await {
-            log::error!("the admin duty ended: {e}");
+            log::error!("the admin thread ended: {e}");
         }
     })?;
     Ok(())
@@ -219,18 +222,18 @@
     let server = tonic::transport::Server::builder()
         .add_service(SchedulerServer::new(scheduler))
         .add_service(OperatorServer::new(operator));
-    // Without it, small replies wait for the other side's acknowledgement.
+    // Without it, small replies are delayed until the caller acknowledges earlier ones.
     let incoming = TcpIncoming::from(listener).with_nodelay(Some(true));
-    let tls = shared.settings.tls.as_ref().map(Reloading::new).transpose()?;
+    let tls = shared.settings.tls.as_ref().map(ReloadingTlsConfig::new).transpose()?;
     let run = move || {
         let served = match tls {
             None => rt.block_on(server.serve_with_incoming(incoming)),
             Some(tls) => {
-                rt.block_on(async { server.serve_with_incoming(encrypted(incoming, tls)).await })
+                rt.block_on(async { server.serve_with_incoming(accept_tls(incoming, tls)).await })
             }
         };
         if let Err(e) = served {
-            log::error!("the entry duty ended: {e}");
+            log::error!("the entry thread ended: {e}");
         }
     };
     std::thread::Builder::new().name("entry".to_owned()).spawn(run)?;
--- a/crates/hollowford-server/src/workers/session.rs
+++ b/crates/hollowford-server/src/workers/session.rs
@@ -1,4 +1,4 @@
-//! Holds one session with one worker after the other.
+//! Keeps a session with one worker, and opens a new one when it ends.
 
 use crate::decide::DecideMsg;
 use crate::shared::Shared;
@@ -7,24 +7,26 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// Longest wait for the reply to a claim, and longest silence of a worker.
+/// Maximum wait for the reply to a claim.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(1_000);
-const SILENCE: Duration = Duration::from_millis(3_000);
-/// First and longest wait before a worker is claimed again.
-const RETRY_FIRST: Duration = Duration::from_millis(20);
-const RETRY_MAX: Duration = Duration::from_millis(1_000);
+/// Time without a report after which a session ends.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// Delay before a worker is claimed again. It doubles each time until a claim succeeds.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Maximum delay before a worker is claimed again.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 
-/// The session that stands.
+/// An open session.
 #[derive(Debug)]
-pub(super) struct Open {
+pub(super) struct OpenSession {
     pub session: u64,
     pub orders: Orders,
 }
 
-/// Where the session that stands is found.
-pub(super) type Slot = Arc<Mutex<Option<Open>>>;
+/// Holds the open session with a worker, if there is one.
+pub(super) type Slot = Arc<Mutex<Option<OpenSession>>>;
 
-/// The worker that a session is held with.
+/// The worker with which a session is kept.
 #[derive(Debug)]
 pub(super) struct Target {
     pub partition: PartitionId,
@@ -33,66 +35,74 @@
     pub addr: String,
 }
 
-/// Takes the session out of its slot and off the gauge, also when the task is aborted.
-struct Gauge<'a>(&'a Shared, &'a Slot);
+/// Clears the session's slot and decrements the metric of open sessions when dropped, also when
+/// the task is aborted.
+struct SessionGuard<'a>(&'a Shared, &'a Slot);
 
-impl Drop for Gauge<'_> {
+impl Drop for SessionGuard<'_> {
     fn drop(&mut self) {
         *self.1.lock().unwrap_or_else(PoisonError::into_inner) = None;
         self.0.metrics.sessions.dec();
     }
 }
 
-/// Claims the worker again and again, until the task is aborted.
-pub(super) async fn hold(shared: Arc<Shared>, target: Target, slot: Slot) {
+/// Claims the worker, relays its reports, and repeats this until the task is aborted.
+pub(super) async fn keep_session(shared: Arc<Shared>, target: Target, slot: Slot) {
     let owner = shared.settings.process.clone();
-    let mut wait = RETRY_FIRST;
+    let mut delay = INITIAL_RETRY_DELAY;
     loop {
         let t = &target;
         let claim =
             WorkerClaim { addr: &t.addr, partition: t.partition, epoch: t.epoch, owner: &owner };
         match attach(claim, CLAIM_TIMEOUT).await {
             Ok((orders, reports, claimed)) => {
-                wait = RETRY_FIRST;
+                delay = INITIAL_RETRY_DELAY;
                 let session = shared.next_id();
-                let open = Open { session, orders };
+                let open = OpenSession { session, orders };
                 *slot.lock().unwrap_or_else(PoisonError::into_inner) = Some(open);
                 shared.metrics.sessions.inc();
-                let gauge = Gauge(&shared, &slot);
+                let guard = SessionGuard(&shared, &slot);
                 let (partition, worker) = (t.partition, t.worker.clone());
                 let report = Box::new(claimed);
-                let msg = DecideMsg::Claimed { partition, worker, session, report };
+                let msg = DecideMsg::WorkerClaimed { partition, worker, session, report };
                 shared.decide.send(msg).await;
-                relay(&shared, t, session, reports, &slot).await;
-                drop(gauge);
+                relay_reports(&shared, t, session, reports, &slot).await;
+                drop(guard);
                 let (partition, worker) = (t.partition, t.worker.clone());
-                shared.decide.send(DecideMsg::Lost { partition, worker, session }).await;
+                shared.decide.send(DecideMsg::SessionEnded { partition, worker, session }).await;
             }
-            // A higher epoch: the keeper of the partition finds out by the table.
-            Err(LinkError::Deposed) => wait = RETRY_MAX,
+            // The worker knows a higher epoch. The lease manager of the partition learns of it
+            // from the store.
+            Err(LinkError::Deposed) => delay = MAX_RETRY_DELAY,
             Err(LinkError::Unreachable(_)) => {}
         }
-        tokio::time::sleep(wait).await;
-        wait = (wait * 2).min(RETRY_MAX);
+        tokio::time::sleep(delay).await;
+        delay = (delay * 2).min(MAX_RETRY_DELAY);
     }
 }
 
-/// Relays a session's reports, until it ends or its orders can't be sent.
-async fn relay(shared: &Shared, t: &Target, session: u64, mut reports: Reports, slot: &Slot) {
+/// Relays a session's reports to the `decide` thread until the session ends.
+async fn relay_reports(
+    shared: &Shared,
+    t: &Target,
+    session: u64,
+    mut reports: Reports,
+    slot: &Slot,
+) {
     loop {
-        let next = tokio::time::timeout(SILENCE, reports.message()).await;
+        let next = tokio::time::timeout(SILENCE_TIMEOUT, reports.message()).await;
         let Ok(Ok(Some(report))) = next else {
             return;
         };
         let (partition, worker) = (t.partition, t.worker.clone());
         let report = Box::new(report);
-        shared.decide.send(DecideMsg::Report { partition, worker, session, report }).await;
-        let stands = slot
+        shared.decide.send(DecideMsg::WorkerReport { partition, worker, session, report }).await;
+        let is_open = slot
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .as_ref()
             .is_some_and(|open| open.session == session);
-        if !stands {
+        if !is_open {
             return;
         }
     }
