--- a/crates/hollowford-engine/src/query.rs
+++ b/crates/hollowford-engine/src/query.rs
@@ -148,25 +148,25 @@
             return String::new();
         }
         if r.restarting {
-            return "its tasks are being stopped and will start again together".to_owned();
+            return "its tasks are being stopped, to start again together".to_owned();
         }
         if !r.waiting.is_empty() {
             if self.ledger_stalled {
-                return "waits: the ledger can't be written".to_owned();
+                return "waits: the ledger can't be written now".to_owned();
             }
             return self.why_waits(r);
         }
         let Some(p) = r.placement_choice else {
-            return "placed by an earlier owner".to_owned();
+            return "held by the workers that an earlier owner chose".to_owned();
         };
         let best = self.workers.get(p.worker).id.as_str();
         match p.runner_up {
             Some(w) => format!(
-                "placed on {best}, the best fit of {} workers with room; second was {}",
+                "placed on {best}, which it fills best of {} with room; next was {}",
                 p.compared,
                 self.workers.get(w).id
             ),
-            None => format!("placed on {best}, the first of {} workers with room", p.compared),
+            None => format!("placed on {best}, first of {} with room", p.compared),
         }
     }
 
--- a/crates/hollowford-engine/src/request.rs
+++ b/crates/hollowford-engine/src/request.rs
@@ -140,12 +140,12 @@
 impl WaitCause {
     pub fn text(self) -> &'static str {
         match self {
-            WaitCause::AwaitingTurn => "waits for the turn of its client account",
-            WaitCause::NoRoom => "waits: no eligible instance has room",
-            WaitCause::Quota => "waits: the client account's quota is used up",
-            WaitCause::Headroom => "waits: the free resources are kept for urgent work",
+            WaitCause::AwaitingTurn => "waits for its turn in the order of client accounts",
+            WaitCause::NoRoom => "waits: no usable instance that it may use has room",
+            WaitCause::Quota => "waits: the client account's quota is in use",
+            WaitCause::Headroom => "waits: the room left is kept for urgent work",
             WaitCause::Backoff => "waits before the next attempt",
-            WaitCause::LedgerStalled => "waits: the ledger can't be written",
+            WaitCause::LedgerStalled => "waits: the ledger can't be written now",
             WaitCause::GangReservation => {
                 "waits: instances are being drained so that all tasks can start"
             }
