--- a/crates/hollowford-node/src/access_tests.rs
+++ b/crates/hollowford-node/src/access_tests.rs
@@ -14,11 +14,11 @@
 /// Returns a configuration with two queues, of which one needs no key, and with the keys `known` of
 /// account `a`.
 fn config(version: u64, known: &[&str]) -> Config {
-    let route = |queue: &str, is_open| Route {
+    let route = |queue: &str, allows_anonymous| Route {
         host: "h".into(),
         prefix: format!("/{queue}/"),
         queue: queue.into(),
-        is_open,
+        allows_anonymous,
     };
     let mut credentials = Credentials::default();
     known.iter().for_each(|key| credentials.add(Credential::of(key), "a".into()));
@@ -27,7 +27,7 @@
         routes: vec![route(QUEUE, false), route(OPEN_QUEUE, true)],
         queues: Vec::new(),
         pools: Vec::new(),
-        limits: Limits { body_bytes: 1_000, idle: Millis(1_000) },
+        limits: Limits { max_body_bytes: 1_000, idle_timeout: Millis(1_000) },
         accounts: Some(vec![Account {
             name: "a".into(),
             policy: AccountPolicy::default(),
--- a/crates/hollowford-node/src/calls.rs
+++ b/crates/hollowford-node/src/calls.rs
@@ -3,7 +3,7 @@
 use crate::inbox::{OwnerHandle, OwnerMsg};
 use crate::shared::Shared;
 use crate::wire::Advice;
-use hollowford_adapter::{Called, WorkerClient};
+use hollowford_adapter::{WorkerAnswer, WorkerClient};
 use hollowford_core::Millis;
 use hollowford_jobs::{Advised, LookAnswer, Seat, StartAnswer, StepKey, WorkerCall};
 use std::sync::Arc;
@@ -33,7 +33,7 @@
     workers: &WorkerClient,
     call: &WorkerCall,
     limit: Millis,
-    report: impl Fn(Called, AnswerTiming) -> F,
+    report: impl Fn(WorkerAnswer, AnswerTiming) -> F,
 ) {
     let started_at = shared.clock.now();
     let worker_wait = match call {
@@ -63,12 +63,12 @@
 }
 
 /// Returns the outcome that stands for a missing answer.
-pub fn unanswered(call: &WorkerCall) -> Called {
+pub fn unanswered(call: &WorkerCall) -> WorkerAnswer {
     match call {
-        WorkerCall::Start { .. } => Called::Start(StartAnswer::Unanswered),
-        WorkerCall::Stop { .. } => Called::Stop(false),
-        WorkerCall::Pace { .. } => Called::Pace(false),
-        WorkerCall::Look { .. } => Called::Look(LookAnswer::Unanswered),
+        WorkerCall::Start { .. } => WorkerAnswer::Start(StartAnswer::Unanswered),
+        WorkerCall::Stop { .. } => WorkerAnswer::Stop(false),
+        WorkerCall::Pace { .. } => WorkerAnswer::Pace(false),
+        WorkerCall::Look { .. } => WorkerAnswer::Look(LookAnswer::Unanswered),
     }
 }
 
@@ -88,21 +88,21 @@
     call_worker(&shared, &workers, &call, limit, report).await;
 }
 
-fn record_metrics(shared: &Shared, called: &Called, took: Millis) {
+fn record_metrics(shared: &Shared, called: &WorkerAnswer, took: Millis) {
     let (name, outcome) = match called {
-        Called::Start(StartAnswer::Runs(_)) => {
+        WorkerAnswer::Start(StartAnswer::Runs(_)) => {
             shared.metrics.start_seconds.observe(took.duration().as_secs_f64());
             ("start", "runs")
         }
-        Called::Start(StartAnswer::Unanswered) => ("start", "unanswered"),
-        Called::Start(_) => ("start", "refused"),
-        Called::Stop(true) => ("stop", "answered"),
-        Called::Stop(false) => ("stop", "unanswered"),
-        Called::Pace(true) => ("pace", "answered"),
-        Called::Pace(false) => ("pace", "unanswered"),
-        Called::Look(LookAnswer::Lists(_)) => ("look", "answered"),
-        Called::Look(LookAnswer::Unanswered) => ("look", "unanswered"),
-        Called::Look(_) => ("look", "refused"),
+        WorkerAnswer::Start(StartAnswer::Unanswered) => ("start", "unanswered"),
+        WorkerAnswer::Start(_) => ("start", "refused"),
+        WorkerAnswer::Stop(true) => ("stop", "answered"),
+        WorkerAnswer::Stop(false) => ("stop", "unanswered"),
+        WorkerAnswer::Pace(true) => ("pace", "answered"),
+        WorkerAnswer::Pace(false) => ("pace", "unanswered"),
+        WorkerAnswer::Look(LookAnswer::Lists(_)) => ("look", "answered"),
+        WorkerAnswer::Look(LookAnswer::Unanswered) => ("look", "unanswered"),
+        WorkerAnswer::Look(_) => ("look", "refused"),
     };
     shared.metrics.worker_calls.with_label_values(&[name, outcome]).inc();
 }
@@ -130,7 +130,7 @@
     workers: &[String],
 ) -> Option<(Advised, Millis)> {
     let client = shared.advice.as_ref()?;
-    let answer = client.ask(step, workers, ADVICE_TIMEOUT).await;
+    let answer = client.request_advice(step, workers, ADVICE_TIMEOUT).await;
     let outcome = if answer.is_ok() { "answered" } else { "failed" };
     shared.metrics.advice_calls.with_label_values(&[outcome]).inc();
     answer.inspect_err(|e| log::info!("advice.failed step={step} error=\"{e}\"")).ok()
--- a/crates/hollowford-node/src/delegate_wire/convert.rs
+++ b/crates/hollowford-node/src/delegate_wire/convert.rs
@@ -1,7 +1,7 @@
 //! Conversion between worker calls or their answers and messages.
 
 use super::*;
-use hollowford_adapter::Called;
+use hollowford_adapter::WorkerAnswer;
 use hollowford_core::Millis;
 use hollowford_jobs::{
     End, EndKind, Incarnation, JobId, Look, LookAnswer, Running, StartAnswer, StepKey, TaskKey,
@@ -111,12 +111,12 @@
 
 impl Outcome {
     /// Creates the message for the outcome of a call.
-    pub fn new(id: u64, called: &Called) -> Outcome {
+    pub fn new(id: u64, called: &WorkerAnswer) -> Outcome {
         let of = match called {
-            Called::Start(answer) => OutcomeOf::Start(start_outcome(answer)),
-            Called::Stop(answered) => OutcomeOf::Stop(*answered),
-            Called::Pace(answered) => OutcomeOf::Pace(*answered),
-            Called::Look(answer) => OutcomeOf::Look(look_outcome(answer)),
+            WorkerAnswer::Start(answer) => OutcomeOf::Start(start_outcome(answer)),
+            WorkerAnswer::Stop(answered) => OutcomeOf::Stop(*answered),
+            WorkerAnswer::Pace(answered) => OutcomeOf::Pace(*answered),
+            WorkerAnswer::Look(answer) => OutcomeOf::Look(look_outcome(answer)),
         };
         Outcome { id, of: Some(of) }
     }
@@ -125,12 +125,12 @@
     ///
     /// # Errors
     /// Returns an error if the outcome is missing.
-    pub fn parse(self) -> Result<Called, DelegateError> {
+    pub fn parse(self) -> Result<WorkerAnswer, DelegateError> {
         Ok(match self.of.ok_or(DelegateError::Empty)? {
-            OutcomeOf::Start(s) => Called::Start(start_answer(s)),
-            OutcomeOf::Stop(answered) => Called::Stop(answered),
-            OutcomeOf::Pace(answered) => Called::Pace(answered),
-            OutcomeOf::Look(l) => Called::Look(look_answer(l)),
+            OutcomeOf::Start(s) => WorkerAnswer::Start(start_answer(s)),
+            OutcomeOf::Stop(answered) => WorkerAnswer::Stop(answered),
+            OutcomeOf::Pace(answered) => WorkerAnswer::Pace(answered),
+            OutcomeOf::Look(l) => WorkerAnswer::Look(look_answer(l)),
         })
     }
 }
--- a/crates/hollowford-node/src/delegate_wire_tests.rs
+++ b/crates/hollowford-node/src/delegate_wire_tests.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::expect_used)]
 
 use crate::delegate_wire::{Delegated, Outcome};
-use hollowford_adapter::Called;
+use hollowford_adapter::WorkerAnswer;
 use hollowford_core::Millis;
 use hollowford_jobs::{
     End, EndKind, Incarnation, JobId, Look, LookAnswer, Running, StartAnswer, StepKey, TaskKey,
@@ -111,8 +111,10 @@
         StartAnswer::Invalid,
         StartAnswer::Unanswered,
     ];
-    let all = looks.map(Called::Look).into_iter().chain(starts.map(Called::Start));
-    for called in all.chain([Called::Stop(true), Called::Stop(false), Called::Pace(true)]) {
+    let all = looks.map(WorkerAnswer::Look).into_iter().chain(starts.map(WorkerAnswer::Start));
+    for called in
+        all.chain([WorkerAnswer::Stop(true), WorkerAnswer::Stop(false), WorkerAnswer::Pace(true)])
+    {
         let bytes = Outcome::new(8, &called).encode_to_vec();
         let read = Outcome::decode(&bytes[..]).expect("an outcome");
         assert_eq!(read.id, 8);
--- a/crates/hollowford-node/src/delegation.rs
+++ b/crates/hollowford-node/src/delegation.rs
@@ -15,7 +15,7 @@
 use crate::link::Outbox;
 use crate::members::LinkId;
 use crate::wire::Body;
-use hollowford_adapter::Called;
+use hollowford_adapter::WorkerAnswer;
 use hollowford_core::{AnswerTimes, InstanceId, Millis};
 use hollowford_jobs::{LookAnswer, StartAnswer, WorkerCall, WorkerListing};
 use route::{Route, pick_member};
@@ -82,7 +82,7 @@
 pub struct CallOutcome {
     pub call: WorkerCall,
     /// The worker's answer, or that there was none.
-    pub called: Called,
+    pub called: WorkerAnswer,
     /// When the call was handed to the member or sent by the owner, in engine time.
     pub sent: Millis,
     /// Whether the answer came within the time limit.
@@ -245,7 +245,12 @@
             .collect()
     }
 
-    fn receive_outcome(&mut self, id: u64, called: Called, now: Millis) -> Option<CallOutcome> {
+    fn receive_outcome(
+        &mut self,
+        id: u64,
+        called: WorkerAnswer,
+        now: Millis,
+    ) -> Option<CallOutcome> {
         let p = self.pending.get_mut(&id)?;
         let timing = if p.reported_unanswered { AnswerTiming::Late } else { AnswerTiming::InTime };
         let answered = is_answered(&called);
@@ -305,13 +310,13 @@
     }
 }
 
-fn is_answered(called: &Called) -> bool {
+fn is_answered(called: &WorkerAnswer) -> bool {
     !matches!(
         called,
-        Called::Start(StartAnswer::Unanswered)
-            | Called::Look(LookAnswer::Unanswered)
-            | Called::Stop(false)
-            | Called::Pace(false)
+        WorkerAnswer::Start(StartAnswer::Unanswered)
+            | WorkerAnswer::Look(LookAnswer::Unanswered)
+            | WorkerAnswer::Stop(false)
+            | WorkerAnswer::Pace(false)
     )
 }
 
--- a/crates/hollowford-node/src/delegation_tests.rs
+++ b/crates/hollowford-node/src/delegation_tests.rs
@@ -8,7 +8,7 @@
 use crate::delegate_wire::{Outcome, Outcomes};
 use crate::delegation::{Delegate, Delegation};
 use crate::link::Outbox;
-use hollowford_adapter::Called;
+use hollowford_adapter::WorkerAnswer;
 use hollowford_core::{Millis, Resources};
 use hollowford_jobs::{LookAnswer, StartAnswer, WorkerCall, WorkerListing};
 use std::collections::BTreeMap;
@@ -116,7 +116,7 @@
     d.member_left(5, NOW);
     let outcomes = d.take_overdue(true, NOW);
     assert_eq!(outcomes.len(), lost);
-    assert!(outcomes.iter().all(|t| t.called == Called::Look(LookAnswer::Unanswered)));
+    assert!(outcomes.iter().all(|t| t.called == WorkerAnswer::Look(LookAnswer::Unanswered)));
     assert!(d.take_overdue(true, NOW).is_empty(), "reported only once");
 }
 
@@ -137,7 +137,7 @@
 
 /// Lets a member report an answer to the call with the number `call`.
 fn answer(d: &mut Delegation, call: usize, link: u64) -> usize {
-    let outcome = Outcome::new(call as u64, &Called::Look(LookAnswer::OtherLife));
+    let outcome = Outcome::new(call as u64, &WorkerAnswer::Look(LookAnswer::OtherLife));
     d.receive_outcomes(link, Outcomes { list: vec![outcome] }, NOW).len()
 }
 
@@ -158,7 +158,7 @@
     let link = d.last_link().expect("a call");
     let late = NOW + Millis(1_000);
     assert_eq!(d.take_overdue(true, late).len(), 1);
-    let runs = Outcome::new(0, &Called::Start(StartAnswer::Runs(5)));
+    let runs = Outcome::new(0, &WorkerAnswer::Start(StartAnswer::Runs(5)));
     let outcomes = d.receive_outcomes(link, Outcomes { list: vec![runs] }, late);
     assert_eq!(outcomes.len(), 1);
     assert_eq!(outcomes[0].timing, AnswerTiming::Late);
@@ -170,7 +170,7 @@
     let mut d = delegation(60, 200);
     let first = assign(&mut d, 1, NOW)[0];
     for id in 0..2 {
-        let none = Outcome::new(id, &Called::Look(LookAnswer::Unanswered));
+        let none = Outcome::new(id, &WorkerAnswer::Look(LookAnswer::Unanswered));
         let outcomes = d.receive_outcomes(first, Outcomes { list: vec![none] }, NOW);
         assert_eq!(outcomes[0].timing, AnswerTiming::InTime);
         d.delegate(look(0), LIMIT, NOW);
--- a/crates/hollowford-node/src/http_endpoints.rs
+++ b/crates/hollowford-node/src/http_endpoints.rs
@@ -7,7 +7,7 @@
 use futures::future::join_all;
 use hollowford_adapter::{
     CallerRequest, Config, READY_PATH, Route, client_credential, client_timeout, decode_job,
-    encode_state, encode_waiting, parse_request_path,
+    encode_job_state, encode_waiting_count, parse_request_path,
 };
 use hollowford_core::Millis;
 use hollowford_jobs::{JobId, JobState, encode_spec};
@@ -110,7 +110,7 @@
             _ => return Err(StatusCode::METHOD_NOT_ALLOWED),
         });
         if call.verb() == Verb::Submit {
-            call.spec = read_job(req, JobId(job), config.limits.body_bytes).await?;
+            call.spec = read_job(req, JobId(job), config.limits.max_body_bytes).await?;
         }
         Ok(call)
     }
@@ -138,9 +138,9 @@
             }
             Relayed::Said(Said::Value, value) => {
                 let body = if verb == Verb::State {
-                    decode_state(value).map(encode_state)
+                    decode_state(value).map(encode_job_state)
                 } else {
-                    Some(encode_waiting(value))
+                    Some(encode_waiting_count(value))
                 };
                 match body {
                     Some(body) => self.respond_with(StatusCode::OK, verb_name, started_at, body),
--- a/crates/hollowford-node/src/inbox.rs
+++ b/crates/hollowford-node/src/inbox.rs
@@ -7,7 +7,7 @@
 use crate::wire::{Body, Call, CallAnswer, Hello, MemberBeat, Said};
 use crate::worker_changes::WorkerChanges;
 use crate::writer::BatchOutcome;
-use hollowford_adapter::Called;
+use hollowford_adapter::WorkerAnswer;
 use hollowford_core::Millis;
 use hollowford_jobs::{Advised, Seat, StepKey, WorkerCall, WorkerListing};
 use tokio::sync::{mpsc, oneshot};
@@ -24,7 +24,7 @@
     WorkerAnswer {
         call: WorkerCall,
         /// The worker's answer, or that there was none.
-        called: Called,
+        called: WorkerAnswer,
         /// When the call was sent, in engine time.
         sent: Millis,
         /// Whether the answer came within the time limit.
--- a/crates/hollowford-node/src/load.rs
+++ b/crates/hollowford-node/src/load.rs
@@ -5,7 +5,7 @@
 use crate::owner_row::{OWNER_KEY, RETRY, TABLE, read_owner};
 use crate::partition::Cx;
 use crate::wire::OwnerInfo;
-use hollowford_adapter::Feed;
+use hollowford_adapter::VersionedRows;
 use hollowford_core::Millis;
 use hollowford_jobs::Engine;
 use std::time::Duration;
@@ -38,7 +38,7 @@
     }
 }
 
-fn recover_state(cx: &Cx, info: &OwnerInfo, feed: Feed) -> Option<RecoveredState> {
+fn recover_state(cx: &Cx, info: &OwnerInfo, feed: VersionedRows) -> Option<RecoveredState> {
     let owner = feed.rows.iter().find(|r| r.key == OWNER_KEY)?;
     let lanes = lane_versions(&feed.rows);
     let holder = read_owner(owner)?.owner?;
@@ -47,7 +47,8 @@
         return None;
     }
     let clock_offset = feed.now.0 as i64 - cx.shared.clock.now().0 as i64;
-    let mut engine = Engine::new(info.epoch, cx.shared.settings_changed.borrow().bounds, feed.now);
+    let mut engine =
+        Engine::new(info.epoch, cx.shared.settings_changed.borrow().time_limits, feed.now);
     engine.set_unix_offset(cx.shared.clock.unix() as i64 - feed.now.0 as i64);
     if let Some(config) = cx.shared.config.load_full() {
         engine.set_queues(&config.queues, feed.now);
--- a/crates/hollowford-node/src/owner.rs
+++ b/crates/hollowford-node/src/owner.rs
@@ -297,7 +297,7 @@
 
     fn apply_config(&mut self, now: Millis) {
         if self.settings.has_changed().unwrap_or(false) {
-            let bounds = self.settings.borrow_and_update().bounds;
+            let bounds = self.settings.borrow_and_update().time_limits;
             self.engine.set_bounds(bounds);
         }
         let version = self.cx.shared.config_version();
--- a/crates/hollowford-node/src/owner/joining_tests.rs
+++ b/crates/hollowford-node/src/owner/joining_tests.rs
@@ -25,7 +25,7 @@
     let partition = shared.partitions()[0].clone();
     let cx = Cx { shared, partition };
     let info = cx.as_owner(EPOCH);
-    let engine = Engine::new(EPOCH, cx.shared.settings.bounds, Millis(0));
+    let engine = Engine::new(EPOCH, cx.shared.settings.time_limits, Millis(0));
     let start = RecoveredState { info, lanes: [0; LANE_COUNT], engine, clock_offset: 0 };
     Owner::new(cx, start, OwnerHandle::new().0)
 }
--- a/crates/hollowford-node/src/owner/worker_calls.rs
+++ b/crates/hollowford-node/src/owner/worker_calls.rs
@@ -3,7 +3,7 @@
 use super::{Owner, OwnerEnd};
 use crate::calls::{AnswerTiming, call_worker_locally, request_advice_locally};
 use crate::delegation::CallOutcome;
-use hollowford_adapter::Called;
+use hollowford_adapter::WorkerAnswer;
 use hollowford_core::Millis;
 use hollowford_jobs::{Order, WorkerCall};
 
@@ -14,7 +14,7 @@
         let CallOutcome { call, called, sent, timing } = outcome;
         let late = timing == AnswerTiming::Late;
         let fenced = match (&call, called) {
-            (WorkerCall::Start { worker, task, run, .. }, Called::Start(answer)) => {
+            (WorkerCall::Start { worker, task, run, .. }, WorkerAnswer::Start(answer)) => {
                 let (engine, started) = (&mut self.engine, (*task, *run));
                 if late {
                     engine.start_answered_late(worker, started, &answer, sent, now)
@@ -22,18 +22,18 @@
                     engine.start_answered(worker, started, answer, sent, now)
                 }
             }
-            (WorkerCall::Stop { worker, task, run, .. }, Called::Stop(answered)) => {
+            (WorkerCall::Stop { worker, task, run, .. }, WorkerAnswer::Stop(answered)) => {
                 self.engine.stop_answered(worker, *task, *run, answered, now);
                 false
             }
-            (WorkerCall::Pace { worker, task, run, percent, .. }, Called::Pace(answered)) => {
+            (WorkerCall::Pace { worker, task, run, percent, .. }, WorkerAnswer::Pace(answered)) => {
                 self.engine.pace_answered(worker, *task, *run, *percent, answered);
                 false
             }
-            (WorkerCall::Look { worker, .. }, Called::Look(answer)) if late => {
+            (WorkerCall::Look { worker, .. }, WorkerAnswer::Look(answer)) if late => {
                 self.engine.looked_late(worker, answer, sent, now)
             }
-            (WorkerCall::Look { worker, .. }, Called::Look(answer)) => {
+            (WorkerCall::Look { worker, .. }, WorkerAnswer::Look(answer)) => {
                 self.engine.looked(worker, answer, sent, now)
             }
             (call, called) => {
--- a/crates/hollowford-node/src/owner_row.rs
+++ b/crates/hollowford-node/src/owner_row.rs
@@ -4,7 +4,7 @@
 use crate::link;
 use crate::partition::Cx;
 use crate::wire::{Body, OwnerInfo, OwnerRow, WhoOwns};
-use hollowford_adapter::{Expect, Row, StoreError, Transaction, TxOutcome, Version};
+use hollowford_adapter::{ExpectedVersion, Row, StoreError, Transaction, TxOutcome, Version};
 use prost::Message;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -122,12 +122,12 @@
 pub async fn take(cx: &Cx, rev: Version, epoch: u64, cause: &str) {
     let info = cx.as_owner(epoch);
     let tx = Transaction {
-        expect: vec![Expect { key: OWNER_KEY.to_owned(), version: rev }],
+        expect: vec![ExpectedVersion { key: OWNER_KEY.to_owned(), version: rev }],
         put: takeover_rows(&info),
         remove: Vec::new(),
     };
     match cx.shared.store.transact(TABLE, &cx.partition.part, &tx, TAKE_TIMEOUT).await {
-        Ok(TxOutcome::Made(_)) => {
+        Ok(TxOutcome::Committed(_)) => {
             cx.shared.record_store_answer();
             log::info!("owner.taken partition={} epoch={epoch} cause={cause}", cx.partition.number);
             cx.shared.metrics.takeovers.with_label_values(&[cause]).inc();
--- a/crates/hollowford-node/src/plan.rs
+++ b/crates/hollowford-node/src/plan.rs
@@ -7,7 +7,7 @@
 use crate::shared::Shared;
 use crate::wire::{Body, Plan, WhatPlan};
 use hollowford_adapter::{
-    Expect, REGISTRY_TABLE, Row, StoreError, Transaction, TxOutcome, decode_listing,
+    ExpectedVersion, REGISTRY_TABLE, Row, StoreError, Transaction, TxOutcome, decode_listing,
 };
 use hollowford_core::Millis;
 use hollowford_jobs::WorkerListing;
@@ -113,12 +113,12 @@
         let listings = read_workers(shared, self.began).await?;
         let (workers, partitions) = (listings.len(), count_partitions(&listings, workers_each));
         let tx = Transaction {
-            expect: vec![Expect { key: PLAN_KEY.to_owned(), version: 0 }],
+            expect: vec![ExpectedVersion { key: PLAN_KEY.to_owned(), version: 0 }],
             put: vec![(PLAN_KEY.to_owned(), Plan { partitions }.encode_to_vec())],
             remove: Vec::new(),
         };
         match shared.store.transact(TABLE, PART, &tx, CALL_TIMEOUT).await? {
-            TxOutcome::Made(_) => {
+            TxOutcome::Committed(_) => {
                 log::info!("plan.made partitions={partitions} workers={workers}");
                 Ok(Some(partitions))
             }
@@ -136,12 +136,12 @@
             Turn::SaysSo => {}
         }
         let tx = Transaction {
-            expect: vec![Expect { key: COUNTING_KEY.to_owned(), version: 0 }],
+            expect: vec![ExpectedVersion { key: COUNTING_KEY.to_owned(), version: 0 }],
             put: vec![(COUNTING_KEY.to_owned(), own.to_vec())],
             remove: Vec::new(),
         };
         let outcome = shared.store.transact(TABLE, PART, &tx, CALL_TIMEOUT).await?;
-        Ok(matches!(outcome, TxOutcome::Made(_)))
+        Ok(matches!(outcome, TxOutcome::Committed(_)))
     }
 
     /// Tells what the plan's rows mean for the process that calls itself `own`.
@@ -177,7 +177,7 @@
         if stands || now.since(began) >= COUNT_WITHIN {
             let config = shared.config.load_full();
             // A pool of another writer's rows would have to be in each partition.
-            let named = |l: &WorkerListing| config.as_ref().is_none_or(|c| c.names_pool(&l.pool));
+            let named = |l: &WorkerListing| config.as_ref().is_none_or(|c| c.has_pool(&l.pool));
             return Ok(feed.rows.iter().filter_map(listing).filter(named).collect());
         }
         sleep(COUNT_EVERY).await;
--- a/crates/hollowford-node/src/plan_tests.rs
+++ b/crates/hollowford-node/src/plan_tests.rs
@@ -29,7 +29,7 @@
 async fn one_process_counts_the_workers_and_the_others_wait_for_its_plan() {
     let platform = Platform::start(30).await.expect("the platform");
     assert_eq!(learn_as_many(&platform, 12).await, [1; 12]);
-    let read = platform.served().list_reads;
+    let read = platform.store_stats().list_reads;
     assert!(read <= READS_OF_ONE, "the list was read {read} times");
 }
 
--- a/crates/hollowford-node/src/reach.rs
+++ b/crates/hollowford-node/src/reach.rs
@@ -4,7 +4,7 @@
 use crate::members::Members;
 use crate::owner::OwnerEnd;
 use crate::shared::Shared;
-use hollowford_adapter::ISOLATED_OWNER;
+use hollowford_adapter::OWNER_ISOLATION_TIMEOUT;
 use hollowford_core::Millis;
 use std::sync::Arc;
 
@@ -66,7 +66,7 @@
     /// Tells whether neither the store nor any member has been heard for long.
     fn is_isolated(&self, members: &Members) -> bool {
         let silent = self.shared.clock.now().since(self.member_heard);
-        let alone = members.had_any() && silent >= ISOLATED_OWNER;
-        alone && self.shared.store_age() >= ISOLATED_OWNER
+        let alone = members.had_any() && silent >= OWNER_ISOLATION_TIMEOUT;
+        alone && self.shared.store_age() >= OWNER_ISOLATION_TIMEOUT
     }
 }
--- a/crates/hollowford-node/src/registry.rs
+++ b/crates/hollowford-node/src/registry.rs
@@ -127,7 +127,7 @@
     /// another writer's.
     pub fn workers(&self, shared: &Shared) -> impl Iterator<Item = &WorkerListing> {
         let config = shared.config.load_full();
-        let named = move |l: &&WorkerListing| config.as_ref().is_none_or(|c| c.names_pool(&l.pool));
+        let named = move |l: &&WorkerListing| config.as_ref().is_none_or(|c| c.has_pool(&l.pool));
         self.rows.values().filter(named)
     }
 
@@ -207,7 +207,7 @@
             let rows = self.replace(&feed.rows);
             return Ok(WorkerChanges { from, to: self.version, rows });
         }
-        match shared.store.feed(REGISTRY_TABLE, self.version, FEED_WAIT).await {
+        match shared.store.wait_for_changes(REGISTRY_TABLE, self.version, FEED_WAIT).await {
             Ok(feed) => {
                 shared.record_store_answer();
                 self.note_answer(shared.clock.now());
--- a/crates/hollowford-node/src/registry_tests.rs
+++ b/crates/hollowford-node/src/registry_tests.rs
@@ -11,7 +11,7 @@
 use crate::worker_changes::{WorkerChanges, WorkerRow};
 use hollowford_accounts::Credentials;
 use hollowford_adapter::{Config, Limits, Row};
-use hollowford_adapter_standin::speech::worker_row;
+use hollowford_adapter_standin::formats::worker_row;
 use hollowford_core::Millis;
 
 /// What else may stand where a worker's row should be.
@@ -25,7 +25,7 @@
         routes: Vec::new(),
         queues: Vec::new(),
         pools: vec!["pool".into()],
-        limits: Limits { body_bytes: 1_000, idle: Millis(1_000) },
+        limits: Limits { max_body_bytes: 1_000, idle_timeout: Millis(1_000) },
         accounts: None,
         credentials: Credentials::default(),
     };
--- a/crates/hollowford-node/src/suspension_tests.rs
+++ b/crates/hollowford-node/src/suspension_tests.rs
@@ -37,7 +37,7 @@
         routes: Vec::new(),
         queues: Vec::new(),
         pools: Vec::new(),
-        limits: Limits { body_bytes: 1_000, idle: Millis(1_000) },
+        limits: Limits { max_body_bytes: 1_000, idle_timeout: Millis(1_000) },
         accounts: None,
         credentials: Credentials::default(),
     }
--- a/crates/hollowford-node/src/watch.rs
+++ b/crates/hollowford-node/src/watch.rs
@@ -140,7 +140,7 @@
             sleep(RETRY).await;
             continue;
         }
-        match shared.store.feed(OPERATOR_TABLE, after, FEED_WAIT).await {
+        match shared.store.wait_for_changes(OPERATOR_TABLE, after, FEED_WAIT).await {
             Ok(feed) => {
                 shared.record_store_answer();
                 after = feed.version;
--- a/crates/hollowford-node/src/writer.rs
+++ b/crates/hollowford-node/src/writer.rs
@@ -8,7 +8,7 @@
 use futures::StreamExt;
 use futures::future::FutureExt;
 use futures::stream::FuturesUnordered;
-use hollowford_adapter::{Expect, Row, StoreError, Transaction, TxOutcome, Version};
+use hollowford_adapter::{ExpectedVersion, Row, StoreError, Transaction, TxOutcome, Version};
 use hollowford_core::Millis;
 use hollowford_jobs::Batch;
 use std::sync::Arc;
@@ -86,7 +86,7 @@
             }
         };
         match result {
-            CallResult::Attempt(Ok(TxOutcome::Made(rev)), took) => {
+            CallResult::Attempt(Ok(TxOutcome::Committed(rev)), took) => {
                 return committed(&shared, rev, Some(took));
             }
             CallResult::Attempt(Ok(TxOutcome::Conflict(rows)), _) => {
@@ -95,7 +95,7 @@
             }
             CallResult::Attempt(Err(e), _) => {
                 record_failure(&shared, &e);
-                retries.attempt_failed(e.surely_not_done());
+                retries.attempt_failed(e.had_no_effect());
                 if retries.all_attempts_failed() {
                     if retries.is_refused() {
                         return BatchOutcome::Refused;
@@ -148,7 +148,7 @@
 
 fn record_failure(shared: &Shared, e: &StoreError) {
     shared.record_store_failure();
-    let outcome = if e.surely_not_done() { "refused" } else { "unanswered" };
+    let outcome = if e.had_no_effect() { "refused" } else { "unanswered" };
     shared.metrics.batches.with_label_values(&[outcome]).inc();
     log::debug!("batch.failed error=\"{e}\"");
 }
@@ -175,7 +175,7 @@
 pub(crate) fn transaction(batch_write: &BatchWrite) -> Transaction {
     let BatchWrite { owner, lane, rev, batch, .. } = batch_write;
     let key = lane_key(*lane);
-    let expect = vec![Expect { key: key.clone(), version: *rev }];
+    let expect = vec![ExpectedVersion { key: key.clone(), version: *rev }];
     let mut put = vec![(key, encode_owner(owner, batch.number))];
     let mut remove = Vec::new();
     for row in &batch.rows {
--- a/crates/hollowford-node/src/writer_tests.rs
+++ b/crates/hollowford-node/src/writer_tests.rs
@@ -8,7 +8,7 @@
 use crate::wire::OwnerInfo;
 use crate::writer::{BatchOutcome, BatchWrite, transaction, write};
 use futures::future::join_all;
-use hollowford_adapter::{Expect, Transaction, TxOutcome, Version};
+use hollowford_adapter::{ExpectedVersion, Transaction, TxOutcome, Version};
 use hollowford_adapter_standin::{Faults, Platform};
 use hollowford_core::Millis;
 use hollowford_jobs::{Batch, RowWrite};
@@ -51,9 +51,9 @@
     /// Takes over the partition and returns the versions of the lanes' rows.
     async fn take_over(&self, owner: &OwnerInfo) -> [Version; LANE_COUNT] {
         let (_, before) = self.read().await;
-        let expect = vec![Expect { key: crate::lane::lane_key(0), version: before[0] }];
+        let expect = vec![ExpectedVersion { key: crate::lane::lane_key(0), version: before[0] }];
         let tx = Transaction { expect, put: takeover_rows(owner), remove: Vec::new() };
-        assert!(matches!(self.transact(&tx).await, TxOutcome::Made(_)));
+        assert!(matches!(self.transact(&tx).await, TxOutcome::Committed(_)));
         self.read().await.1
     }
 
@@ -114,11 +114,11 @@
     let store = Store::start().await;
     let me = owner(1);
     let revs = store.take_over(&me).await;
-    let before = store.platform.served().made;
+    let before = store.platform.store_stats().made;
     store.platform.set_faults(Faults { lose_answers: 1, ..Faults::default() });
     let lane = LANE_COUNT - 1;
     rev_of(&store.write(batch_write(&me, lane, revs[lane], 1)).await);
-    assert_eq!(store.platform.served().made - before, 1, "committed once");
+    assert_eq!(store.platform.store_stats().made - before, 1, "committed once");
 }
 
 #[tokio::test]
@@ -139,13 +139,13 @@
     let me = owner(1);
     let mut revs = store.take_over(&me).await;
     store.platform.set_faults(Faults { slow_ms: 200, turn_ms: 300, ..Faults::default() });
-    let before = store.platform.served().writes;
+    let before = store.platform.store_stats().writes;
     for number in 1..=4 {
         let both = (0..LANE_COUNT).map(|l| store.write(batch_write(&me, l, revs[l], number)));
         let outcomes = join_all(both).await;
         revs = std::array::from_fn(|lane| rev_of(&outcomes[lane]));
     }
-    let sent = store.platform.served().writes - before;
+    let sent = store.platform.store_stats().writes - before;
     assert!(sent < 2 * 4 * LANE_COUNT as u64, "{sent} transactions for {} batches", 4 * LANE_COUNT);
 }
 
--- a/crates/hollowford-platform/src/store.rs
+++ b/crates/hollowford-platform/src/store.rs
@@ -5,7 +5,8 @@
 
 use crate::rows::{Check, Instance, Row, Value};
 use hollowford_adapter::{
-    Expect, REGISTRY_TABLE, Range, StoreClient, Transaction, TxOutcome, decode_listing, next_key,
+    ExpectedVersion, KeyRange, REGISTRY_TABLE, StoreClient, Transaction, TxOutcome, decode_listing,
+    next_key,
 };
 use hollowford_jobs::WorkerListing;
 use std::net::SocketAddr;
@@ -57,7 +58,7 @@
 
     /// Requires the row to have this version; 0: to be absent.
     pub fn check(mut self, key: impl Into<String>, version: u64) -> Txn {
-        self.tx.expect.push(Expect { key: key.into(), version });
+        self.tx.expect.push(ExpectedVersion { key: key.into(), version });
         self
     }
 
@@ -132,7 +133,7 @@
     pub async fn txn(&self, txn: &Txn) -> Result<TxnResult, StoreError> {
         self.count_write();
         Ok(match self.store.transact(TABLE, PART, &txn.tx, self.timeout).await? {
-            TxOutcome::Made(version) => TxnResult::Committed(version),
+            TxOutcome::Committed(version) => TxnResult::Committed(version),
             TxOutcome::Conflict(rows) => TxnResult::Conflict(differing(&txn.tx.expect, &rows)),
         })
     }
@@ -172,7 +173,7 @@
         self.count_read();
         let from = if after < prefix { prefix.to_owned() } else { next_key(after) };
         let to = end_of_prefix(prefix);
-        let range = Range { from: &from, to: &to, limit };
+        let range = KeyRange { from: &from, to: &to, limit };
         let rows = self.store.read_range(TABLE, PART, &range, self.timeout).await?;
         Ok(rows.into_iter().map(Row::from).collect())
     }
@@ -230,10 +231,10 @@
 }
 
 /// Returns the expected rows that are not as expected, as they stand; version 0: absent.
-fn differing(expected: &[Expect], rows: &[hollowford_adapter::Row]) -> Vec<Check> {
+fn differing(expected: &[ExpectedVersion], rows: &[hollowford_adapter::Row]) -> Vec<Check> {
     let version = |key: &str| rows.iter().find(|r| r.key == key).map_or(0, |r| r.version);
-    let differs = |e: &&Expect| version(&e.key) != e.version;
-    let check = |e: &Expect| Check { key: e.key.clone(), version: version(&e.key) };
+    let differs = |e: &&ExpectedVersion| version(&e.key) != e.version;
+    let check = |e: &ExpectedVersion| Check { key: e.key.clone(), version: version(&e.key) };
     expected.iter().filter(differs).map(check).collect()
 }
 
--- a/crates/hollowford-soak/src/callers.rs
+++ b/crates/hollowford-soak/src/callers.rs
@@ -2,7 +2,7 @@
 //! and write down what they were told.
 
 use crate::cell::QUEUES;
-use hollowford_adapter_standin::{Platform, speech};
+use hollowford_adapter_standin::{Platform, formats};
 use reqwest::{Client, Method};
 use serde_json::Value;
 use std::collections::HashMap;
@@ -157,10 +157,10 @@
         let ms = self.rng.u64(10..500);
         let cpu_milli = [500, 1_000, 4_000, 9_000][self.rng.usize(..4)];
         if self.rng.u32(..CRASHING) == 0 {
-            return (1, speech::crashing_job(cpu_milli));
+            return (1, formats::crashing_job(cpu_milli));
         }
         let counts: Vec<u32> = (0..self.rng.usize(1..=3)).map(|_| self.rng.u32(1..5)).collect();
-        (counts.iter().sum(), speech::chain(&counts, ms, cpu_milli))
+        (counts.iter().sum(), formats::chain_job(&counts, ms, cpu_milli))
     }
 
     async fn call(
@@ -178,7 +178,7 @@
 
 /// Makes a request; status 0: no answer.
 pub async fn call(client: &Client, method: Method, url: &str, body: &Value) -> (u16, Value) {
-    let req = client.request(method, url).header("host", speech::HOST);
+    let req = client.request(method, url).header("host", formats::HOST);
     let req = req.timeout(TIMEOUT).body(body.to_string());
     let Ok(answer) = req.send().await else { return (0, Value::Null) };
     let status = answer.status().as_u16();
--- a/crates/hollowford-soak/src/cell.rs
+++ b/crates/hollowford-soak/src/cell.rs
@@ -4,7 +4,7 @@
 use crate::net::Net;
 use crate::process::Process;
 use crate::proxy::Proxy;
-use hollowford_adapter_standin::speech;
+use hollowford_adapter_standin::formats;
 use hollowford_adapter_standin::{Platform, WorkerClock};
 use std::io;
 use std::net::SocketAddr;
@@ -101,7 +101,7 @@
     ) -> Result<Node, SoakError> {
         let store = Proxy::open(self.platform.addr()).await?;
         let settings = net.settings(i);
-        let text = speech::settings(&settings, self.platform.addr(), store.addr);
+        let text = formats::settings_file(&settings, self.platform.addr(), store.addr);
         let file = self.dir.path().join(format!("{}.toml", settings.name));
         std::fs::write(&file, text)?;
         let process = Process::start(program, &file, &self.log_path(i), workers_each)?;
@@ -130,14 +130,14 @@
         let (id, rack) = (self.next_life(), self.workers.len());
         let addr = self.platform.add_worker(&id, rack)?;
         let clock = WorkerClock {
-            ahead_ms: rng.u64(0..1_000_000),
-            rate: rng.u64(980..=1_000),
+            start_reading_ms: rng.u64(0..1_000_000),
+            rate_permille: rng.u64(980..=1_000),
             ..WorkerClock::default()
         };
         self.platform.with_worker(&id, |w| w.clock = clock);
-        let lives = self.platform.with_worker(&id, |w| w.channels.subscribe());
+        let lives = self.platform.with_worker(&id, |w| w.connection_generation.subscribe());
         let proxy = Proxy::open_to_lives(addr, lives).await?;
-        self.platform.list_worker(&id, proxy.addr, rack, false);
+        self.platform.write_worker_row(&id, proxy.addr, rack, false);
         self.workers.push(Worker { id, rack, proxy, gone: false });
         Ok(())
     }
@@ -145,7 +145,7 @@
     /// Returns a worker, whose life may have ended by a task's doing.
     fn worker(&mut self, i: usize) -> &mut Worker {
         let w = &mut self.workers[i];
-        w.id = self.platform.present_life(&w.id);
+        w.id = self.platform.current_id(&w.id);
         w
     }
 
@@ -166,7 +166,7 @@
         let w = self.worker(i);
         let now = platform.now();
         platform.with_worker(&w.id, |x| x.leaving_since = Some(now));
-        platform.list_worker(&w.id, w.proxy.addr, w.rack, true);
+        platform.write_worker_row(&w.id, w.proxy.addr, w.rack, true);
         w.id.clone()
     }
 
--- a/crates/hollowford-soak/src/judge.rs
+++ b/crates/hollowford-soak/src/judge.rs
@@ -3,7 +3,7 @@
 use crate::callers::{Book, FORGOTTEN, SharedBook, call, judge_answer, lock};
 use crate::cell::{Cell, version_prefix};
 use crate::harm::Harms;
-use hollowford_adapter_standin::LeavingStart;
+use hollowford_adapter_standin::StartWhileLeaving;
 use reqwest::{Client, Method};
 use serde_json::Value;
 use std::collections::{HashMap, HashSet};
@@ -116,17 +116,19 @@
 
 /// Returns the tasks that were begun on workers that leave although an owner in touch would have known.
 pub fn judge_leaving(
-    starts: &[LeavingStart],
+    starts: &[StartWhileLeaving],
     leavers: &HashMap<String, usize>,
     harms: &Harms,
 ) -> Vec<String> {
     let mut wrong = Vec::new();
     for start in starts {
         let Some(&worker) = leavers.get(&start.worker) else { continue };
-        let known = start.said_ms.max(harms.whole_since(Some(worker), start.at_ms));
-        if start.at_ms > known + KNOWN_WITHIN_MS {
-            let LeavingStart { task, worker, said_ms, at_ms } = start;
-            wrong.push(format!("{task} begins at {at_ms} on {worker} that leaves since {said_ms}"));
+        let known = start.leaving_since_ms.max(harms.whole_since(Some(worker), start.started_ms));
+        if start.started_ms > known + KNOWN_WITHIN_MS {
+            let StartWhileLeaving { task, worker, leaving_since_ms, started_ms } = start;
+            wrong.push(format!(
+                "{task} begins at {started_ms} on {worker} that leaves since {leaving_since_ms}"
+            ));
         }
     }
     wrong
@@ -157,7 +159,7 @@
     }
     for id in book.jobs.iter().filter(|(_, t)| t.failed).map(|(id, _)| id) {
         let tasks = begun.get(id).into_iter().flatten();
-        let crashes = tasks.map(|t| cell.platform.crashes_under(t)).max().unwrap_or(0);
+        let crashes = tasks.map(|t| cell.platform.crash_count(t)).max().unwrap_or(0);
         if crashes < CRASHES_TO_FAIL {
             wrong.push(format!("job {id:016x} is told to have failed after {crashes} crashes"));
         }
--- a/crates/hollowford-soak/src/net.rs
+++ b/crates/hollowford-soak/src/net.rs
@@ -1,7 +1,7 @@
 //! Where the processes of a cell are reached, and the settings that say so.
 
 use crate::ports::free_ports;
-use hollowford_adapter_standin::speech::Process as Settings;
+use hollowford_adapter_standin::formats::ProcessSettings as Settings;
 use std::io;
 use std::net::Ipv4Addr;
 
--- a/crates/hollowford-soak/src/run.rs
+++ b/crates/hollowford-soak/src/run.rs
@@ -6,7 +6,7 @@
 use crate::harm::Harms;
 use crate::judge::{ConfigWatch, await_ends, judge_leaving, judge_starts};
 use crate::schedule::{Action, Entry, draw};
-use hollowford_adapter_standin::{Faults, speech};
+use hollowford_adapter_standin::{Faults, formats};
 use reqwest::Client;
 use std::collections::HashMap;
 use std::path::PathBuf;
@@ -180,7 +180,7 @@
         let client = client()?;
         let began = Instant::now();
         for i in 0..self.cell.nodes.len() {
-            let url = format!("http://{}{}", self.cell.nodes[i].readiness, speech::READY_PATH);
+            let url = format!("http://{}{}", self.cell.nodes[i].readiness, formats::READY_PATH);
             loop {
                 let answer = client.get(&url).timeout(READY_WITHIN).send().await;
                 if answer.is_ok_and(|a| a.status().is_success()) {
@@ -210,9 +210,9 @@
         let mut wrong = std::mem::take(&mut self.wrong);
         wrong.extend(stuck);
         wrong.extend(book.wrong.iter().cloned());
-        wrong.extend(self.cell.platform.faults_found());
+        wrong.extend(self.cell.platform.violations());
         wrong.extend(judge_starts(&self.cell, &book, &self.harms));
-        let starts = self.cell.platform.leaving_starts();
+        let starts = self.cell.platform.starts_while_leaving();
         wrong.extend(judge_leaving(&starts, &self.leavers, &self.harms));
         if let (false, Some(keep)) = (wrong.is_empty(), &o.keep) {
             let folder = keep.join(format!("seed-{seed}"));
--- a/crates/hollowford-standin/src/bench/observe.rs
+++ b/crates/hollowford-standin/src/bench/observe.rs
@@ -2,7 +2,7 @@
 
 use super::Options;
 use crate::StandinError;
-use crate::platform::Served;
+use crate::platform::StoreStats;
 use std::time::Instant;
 
 /// Clock ticks a second in `/proc`, as Linux fixes them for programs.
@@ -26,7 +26,7 @@
         let wrong = |e: reqwest::Error| StandinError::Bench(e.without_url().to_string());
         let http = reqwest::Client::builder().no_proxy().build().map_err(wrong)?;
         let url = format!("http://{}/served", options.platform);
-        let served: Served =
+        let served: StoreStats =
             http.get(url).send().await.map_err(wrong)?.json().await.map_err(wrong)?;
         Ok(Snapshot {
             at: Instant::now(),
--- a/crates/hollowford-standin/src/platform.rs
+++ b/crates/hollowford-standin/src/platform.rs
@@ -5,7 +5,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-pub use hollowford_adapter_standin::{Faults, Served};
+pub use hollowford_adapter_standin::{Faults, StoreStats};
 
 /// Starts the platform on `addr` and returns the address that it got. It serves
 /// for as long as the runtime lives.
--- a/crates/hollowford/tests/common/node.rs
+++ b/crates/hollowford/tests/common/node.rs
@@ -2,8 +2,8 @@
 //! users' platform.
 #![allow(clippy::expect_used, dead_code)]
 
-use hollowford_adapter_standin::speech::{self, Process as Settings};
-use hollowford_adapter_standin::{Door, Platform};
+use hollowford_adapter_standin::formats::{self, ProcessSettings as Settings};
+use hollowford_adapter_standin::{Platform, StoreEndpoint};
 use hollowford_soak::ports::free_ports;
 use hollowford_soak::process::Process;
 use reqwest::{Client, Method, StatusCode};
@@ -26,7 +26,7 @@
     pub callers: SocketAddr,
     pub readiness: SocketAddr,
     /// Its way to the store.
-    pub store: Door,
+    pub store: StoreEndpoint,
 }
 
 /// A platform and processes.
@@ -64,7 +64,7 @@
     fn start(
         (i, cpu_share): (usize, f64),
         platform: SocketAddr,
-        door: Door,
+        door: StoreEndpoint,
         ports: Ports,
         dir: &Path,
         workers_each: usize,
@@ -80,7 +80,7 @@
             cpu_share,
             seeds: vec![ports.ip(0), ports.ip(1)],
         };
-        let text = speech::settings(&process, platform, door.addr);
+        let text = formats::settings_file(&process, platform, door.addr);
         File::create(&path).and_then(|mut f| f.write_all(text.as_bytes())).expect("settings");
         let log = dir.join(format!("{name}.log"));
         let program = Path::new(env!("CARGO_BIN_EXE_hollowford"));
@@ -154,7 +154,7 @@
         let ports = Ports::new();
         let mut nodes = Vec::new();
         for numbered in shares.iter().copied().enumerate() {
-            let door = platform.open_door().await.expect("a way to the store");
+            let door = platform.open_store_endpoint().await.expect("a way to the store");
             let node =
                 Node::start(numbered, platform.addr(), door, ports, dir.path(), workers_each);
             nodes.push(node);
@@ -172,7 +172,7 @@
 
     /// Waits until a process calls itself ready.
     pub async fn await_ready(&self, node: &Node) {
-        let url = format!("http://{}{}", node.readiness, speech::READY_PATH);
+        let url = format!("http://{}{}", node.readiness, formats::READY_PATH);
         let ready = || async {
             let answer = self.http.get(&url).send().await;
             answer.is_ok_and(|a| a.status() == StatusCode::OK)
@@ -200,7 +200,7 @@
         body: Value,
     ) -> (u16, Value) {
         let url = format!("http://{}{path}", self.nodes[node].callers);
-        let mut req = self.http.request(method, url).header("host", speech::HOST);
+        let mut req = self.http.request(method, url).header("host", formats::HOST);
         if !key.is_empty() {
             req = req.bearer_auth(key);
         }
@@ -217,7 +217,7 @@
 
     /// Hands in a job of one step, whose tasks run for `ms`.
     pub async fn submit(&self, node: usize, queue: &str, id: u64, count: u32, ms: u64) -> u16 {
-        let body = speech::job(count, ms);
+        let body = formats::job(count, ms);
         self.call(node, Method::POST, &format!("{queue}{id:016x}"), body).await.0
     }
 
@@ -231,7 +231,7 @@
     pub async fn state(&self, node: usize, queue: &str, id: u64) -> String {
         let path = format!("{queue}{id:016x}");
         let (_, body) = self.call(node, Method::GET, &path, Value::Null).await;
-        speech::state(&body)
+        formats::job_state(&body)
     }
 
     /// Waits until a job has ended well.
@@ -242,8 +242,8 @@
 
     /// Checks that no task ran in two places, and that each was begun as often as it may.
     pub fn judge(&self, most_begun: u32) {
-        assert_eq!(self.platform.faults_found(), Vec::<String>::new());
-        for (task, n) in self.platform.begun() {
+        assert_eq!(self.platform.violations(), Vec::<String>::new());
+        for (task, n) in self.platform.start_counts() {
             assert!(n <= most_begun, "{task} was begun {n} times");
         }
     }
--- a/crates/hollowford/tests/delegates.rs
+++ b/crates/hollowford/tests/delegates.rs
@@ -20,7 +20,7 @@
         cell.await_completed(owner, PLAIN, id).await;
     }
     cell.judge(1);
-    assert_eq!(cell.platform.begun().len(), 180);
+    assert_eq!(cell.platform.start_counts().len(), 180);
     let of_members = |i: &usize| *i != owner && cell.nodes[*i].log().contains("delegate.first");
     let makers = (0..5).filter(of_members).count();
     assert!(makers >= 3, "{makers} members have made calls\n{}", cell.logs());
--- a/crates/hollowford/tests/keys.rs
+++ b/crates/hollowford/tests/keys.rs
@@ -3,7 +3,7 @@
 #[path = "common/node.rs"]
 mod node;
 
-use hollowford_adapter_standin::{AccountKeys, Faults, speech};
+use hollowford_adapter_standin::{Faults, TestAccount, formats};
 use node::{Cell, eventually};
 use reqwest::Method;
 use serde_json::Value;
@@ -12,9 +12,9 @@
 const JOB: &str = "/plain/0000000000000001";
 
 /// Names an account with these keys and no quota.
-fn account(name: &str, keys: &[&str]) -> AccountKeys {
+fn account(name: &str, keys: &[&str]) -> TestAccount {
     let keys = keys.iter().map(|&k| k.to_owned()).collect();
-    AccountKeys { name: name.into(), keys, cpu_milli: 0 }
+    TestAccount { name: name.into(), keys, quota_cpu_milli: 0 }
 }
 
 /// Waits until a process answers a question with this key with `status`.
@@ -41,7 +41,7 @@
     let cell = keyed(2).await;
     let call = async |key, method| cell.call_as(key, 1, method, JOB, Value::Null).await.0;
     let submit = async |key, node| {
-        cell.call_as(key, node, Method::POST, JOB, speech::job(1, 600_000)).await.0
+        cell.call_as(key, node, Method::POST, JOB, formats::job(1, 600_000)).await.0
     };
     for key in ["", "wrong", "A1"] {
         assert_eq!(submit(key, 0).await, 401);
@@ -62,7 +62,7 @@
 #[tokio::test]
 async fn a_key_that_is_taken_away_ends_and_accepted_work_goes_on() {
     let cell = keyed(3).await;
-    let submit = |key| cell.call_as(key, 0, Method::POST, JOB, speech::job(1, 600_000));
+    let submit = |key| cell.call_as(key, 0, Method::POST, JOB, formats::job(1, 600_000));
     assert_eq!(submit("a1").await.0, 200);
     // The last key of `b` goes, too, and `a` has a new one.
     let accounts = [account("a", &["a2", "a3"]), account("b", &[])];
@@ -74,14 +74,14 @@
     }
     let (status, body) = cell.call_as("a3", 1, Method::GET, JOB, Value::Null).await;
     assert_eq!(status, 200);
-    assert!(["queued", "running"].contains(&&*speech::state(&body)));
+    assert!(["queued", "running"].contains(&&*formats::job_state(&body)));
 }
 
 #[tokio::test]
 async fn an_entry_without_the_store_hears_of_keys_from_the_owner() {
     let cell = keyed(3).await;
     let away = (cell.owner() + 1) % 3;
-    cell.nodes[away].store.shut(true);
+    cell.nodes[away].store.set_refusing(true);
     let accounts = [account("a", &["a3"]), account("b", &["b1"])];
     cell.platform.configure_accounts(3, PREFIXES, &accounts);
     await_status(&cell, away, "a1", 401).await;
@@ -96,6 +96,6 @@
     cell.nodes[owner].kill();
     let other = (owner + 1) % 3;
     assert_eq!(cell.call_as("wrong", other, Method::GET, JOB, Value::Null).await.0, 401);
-    let (status, _) = cell.call_as("a1", other, Method::POST, JOB, speech::job(1, 50)).await;
+    let (status, _) = cell.call_as("a1", other, Method::POST, JOB, formats::job(1, 50)).await;
     assert_eq!(status, 503);
 }
--- a/crates/hollowford/tests/node.rs
+++ b/crates/hollowford/tests/node.rs
@@ -3,7 +3,7 @@
 #[path = "common/node.rs"]
 mod node;
 
-use hollowford_adapter_standin::{Faults, speech};
+use hollowford_adapter_standin::{Faults, formats};
 use node::{Cell, eventually};
 use reqwest::Method;
 use serde_json::Value;
@@ -22,7 +22,7 @@
     assert_eq!(cell.submit(0, ADVISED, 9, 4, 50).await, 200);
     cell.await_completed(1, ADVISED, 9).await;
     cell.judge(1);
-    assert_eq!(cell.platform.begun().len(), 16);
+    assert_eq!(cell.platform.start_counts().len(), 16);
 }
 
 #[tokio::test]
@@ -31,10 +31,10 @@
     let get = |path: &'static str| cell.call(0, Method::GET, path, Value::Null);
     assert_eq!(get("/nowhere/").await.0, 404);
     let (status, body) = get("/plain/").await;
-    assert_eq!((status, speech::waiting(&body)), (200, Some(0)));
+    assert_eq!((status, formats::waiting_count(&body)), (200, Some(0)));
     assert_eq!(get("/plain/0123456789abcdef").await.0, 410);
     assert_eq!(get("/plain/not-an-id").await.0, 400);
-    for body in speech::no_jobs() {
+    for body in formats::invalid_jobs() {
         let (status, _) = cell.call(0, Method::POST, "/plain/0123456789abcdef", body).await;
         assert_eq!(status, 400);
     }
@@ -78,7 +78,7 @@
         cell.await_completed(other, PLAIN, id).await;
     }
     cell.judge(1);
-    assert!(cell.platform.newest_fence() >= 2);
+    assert!(cell.platform.max_fence() >= 2);
 }
 
 #[tokio::test]
@@ -102,7 +102,7 @@
 async fn in_an_outage_new_jobs_are_refused_as_not_run_and_accepted_ones_go_on() {
     let cell = Cell::start(2, 1).await;
     cell.submit_surely(0, PLAIN, 1, 2, 500).await;
-    let runs = || async { cell.platform.begun().len() == 2 };
+    let runs = || async { cell.platform.start_counts().len() == 2 };
     assert!(eventually(runs).await);
     cell.platform.set_faults(Faults { outage: true, ..Faults::default() });
     let mut refused = Vec::new();
@@ -119,7 +119,7 @@
     for id in refused {
         assert_eq!(cell.state(0, PLAIN, id).await, "", "job {id} was refused as not run");
         let task = format!("{id:016x}.0.0.0");
-        assert!(!cell.platform.begun().contains_key(&task));
+        assert!(!cell.platform.start_counts().contains_key(&task));
     }
     cell.judge(1);
 }
@@ -133,7 +133,7 @@
         cell.await_completed(1, PLAIN, id).await;
     }
     cell.judge(1);
-    assert_eq!(cell.platform.newest_fence(), 1, "nobody took over");
+    assert_eq!(cell.platform.max_fence(), 1, "nobody took over");
 }
 
 #[tokio::test]
@@ -152,7 +152,7 @@
     let cell = Cell::start(3, 1).await;
     let owner = cell.owner();
     cell.submit_surely(owner, PLAIN, 1, 2, 1_500).await;
-    cell.nodes[owner].store.shut(true);
+    cell.nodes[owner].store.set_refusing(true);
     // Callers of the process that is turned away are served as all others.
     cell.submit_surely(owner, PLAIN, 2, 2, 20).await;
     cell.await_completed(owner, PLAIN, 2).await;
@@ -187,7 +187,7 @@
     let other = (owner + 1) % 5;
     cell.submit_surely(other, PLAIN, 1, 1, 20).await;
     cell.await_completed(other, PLAIN, 1).await;
-    assert_eq!(cell.platform.newest_fence(), 2, "{}", cell.logs());
+    assert_eq!(cell.platform.max_fence(), 2, "{}", cell.logs());
 }
 
 #[tokio::test]
@@ -262,8 +262,8 @@
     let running = |id: &str| cell.platform.with_worker(id, |w| w.running().count());
     let full = || async { running("w0") == Some(16) && running("w1") == Some(16) };
     assert!(eventually(full).await);
-    cell.platform.list_raw("w0", b"\xff not a row");
-    cell.platform.list_raw("another", br#"{"backend":"pool","address":"127.0.0.1:1"}"#);
+    cell.platform.write_raw_worker_row("w0", b"\xff not a row");
+    cell.platform.write_raw_worker_row("another", br#"{"backend":"pool","address":"127.0.0.1:1"}"#);
     let seen = || async { cell.logs().contains("worker.malformed worker=w0") };
     assert!(eventually(seen).await);
     // All room comes free, and only the other worker's is used.
@@ -275,7 +275,7 @@
     cell.await_completed(0, PLAIN, 2).await;
     let begun = |id: &str| {
         let of_second = |task: &&String| task.starts_with("0000000000000002");
-        cell.platform.with_worker(id, |w| w.begun.keys().filter(of_second).count())
+        cell.platform.with_worker(id, |w| w.start_counts.keys().filter(of_second).count())
     };
     assert_eq!((begun("w0"), begun("w1")), (Some(0), Some(32)));
     cell.judge(1);
@@ -286,11 +286,11 @@
     let cell = Cell::start(2, 1).await;
     assert_eq!(cell.submit(0, PLAIN, 1, 12, 50).await, 200);
     cell.await_completed(1, PLAIN, 1).await;
-    cell.platform.restart_as_itself("w0");
+    cell.platform.restart_under_same_id("w0");
     assert_eq!(cell.submit(0, PLAIN, 2, 6, 50).await, 200);
     cell.await_completed(1, PLAIN, 2).await;
     cell.judge(1);
-    let begun = cell.platform.begun();
+    let begun = cell.platform.start_counts();
     assert_eq!(begun.len(), 6);
     assert!(begun.values().all(|&n| n == 1), "{begun:?}");
 }
--- a/crates/hollowford/tests/partitions.rs
+++ b/crates/hollowford/tests/partitions.rs
@@ -3,7 +3,7 @@
 #[path = "common/node.rs"]
 mod node;
 
-use hollowford_adapter_standin::{Faults, speech};
+use hollowford_adapter_standin::{Faults, formats};
 use node::{Cell, eventually};
 use reqwest::Method;
 use serde_json::Value;
@@ -52,21 +52,21 @@
         cell.await_completed((id as usize + 1) % 4, queue, id).await;
     }
     cell.judge(1);
-    let begun = |i: usize| cell.platform.with_worker(&format!("w{i}"), |w| w.begun.len());
+    let begun = |i: usize| cell.platform.with_worker(&format!("w{i}"), |w| w.start_counts.len());
     for partition in 0..PARTITIONS {
         // Racks are dealt in turn, so each partition has two workers.
         let used = begun(partition).unwrap_or(0) + begun(partition + PARTITIONS).unwrap_or(0);
         assert!(used > 0, "partition {partition} has run nothing");
     }
     // None of these fits: each waits in its own partition, and one count tells of all.
-    let large = speech::chain(&[1], 50, 17_000);
+    let large = formats::chain_job(&[1], 50, 17_000);
     for id in 100..112 {
         let path = format!("{PLAIN}{id:016x}");
         assert_eq!(cell.call(0, Method::POST, &path, large.clone()).await.0, 200);
     }
     for node in 0..4 {
         let (status, body) = cell.call(node, Method::GET, PLAIN, Value::Null).await;
-        let waiting = speech::waiting(&body);
+        let waiting = formats::waiting_count(&body);
         assert_eq!((status, waiting), (200, Some(12)));
     }
 }
