--- a/crates/hollowford-node/src/config_watch.rs
+++ b/crates/hollowford-node/src/config_watch.rs
@@ -146,7 +146,7 @@
             sleep(RETRY_PAUSE).await;
             continue;
         }
-        match shared.store.feed(OPERATOR_TABLE, after, MAX_FEED_WAIT).await {
+        match shared.store.wait_for_changes(OPERATOR_TABLE, after, MAX_FEED_WAIT).await {
             Ok(feed) => {
                 shared.record_store_answer();
                 after = feed.version;
--- a/crates/hollowford-node/src/load.rs
+++ b/crates/hollowford-node/src/load.rs
@@ -5,7 +5,7 @@
 use crate::owner_row::{OWNER_KEY, RETRY_PAUSE, SYSTEM_TABLE, decode_owner};
 use crate::partition::PartitionContext;
 use crate::wire::OwnerInfo;
-use hollowford_adapter::Feed;
+use hollowford_adapter::VersionedRows;
 use hollowford_core::Millis;
 use hollowford_jobs::Engine;
 use std::time::Duration;
@@ -39,7 +39,7 @@
     }
 }
 
-fn recover_state(cx: &PartitionContext, info: &OwnerInfo, feed: Feed) -> Option<RecoveredState> {
+fn recover_state(cx: &PartitionContext, info: &OwnerInfo, feed: VersionedRows) -> Option<RecoveredState> {
     let owner = feed.rows.iter().find(|r| r.key == OWNER_KEY)?;
     let lanes = lane_versions(&feed.rows);
     let holder = decode_owner(owner)?.owner?;
@@ -48,7 +48,8 @@
         return None;
     }
     let clock_offset = feed.now.0 as i64 - cx.shared.clock.now().0 as i64;
-    let mut engine = Engine::new(info.epoch, cx.shared.settings_changed.borrow().bounds, feed.now);
+    let mut engine =
+        Engine::new(info.epoch, cx.shared.settings_changed.borrow().time_limits, feed.now);
     engine.set_unix_offset(cx.shared.clock.unix_ms() as i64 - feed.now.0 as i64);
     if let Some(config) = cx.shared.config.load_full() {
         engine.set_queues(&config.queues, feed.now);
--- a/crates/hollowford-node/src/owner_row.rs
+++ b/crates/hollowford-node/src/owner_row.rs
@@ -4,7 +4,7 @@
 use crate::link;
 use crate::partition::PartitionContext;
 use crate::wire::{Body, OwnerInfo, OwnerRow, WhoOwns};
-use hollowford_adapter::{Expect, Row, StoreError, Transaction, TxOutcome, Version};
+use hollowford_adapter::{ExpectedVersion, Row, StoreError, Transaction, TxOutcome, Version};
 use prost::Message;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -127,12 +127,12 @@
 pub async fn take_over(cx: &PartitionContext, rev: Version, epoch: u64, cause: &str) {
     let info = cx.owner_info(epoch);
     let tx = Transaction {
-        expect: vec![Expect { key: OWNER_KEY.to_owned(), version: rev }],
+        expect: vec![ExpectedVersion { key: OWNER_KEY.to_owned(), version: rev }],
         put: takeover_rows(&info),
         remove: Vec::new(),
     };
     match cx.shared.store.transact(SYSTEM_TABLE, &cx.partition.part, &tx, TAKEOVER_TIMEOUT).await {
-        Ok(TxOutcome::Made(_)) => {
+        Ok(TxOutcome::Committed(_)) => {
             cx.shared.record_store_answer();
             log::info!("owner.taken partition={} epoch={epoch} cause={cause}", cx.partition.number);
             cx.shared.metrics.takeovers.with_label_values(&[cause]).inc();
--- a/crates/hollowford-node/src/plan.rs
+++ b/crates/hollowford-node/src/plan.rs
@@ -7,7 +7,7 @@
 use crate::shared::Shared;
 use crate::wire::{Body, Plan, WhatPlan};
 use hollowford_adapter::{
-    Expect, REGISTRY_TABLE, Row, StoreError, Transaction, TxOutcome, decode_listing,
+    ExpectedVersion, REGISTRY_TABLE, Row, StoreError, Transaction, TxOutcome, decode_listing,
 };
 use hollowford_core::Millis;
 use hollowford_jobs::WorkerListing;
@@ -116,12 +116,12 @@
         let (workers, partitions) =
             (listings.len(), count_partitions(&listings, workers_per_partition));
         let tx = Transaction {
-            expect: vec![Expect { key: PLAN_KEY.to_owned(), version: 0 }],
+            expect: vec![ExpectedVersion { key: PLAN_KEY.to_owned(), version: 0 }],
             put: vec![(PLAN_KEY.to_owned(), Plan { partitions }.encode_to_vec())],
             remove: Vec::new(),
         };
         match shared.store.transact(SYSTEM_TABLE, PLAN_PART, &tx, STORE_CALL_TIMEOUT).await? {
-            TxOutcome::Made(_) => {
+            TxOutcome::Committed(_) => {
                 log::info!("plan.made partitions={partitions} workers={workers}");
                 Ok(Some(partitions))
             }
@@ -139,13 +139,13 @@
             CountingRole::Claimant => {}
         }
         let tx = Transaction {
-            expect: vec![Expect { key: COUNTER_KEY.to_owned(), version: 0 }],
+            expect: vec![ExpectedVersion { key: COUNTER_KEY.to_owned(), version: 0 }],
             put: vec![(COUNTER_KEY.to_owned(), own.to_vec())],
             remove: Vec::new(),
         };
         let outcome =
             shared.store.transact(SYSTEM_TABLE, PLAN_PART, &tx, STORE_CALL_TIMEOUT).await?;
-        Ok(matches!(outcome, TxOutcome::Made(_)))
+        Ok(matches!(outcome, TxOutcome::Committed(_)))
     }
 
     /// Returns the role of the process with the boot id `own`, given the rows of the plan's part.
@@ -188,7 +188,7 @@
             // A pool known only from another writer's rows would otherwise be required in each
             // partition.
             let in_named_pool =
-                |l: &WorkerListing| config.as_ref().is_none_or(|c| c.names_pool(&l.pool));
+                |l: &WorkerListing| config.as_ref().is_none_or(|c| c.has_pool(&l.pool));
             return Ok(feed.rows.iter().filter_map(decode_worker).filter(in_named_pool).collect());
         }
         sleep(COUNT_INTERVAL).await;
--- a/crates/hollowford-node/src/reachability.rs
+++ b/crates/hollowford-node/src/reachability.rs
@@ -4,7 +4,7 @@
 use crate::members::Members;
 use crate::owner::OwnerEnd;
 use crate::shared::Shared;
-use hollowford_adapter::ISOLATED_OWNER;
+use hollowford_adapter::OWNER_ISOLATION_TIMEOUT;
 use hollowford_core::Millis;
 use std::sync::Arc;
 
@@ -70,7 +70,7 @@
     /// Returns true if neither the store nor a member has been heard for [`ISOLATED_OWNER`].
     fn is_isolated(&self, members: &Members) -> bool {
         let members_silent_for = self.shared.clock.now().since(self.last_member_heard);
-        let members_silent = members.had_members() && members_silent_for >= ISOLATED_OWNER;
-        members_silent && self.shared.store_age() >= ISOLATED_OWNER
+        let members_silent = members.had_members() && members_silent_for >= OWNER_ISOLATION_TIMEOUT;
+        members_silent && self.shared.store_age() >= OWNER_ISOLATION_TIMEOUT
     }
 }
--- a/crates/hollowford-node/src/registry.rs
+++ b/crates/hollowford-node/src/registry.rs
@@ -137,7 +137,7 @@
     pub fn workers(&self, shared: &Shared) -> impl Iterator<Item = &WorkerListing> {
         let config = shared.config.load_full();
         let in_named_pool =
-            move |l: &&WorkerListing| config.as_ref().is_none_or(|c| c.names_pool(&l.pool));
+            move |l: &&WorkerListing| config.as_ref().is_none_or(|c| c.has_pool(&l.pool));
         self.rows.values().filter(in_named_pool)
     }
 
@@ -226,7 +226,7 @@
             let rows = self.replace(&feed.rows);
             return Ok(WorkerChanges { from, to: self.version, rows });
         }
-        match shared.store.feed(REGISTRY_TABLE, self.version, MAX_FEED_WAIT).await {
+        match shared.store.wait_for_changes(REGISTRY_TABLE, self.version, MAX_FEED_WAIT).await {
             Ok(feed) => {
                 shared.record_store_answer();
                 self.record_answer(shared.clock.now());
--- a/crates/hollowford-node/src/registry_tests.rs
+++ b/crates/hollowford-node/src/registry_tests.rs
@@ -11,7 +11,7 @@
 use crate::worker_changes::{WorkerChanges, WorkerRow};
 use hollowford_accounts::Credentials;
 use hollowford_adapter::{Config, Limits, Row};
-use hollowford_adapter_standin::speech::worker_row;
+use hollowford_adapter_standin::formats::worker_row;
 use hollowford_core::Millis;
 
 /// Values that may stand in place of a worker's row.
@@ -26,7 +26,7 @@
         routes: Vec::new(),
         queues: Vec::new(),
         pools: vec!["pool".into()],
-        limits: Limits { body_bytes: 1_000, idle: Millis(1_000) },
+        limits: Limits { max_body_bytes: 1_000, idle_timeout: Millis(1_000) },
         accounts: None,
         credentials: Credentials::default(),
     };
--- a/crates/hollowford-platform/src/store.rs
+++ b/crates/hollowford-platform/src/store.rs
@@ -5,7 +5,8 @@
 
 use crate::rows::{Instance, Row, RowVersion, Value};
 use hollowford_adapter::{
-    Expect, REGISTRY_TABLE, Range, StoreClient, Transaction, TxOutcome, decode_listing, next_key,
+    ExpectedVersion, KeyRange, REGISTRY_TABLE, StoreClient, Transaction, TxOutcome, decode_listing,
+    next_key,
 };
 use hollowford_jobs::WorkerListing;
 use std::net::SocketAddr;
@@ -60,7 +61,7 @@
 
     /// Requires a row to have this version, where 0 means that it must not exist.
     pub fn check(mut self, key: impl Into<String>, version: u64) -> Txn {
-        self.tx.expect.push(Expect { key: key.into(), version });
+        self.tx.expect.push(ExpectedVersion { key: key.into(), version });
         self
     }
 
@@ -135,7 +136,7 @@
     pub async fn txn(&self, txn: &Txn) -> Result<TxnResult, StoreError> {
         self.count_write();
         Ok(match self.store.transact(CELL_TABLE, PART, &txn.tx, self.timeout).await? {
-            TxOutcome::Made(version) => TxnResult::Committed(version),
+            TxOutcome::Committed(version) => TxnResult::Committed(version),
             TxOutcome::Conflict(rows) => {
                 TxnResult::Conflict(unmet_expectations(&txn.tx.expect, &rows))
             }
@@ -177,7 +178,7 @@
         self.count_read();
         let from = if after < prefix { prefix.to_owned() } else { next_key(after) };
         let to = end_of_prefix(prefix);
-        let range = Range { from: &from, to: &to, limit };
+        let range = KeyRange { from: &from, to: &to, limit };
         let rows = self.store.read_range(CELL_TABLE, PART, &range, self.timeout).await?;
         Ok(rows.into_iter().map(Row::from).collect())
     }
@@ -237,10 +238,10 @@
 
 /// Returns the rows whose versions differ from the expected ones, with their current versions, or 0
 /// if they do not exist.
-fn unmet_expectations(expected: &[Expect], rows: &[hollowford_adapter::Row]) -> Vec<RowVersion> {
+fn unmet_expectations(expected: &[ExpectedVersion], rows: &[hollowford_adapter::Row]) -> Vec<RowVersion> {
     let version = |key: &str| rows.iter().find(|r| r.key == key).map_or(0, |r| r.version);
-    let differs = |e: &&Expect| version(&e.key) != e.version;
-    let row_version = |e: &Expect| RowVersion { key: e.key.clone(), version: version(&e.key) };
+    let differs = |e: &&ExpectedVersion| version(&e.key) != e.version;
+    let row_version = |e: &ExpectedVersion| RowVersion { key: e.key.clone(), version: version(&e.key) };
     expected.iter().filter(differs).map(row_version).collect()
 }
 
