--- a/crates/hollowford-node/src/load.rs
+++ b/crates/hollowford-node/src/load.rs
@@ -39,7 +39,11 @@
     }
 }
 
-fn recover_state(cx: &PartitionContext, info: &OwnerInfo, feed: VersionedRows) -> Option<RecoveredState> {
+fn recover_state(
+    cx: &PartitionContext,
+    info: &OwnerInfo,
+    feed: VersionedRows,
+) -> Option<RecoveredState> {
     let owner = feed.rows.iter().find(|r| r.key == OWNER_KEY)?;
     let lanes = lane_versions(&feed.rows);
     let holder = decode_owner(owner)?.owner?;
--- a/crates/hollowford-platform/src/store.rs
+++ b/crates/hollowford-platform/src/store.rs
@@ -238,10 +238,14 @@
 
 /// Returns the rows whose versions differ from the expected ones, with their current versions, or 0
 /// if they do not exist.
-fn unmet_expectations(expected: &[ExpectedVersion], rows: &[hollowford_adapter::Row]) -> Vec<RowVersion> {
+fn unmet_expectations(
+    expected: &[ExpectedVersion],
+    rows: &[hollowford_adapter::Row],
+) -> Vec<RowVersion> {
     let version = |key: &str| rows.iter().find(|r| r.key == key).map_or(0, |r| r.version);
     let differs = |e: &&ExpectedVersion| version(&e.key) != e.version;
-    let row_version = |e: &ExpectedVersion| RowVersion { key: e.key.clone(), version: version(&e.key) };
+    let row_version =
+        |e: &ExpectedVersion| RowVersion { key: e.key.clone(), version: version(&e.key) };
     expected.iter().filter(differs).map(row_version).collect()
 }
 
