--- a/crates/hollowford-soak/src/actions.rs
+++ b/crates/hollowford-soak/src/actions.rs
@@ -1,8 +1,8 @@
-//! What a run does to its cell: the failures of its schedule, and their end.
+//! Applies the actions of a schedule to the cell, and ends all failures.
 
 use crate::SoakError;
 use crate::proxy::Mode;
-use crate::run::{PAUSE, READY_WITHIN, Run};
+use crate::run::{POLL_INTERVAL, READY_TIMEOUT, Run};
 use crate::schedule::Action;
 use hollowford_adapter_standin::Faults;
 use std::sync::atomic::Ordering;
@@ -10,110 +10,109 @@
 use tokio::time::sleep;
 
 impl Run {
-    /// Brings a failure about, or ends it.
-    pub async fn act(&mut self, action: Action) -> Result<(), SoakError> {
-        if self.is_void(action) {
+    /// Applies one action; does nothing if its process or worker is not there.
+    pub async fn apply(&mut self, action: Action) -> Result<(), SoakError> {
+        if self.is_not_applicable(action) {
             return Ok(());
         }
         match action {
             Action::Kill(n) => {
-                self.note_ended(n);
+                self.mark_stopped(n);
                 self.cell.nodes[n].process.kill()?;
             }
             Action::Stop(n) => {
-                self.note_ended(n);
+                self.mark_stopped(n);
                 self.cell.nodes[n].process.signal("TERM")?;
             }
             Action::Start(n) => self.start(n).await?,
             Action::Pause(n) => self.cell.nodes[n].process.signal("STOP")?,
             Action::Resume(n) => self.cell.nodes[n].process.signal("CONT")?,
             Action::Hangup(n) => self.cell.nodes[n].process.signal("HUP")?,
-            Action::Outage(on) => self.change_store(|f| f.outage = on),
-            Action::Slow(by) => self.change_store(|f| f.slow_ms = by),
-            Action::LoseAnswers(n) => self.change_store(|f| f.lose_answers = n),
-            Action::NoHistory(on) => self.change_store(|f| f.no_history = on),
-            Action::StorePath(n, mode) => self.cell.nodes[n].store.set(mode),
-            Action::CallerPath(n, mode) => self.cell.nodes[n].callers.set(mode),
-            Action::WorkerPath(w, mode) => self.cell.workers[w].proxy.set(mode),
+            Action::Outage(on) => self.update_store_faults(|f| f.outage = on),
+            Action::Slow(by) => self.update_store_faults(|f| f.slow_ms = by),
+            Action::LoseAnswers(n) => self.update_store_faults(|f| f.lose_answers = n),
+            Action::NoHistory(on) => self.update_store_faults(|f| f.no_history = on),
+            Action::StorePath(n, mode) => self.cell.nodes[n].store.set_mode(mode),
+            Action::CallerPath(n, mode) => self.cell.nodes[n].callers.set_mode(mode),
+            Action::WorkerPath(w, mode) => self.cell.workers[w].proxy.set_mode(mode),
             Action::CrashWorker(w) => self.cell.restart_worker(w),
             Action::DrainWorker(w) => {
                 let id = self.cell.drain_worker(w);
-                self.leavers.insert(id, w);
+                self.drained_workers.insert(id, w);
             }
             Action::ReplaceWorker(w) => {
                 self.cell.remove_worker(w);
                 self.cell.add_worker(&mut self.rng).await?;
             }
             Action::Configure => {
-                self.cell.configure();
-                self.newest.store(self.cell.config, Ordering::Relaxed);
+                self.cell.write_next_config();
+                self.newest_config_version.store(self.cell.config_version, Ordering::Relaxed);
             }
         }
         Ok(())
     }
 
-    /// Tells whether what an action is aimed at is not there: a process that is down, or a
-    /// worker that was taken away.
-    fn is_void(&self, action: Action) -> bool {
+    /// Returns true if the action's process is down or its worker was removed.
+    fn is_not_applicable(&self, action: Action) -> bool {
         match action {
             Action::Stop(n) | Action::Pause(n) | Action::Resume(n) | Action::Hangup(n) => {
                 self.down[n]
             }
             Action::CrashWorker(w) | Action::DrainWorker(w) | Action::ReplaceWorker(w) => {
-                self.cell.workers[w].gone
+                self.cell.workers[w].removed
             }
             _ => false,
         }
     }
 
-    /// Takes note that the run itself ends a process.
-    fn note_ended(&mut self, node: usize) {
-        self.new_life(node);
+    /// Records that the run itself stops a process.
+    fn mark_stopped(&mut self, node: usize) {
+        self.next_process_generation(node);
         self.down[node] = true;
     }
 
-    /// What was known of a process's configuration says nothing of its next life.
-    fn new_life(&self, node: usize) {
-        self.lives[node].fetch_add(1, Ordering::Relaxed);
+    /// Counts a restart: configuration versions read before it say nothing about those after it.
+    fn next_process_generation(&self, node: usize) {
+        self.process_generations[node].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Starts a process that was ended, once it has ended.
+    /// Starts a stopped process again, once it has exited.
     async fn start(&mut self, node: usize) -> Result<(), SoakError> {
         if !self.down[node] {
             return Ok(());
         }
-        let began = Instant::now();
-        while self.cell.nodes[node].process.ended()?.is_none() {
-            // A paused process takes the signal once it goes on.
+        let started_at = Instant::now();
+        while self.cell.nodes[node].process.exit_success()?.is_none() {
+            // A paused process handles the stop signal only after it was resumed.
             self.cell.nodes[node].process.signal("CONT")?;
-            if began.elapsed() > READY_WITHIN {
-                self.wrong.push(format!("process n{node} doesn't end when it is told to"));
+            if started_at.elapsed() > READY_TIMEOUT {
+                self.violations.push(format!("process n{node} doesn't end after a stop signal"));
                 self.cell.nodes[node].process.kill()?;
             }
-            sleep(PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
-        self.new_life(node);
+        self.next_process_generation(node);
         self.cell.nodes[node].process.restart()?;
         self.down[node] = false;
         Ok(())
     }
 
-    fn change_store(&mut self, change: impl FnOnce(&mut Faults)) {
+    fn update_store_faults(&mut self, change: impl FnOnce(&mut Faults)) {
         change(&mut self.faults);
         self.cell.platform.set_faults(self.faults.clone());
-        // Lost answers are counted down by the store itself.
+        // The store counts lost answers down itself.
         self.faults.lose_answers = 0;
     }
 
-    /// Ends everything that is wrong, and waits until all processes are ready.
-    pub async fn heal(&mut self) -> Result<(), SoakError> {
-        self.harms.end_all(self.cell.platform.now());
-        self.change_store(|f| *f = Faults::default());
+    /// Ends all failures, and waits until all processes are ready.
+    pub async fn end_failures(&mut self) -> Result<(), SoakError> {
+        self.disruptions.end_all(self.cell.platform.now());
+        self.update_store_faults(|f| *f = Faults::default());
         for node in &self.cell.nodes {
-            node.store.set(Mode::Pass);
-            node.callers.set(Mode::Pass);
+            node.store.set_mode(Mode::Pass);
+            node.callers.set_mode(Mode::Pass);
         }
-        self.cell.workers.iter().for_each(|w| w.proxy.set(Mode::Pass));
+        self.cell.workers.iter().for_each(|w| w.proxy.set_mode(Mode::Pass));
         for n in 0..self.cell.nodes.len() {
             if self.down[n] {
                 self.start(n).await?;
@@ -121,6 +120,6 @@
                 self.cell.nodes[n].process.signal("CONT")?;
             }
         }
-        self.await_ready().await
+        self.wait_until_ready().await
     }
 }
--- a/crates/hollowford-soak/src/callers.rs
+++ b/crates/hollowford-soak/src/callers.rs
@@ -1,7 +1,7 @@
-//! Callers: they hand in jobs over channels that they keep open, ask for them, cancel some,
-//! and write down what they were told.
+//! Callers that submit jobs over persistent connections, poll them, cancel some, and record
+//! the answers.
 
-use crate::cell::QUEUES;
+use crate::cell::QUEUE_PREFIXES;
 use hollowford_adapter_standin::{Platform, speech};
 use reqwest::{Client, Method};
 use serde_json::Value;
@@ -12,151 +12,153 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// A caller waits so long for an answer.
-const TIMEOUT: Duration = Duration::from_secs(3);
-/// Between two questions, or tries.
-const PAUSE: Duration = Duration::from_millis(60);
-/// Between two jobs of one caller.
-const BETWEEN_JOBS: Duration = Duration::from_millis(25);
-/// How often a job is handed in again after an answer that didn't say what came of it.
-const TRIES: u32 = 4;
-/// How often a job's state is asked for while failures go on; the judge asks on.
-const QUESTIONS: u32 = 30;
-/// One job in so many is cancelled.
-const CANCELLED: u32 = 8;
-/// One job in so many crashes the workers that start it.
-const CRASHING: u32 = 60;
-
-/// Status of the answer about a job that is not known any more.
-pub(crate) const FORGOTTEN: u16 = 410;
-
-/// What one caller knows of a job.
+/// Timeout of a request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time between two polls or submit attempts.
+const POLL_INTERVAL: Duration = Duration::from_millis(60);
+/// Time between two jobs of one caller.
+const JOB_INTERVAL: Duration = Duration::from_millis(25);
+/// Largest number of attempts to submit a job.
+const MAX_SUBMIT_ATTEMPTS: u32 = 4;
+/// Largest number of polls of a job's state by its caller. The final check polls all open jobs again.
+const MAX_STATE_POLLS: u32 = 30;
+/// One in this many jobs is cancelled.
+const JOBS_PER_CANCELLATION: u32 = 8;
+/// One in this many jobs crashes the workers that start it.
+const JOBS_PER_CRASHING_JOB: u32 = 60;
+
+/// HTTP status for a job that is no longer kept.
+pub(crate) const STATUS_GONE: u16 = 410;
+
+/// What a caller knows about one of its jobs.
 #[derive(Clone, Debug, Default)]
-pub struct Told {
-    /// Prefix of its queue.
+pub struct JobObservation {
+    /// Path prefix of its queue.
     pub queue: &'static str,
-    /// How many tasks it has.
+    /// Number of its tasks.
     pub tasks: u32,
-    /// Some try was answered with success.
+    /// A submit attempt was answered with success.
     pub accepted: bool,
-    /// Some try was not answered, or its effect was not told.
-    pub unsure: bool,
-    /// It was asked to be cancelled.
+    /// A submit attempt got no answer, or one that leaves its effect open.
+    pub uncertain: bool,
+    /// Its cancellation was requested.
     pub cancelling: bool,
-    /// When its cancellation was confirmed, by the platform's clock.
+    /// When its cancellation was confirmed, in milliseconds of the platform's clock.
     pub cancelled_at: Option<u64>,
-    /// It was told to be completed.
+    /// It was reported as completed.
     pub completed: bool,
-    /// It was told to have failed.
+    /// It was reported as failed.
     pub failed: bool,
 }
 
-/// What all callers were told.
+/// What all callers have observed.
 #[derive(Debug, Default)]
-pub struct Book {
-    /// By job.
-    pub jobs: HashMap<u64, Told>,
-    /// Answers that must never be given.
-    pub wrong: Vec<String>,
+pub struct Observations {
+    /// Observations by job id.
+    pub jobs: HashMap<u64, JobObservation>,
+    /// Answers that violate a guarantee.
+    pub violations: Vec<String>,
 }
 
-/// The book, shared by callers and judge.
-pub type SharedBook = Arc<Mutex<Book>>;
+/// Observations shared by the callers and the checks.
+pub type SharedObservations = Arc<Mutex<Observations>>;
 
-/// Locks the book.
-pub fn lock(book: &SharedBook) -> MutexGuard<'_, Book> {
-    book.lock().unwrap_or_else(PoisonError::into_inner)
+/// Locks the observations, also after a panic of another holder.
+pub fn lock(observations: &SharedObservations) -> MutexGuard<'_, Observations> {
+    observations.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// One caller.
+/// A caller that submits jobs one after the other.
 #[derive(Debug)]
 pub struct Caller {
-    /// Its number, part of its jobs' ids.
+    /// Its number, which is part of its jobs' ids.
     pub number: u64,
-    /// Where it may call.
+    /// Addresses of the processes' caller proxies.
     pub nodes: Vec<SocketAddr>,
-    /// Its channels.
+    /// HTTP client that keeps its connections open.
     pub client: Client,
-    /// Its choices.
+    /// Source of its random choices.
     pub rng: fastrand::Rng,
-    /// What it was told.
-    pub book: SharedBook,
-    /// Tells the time by which cancellations are noted.
+    /// Observations of all callers.
+    pub observations: SharedObservations,
+    /// Clock for the times of cancellations.
     pub platform: Platform,
-    /// It is to end.
+    /// Set when the caller has to stop.
     pub stop: Arc<AtomicBool>,
 }
 
 impl Caller {
-    /// Hands in jobs until it is to stop.
+    /// Submits jobs until `stop` is set.
     pub async fn run(mut self) {
         let mut count = 0;
         while !self.stop.load(Ordering::Relaxed) {
             count += 1;
-            // Spread over all ids, and never used twice in a run.
+            // The ids are spread over the whole range and never repeat in a run.
             let id = (self.number << 32 | count).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-            self.one_job(id).await;
-            sleep(BETWEEN_JOBS).await;
+            self.run_job(id).await;
+            sleep(JOB_INTERVAL).await;
         }
     }
 
-    async fn one_job(&mut self, id: u64) {
-        let queue = QUEUES[self.rng.usize(..QUEUES.len())];
-        let (tasks, body) = self.draw_job();
-        lock(&self.book).jobs.insert(id, Told { queue, tasks, ..Told::default() });
+    async fn run_job(&mut self, id: u64) {
+        let queue = QUEUE_PREFIXES[self.rng.usize(..QUEUE_PREFIXES.len())];
+        let (tasks, body) = self.random_job();
+        lock(&self.observations)
+            .jobs
+            .insert(id, JobObservation { queue, tasks, ..JobObservation::default() });
         let mut node = self.rng.usize(..self.nodes.len());
-        for _ in 0..TRIES {
+        for _ in 0..MAX_SUBMIT_ATTEMPTS {
             match self.call(node, Method::POST, queue, id, &body).await.0 {
                 200 => {
-                    self.note(id, |t| t.accepted = true);
-                    return self.follow(node, queue, id).await;
+                    self.update_job(id, |t| t.accepted = true);
+                    return self.poll_job(node, queue, id).await;
                 }
-                // Refused as not run: it may be left at that.
+                // Refused and not run: the caller may give up.
                 429 | 503 if self.rng.bool() => return,
                 429 | 503 => {}
-                _ => self.note(id, |t| t.unsure = true),
+                _ => self.update_job(id, |t| t.uncertain = true),
             }
             node = self.rng.usize(..self.nodes.len());
-            sleep(PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Asks for a job that was taken until it has ended, and cancels some.
-    async fn follow(&mut self, mut node: usize, queue: &'static str, id: u64) {
-        if self.rng.u32(..CANCELLED) == 0 {
-            sleep(PAUSE * self.rng.u32(..4)).await;
-            self.note(id, |t| t.cancelling = true);
+    /// Polls an accepted job until it has ended; cancels some jobs first.
+    async fn poll_job(&mut self, mut node: usize, queue: &'static str, id: u64) {
+        if self.rng.u32(..JOBS_PER_CANCELLATION) == 0 {
+            sleep(POLL_INTERVAL * self.rng.u32(..4)).await;
+            self.update_job(id, |t| t.cancelling = true);
             let (status, _) = self.call(node, Method::DELETE, queue, id, &Value::Null).await;
             if status == 200 {
                 let now = self.platform.now();
-                self.note(id, |t| t.cancelled_at = Some(now));
+                self.update_job(id, |t| t.cancelled_at = Some(now));
             }
         }
-        for _ in 0..QUESTIONS {
+        for _ in 0..MAX_STATE_POLLS {
             if self.stop.load(Ordering::Relaxed) {
                 return;
             }
             let (status, body) = self.call(node, Method::GET, queue, id, &Value::Null).await;
             let state = body["state"].as_str().unwrap_or("").to_owned();
-            if judge_answer(&mut lock(&self.book), id, status, &state) {
+            if record_answer(&mut lock(&self.observations), id, status, &state) {
                 return;
             }
             if status != 200 {
                 node = self.rng.usize(..self.nodes.len());
             }
-            sleep(PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    fn note(&self, id: u64, change: impl FnOnce(&mut Told)) {
-        lock(&self.book).jobs.entry(id).and_modify(change);
+    fn update_job(&self, id: u64, change: impl FnOnce(&mut JobObservation)) {
+        lock(&self.observations).jobs.entry(id).and_modify(change);
     }
 
-    /// Draws the tasks of each step, their time and what they take, and returns the job.
-    fn draw_job(&mut self) -> (u32, Value) {
+    /// Returns the number of tasks and the body of a job with random steps, run time and resources.
+    fn random_job(&mut self) -> (u32, Value) {
         let ms = self.rng.u64(10..500);
         let cpu_milli = [500, 1_000, 4_000, 9_000][self.rng.usize(..4)];
-        if self.rng.u32(..CRASHING) == 0 {
+        if self.rng.u32(..JOBS_PER_CRASHING_JOB) == 0 {
             return (1, speech::crashing_job(cpu_milli));
         }
         let counts: Vec<u32> = (0..self.rng.usize(1..=3)).map(|_| self.rng.u32(1..5)).collect();
@@ -176,31 +178,31 @@
     }
 }
 
-/// Makes a request; status 0: no answer.
+/// Makes a request and returns its status and body. The status is 0 if there is no answer.
 pub async fn call(client: &Client, method: Method, url: &str, body: &Value) -> (u16, Value) {
     let req = client.request(method, url).header("host", speech::HOST);
-    let req = req.timeout(TIMEOUT).body(body.to_string());
+    let req = req.timeout(REQUEST_TIMEOUT).body(body.to_string());
     let Ok(answer) = req.send().await else { return (0, Value::Null) };
     let status = answer.status().as_u16();
     let bytes = answer.bytes().await.unwrap_or_default();
     (status, serde_json::from_slice(&bytes).unwrap_or(Value::Null))
 }
 
-/// Writes down what was told of a job that was taken, and what is wrong with it. Tells
-/// whether the job has ended.
-pub fn judge_answer(book: &mut Book, id: u64, status: u16, state: &str) -> bool {
-    let Some(told) = book.jobs.get_mut(&id) else { return true };
-    let wrong = match (status, state) {
-        (FORGOTTEN, _) => Some("is not known any more"),
-        (200, "cancelled") if !told.cancelling => Some("is cancelled though nobody asked"),
+/// Records an answer about an accepted job and any guarantee that it violates. Returns whether
+/// the job has ended.
+pub fn record_answer(observations: &mut Observations, id: u64, status: u16, state: &str) -> bool {
+    let Some(job) = observations.jobs.get_mut(&id) else { return true };
+    let violation = match (status, state) {
+        (STATUS_GONE, _) => Some("was accepted and is no longer known"),
+        (200, "cancelled") if !job.cancelling => Some("is cancelled without a request"),
         (200, "completed") => None,
-        (200, _) if told.completed => Some("goes on after it was completed"),
+        (200, _) if job.completed => Some("is not completed any more after it was"),
         _ => None,
     };
-    told.completed |= status == 200 && state == "completed";
-    told.failed |= status == 200 && state == "failed";
-    if let Some(wrong) = wrong {
-        book.wrong.push(format!("job {id:016x} {wrong}"));
+    job.completed |= status == 200 && state == "completed";
+    job.failed |= status == 200 && state == "failed";
+    if let Some(violation) = violation {
+        observations.violations.push(format!("job {id:016x} {violation}"));
     }
     status == 200 && ["completed", "cancelled", "failed"].contains(&state)
 }
--- a/crates/hollowford-soak/src/cell.rs
+++ b/crates/hollowford-soak/src/cell.rs
@@ -1,7 +1,7 @@
-//! A cell: the stand-in of the platform, its workers, the processes, and proxies between them.
+//! A cell: the platform's stand-in, its workers, the processes, and proxies between them.
 
 use crate::SoakError;
-use crate::net::Net;
+use crate::addresses::CellAddresses;
 use crate::process::Process;
 use crate::proxy::Proxy;
 use hollowford_adapter_standin::speech;
@@ -11,58 +11,58 @@
 use std::path::{Path, PathBuf};
 use tempfile::TempDir;
 
-/// Prefix of the queue whose workers anybody may name, and of one that goes by advice.
-pub const QUEUES: [&str; 2] = ["/plain/", "/advised/"];
+/// Path prefixes of a queue without and one with calls to the advice service.
+pub const QUEUE_PREFIXES: [&str; 2] = ["/plain/", "/advised/"];
 
-/// How large a cell is.
+/// Size of a cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
-    /// Processes.
+    /// Number of processes.
     pub nodes: usize,
-    /// Workers.
+    /// Number of workers.
     pub workers: usize,
-    /// Workers of one partition.
-    pub workers_each: usize,
+    /// Number of workers in each partition.
+    pub workers_per_partition: usize,
 }
 
-/// One process, and the proxies before and behind it.
+/// A process with its proxies.
 #[derive(Debug)]
 pub struct Node {
     /// The process.
     pub process: Process,
-    /// Where its readiness is asked.
+    /// Address of its readiness endpoint.
     pub readiness: SocketAddr,
-    /// Between callers and it.
+    /// Proxy between the callers and the process.
     pub callers: Proxy,
-    /// Between it and the store.
+    /// Proxy between the process and the store.
     pub store: Proxy,
 }
 
-/// One worker, and the proxy in front of it.
+/// A worker with its proxy.
 #[derive(Debug)]
 pub struct Worker {
-    /// Name of its present life.
+    /// Id of its current incarnation.
     pub id: String,
-    /// Its rack.
+    /// Number of its rack.
     pub rack: usize,
-    /// Between the processes and it.
+    /// Proxy between the processes and the worker.
     pub proxy: Proxy,
-    /// It was taken away.
-    pub gone: bool,
+    /// Whether it was removed from the cell.
+    pub removed: bool,
 }
 
-/// A cell.
+/// A running cell.
 #[derive(Debug)]
 pub struct Cell {
-    /// The platform.
+    /// The stand-in of the platform.
     pub platform: Platform,
     /// The processes.
     pub nodes: Vec<Node>,
     /// The workers.
     pub workers: Vec<Worker>,
     /// Version of the newest configuration.
-    pub config: u64,
-    lives: usize,
+    pub config_version: u64,
+    worker_count: usize,
     dir: TempDir,
 }
 
@@ -70,7 +70,7 @@
     /// Starts a cell. Its workers' clocks and its processes' addresses are drawn from `rng`.
     ///
     /// # Errors
-    /// When a port, a file or a process can't be had.
+    /// Returns an error if a port can't be bound, a file written or a process started.
     pub async fn start(
         program: &Path,
         size: Size,
@@ -78,15 +78,21 @@
     ) -> Result<Cell, SoakError> {
         let platform = Platform::start(0).await?;
         let dir = TempDir::new()?;
-        let mut cell =
-            Cell { platform, nodes: Vec::new(), workers: Vec::new(), config: 0, lives: 0, dir };
-        cell.configure();
+        let mut cell = Cell {
+            platform,
+            nodes: Vec::new(),
+            workers: Vec::new(),
+            config_version: 0,
+            worker_count: 0,
+            dir,
+        };
+        cell.write_next_config();
         for _ in 0..size.workers {
             cell.add_worker(rng).await?;
         }
-        let net = Net::draw(rng)?;
+        let addresses = CellAddresses::random(rng)?;
         for i in 0..size.nodes {
-            let node = cell.start_node(program, size.workers_each, &net, i).await?;
+            let node = cell.start_node(program, size.workers_per_partition, &addresses, i).await?;
             cell.nodes.push(node);
         }
         Ok(cell)
@@ -95,16 +101,16 @@
     async fn start_node(
         &self,
         program: &Path,
-        workers_each: usize,
-        net: &Net,
+        workers_per_partition: usize,
+        addresses: &CellAddresses,
         i: usize,
     ) -> Result<Node, SoakError> {
         let store = Proxy::open(self.platform.addr()).await?;
-        let settings = net.settings(i);
+        let settings = addresses.settings(i);
         let text = speech::settings(&settings, self.platform.addr(), store.addr);
         let file = self.dir.path().join(format!("{}.toml", settings.name));
         std::fs::write(&file, text)?;
-        let process = Process::start(program, &file, &self.log_path(i), workers_each)?;
+        let process = Process::start(program, &file, &self.log_path(i), workers_per_partition)?;
         Ok(Node {
             process,
             readiness: SocketAddr::from((settings.ip, settings.readiness)),
@@ -117,17 +123,17 @@
         self.dir.path().join(format!("n{node}.log"))
     }
 
-    fn next_life(&mut self) -> String {
-        self.lives += 1;
-        format!("w{}", self.lives)
+    fn next_worker_id(&mut self) -> String {
+        self.worker_count += 1;
+        format!("w{}", self.worker_count)
     }
 
-    /// Adds a worker, whose clock begins anywhere and may run slow.
+    /// Adds a worker whose clock starts at a random value and may run up to 2 % slow.
     ///
     /// # Errors
-    /// When no port can be had.
+    /// Returns an error if no port can be bound.
     pub async fn add_worker(&mut self, rng: &mut fastrand::Rng) -> Result<(), SoakError> {
-        let (id, rack) = (self.next_life(), self.workers.len());
+        let (id, rack) = (self.next_worker_id(), self.workers.len());
         let addr = self.platform.add_worker(&id, rack)?;
         let clock = WorkerClock {
             ahead_ms: rng.u64(0..1_000_000),
@@ -135,32 +141,32 @@
             ..WorkerClock::default()
         };
         self.platform.with_worker(&id, |w| w.clock = clock);
-        let lives = self.platform.with_worker(&id, |w| w.channels.subscribe());
-        let proxy = Proxy::open_to_lives(addr, lives).await?;
+        let generations = self.platform.with_worker(&id, |w| w.channels.subscribe());
+        let proxy = Proxy::open_with_generations(addr, generations).await?;
         self.platform.list_worker(&id, proxy.addr, rack, false);
-        self.workers.push(Worker { id, rack, proxy, gone: false });
+        self.workers.push(Worker { id, rack, proxy, removed: false });
         Ok(())
     }
 
-    /// Returns a worker, whose life may have ended by a task's doing.
+    /// Returns a worker with its current id: a task may have crashed it since.
     fn worker(&mut self, i: usize) -> &mut Worker {
         let w = &mut self.workers[i];
         w.id = self.platform.present_life(&w.id);
         w
     }
 
-    /// Lets a worker crash and come back as another life, every other time under the id that it had.
+    /// Lets a worker crash and come back as another life, every new_id time under the id that it had.
     pub fn restart_worker(&mut self, i: usize) {
-        let other = self.next_life();
-        let is_same = self.lives.is_multiple_of(2);
+        let new_id = self.next_worker_id();
+        let is_same = self.worker_count.is_multiple_of(2);
         let platform = self.platform.clone();
         let w = self.worker(i);
-        let next = if is_same { w.id.clone() } else { other };
+        let next = if is_same { w.id.clone() } else { new_id };
         platform.restart_worker(&w.id, &next, w.proxy.addr, w.rack);
         w.id = next;
     }
 
-    /// Lets a worker say that it is about to leave. Returns its id.
+    /// Makes a worker announce that it leaves. Returns its id.
     pub fn drain_worker(&mut self, i: usize) -> String {
         let platform = self.platform.clone();
         let w = self.worker(i);
@@ -170,27 +176,27 @@
         w.id.clone()
     }
 
-    /// Takes a worker away.
+    /// Removes a worker.
     pub fn remove_worker(&mut self, i: usize) {
         let platform = self.platform.clone();
         let w = self.worker(i);
-        w.gone = true;
+        w.removed = true;
         platform.remove_worker(&w.id);
     }
 
-    /// Writes the next configuration: the queues, and one that only this version has.
-    pub fn configure(&mut self) {
-        self.config += 1;
-        let own = version_prefix(self.config);
-        let [plain, advised] = QUEUES;
+    /// Writes the next configuration, with one more queue that only this version has.
+    pub fn write_next_config(&mut self) {
+        self.config_version += 1;
+        let own = version_prefix(self.config_version);
+        let [plain, advised] = QUEUE_PREFIXES;
         let queues = [(plain, false), (advised, true), (own.as_str(), false)];
-        self.platform.configure(self.config, &queues);
+        self.platform.configure(self.config_version, &queues);
     }
 
     /// Copies the logs of all processes into a folder.
     ///
     /// # Errors
-    /// When a file can't be copied.
+    /// Returns an error if a file can't be copied.
     pub fn keep_logs(&self, to: &Path) -> io::Result<()> {
         std::fs::create_dir_all(to)?;
         for i in 0..self.nodes.len() {
@@ -200,7 +206,7 @@
     }
 }
 
-/// Returns the prefix of the queue that only one version of the configuration has.
+/// Returns the path prefix of the queue that only this version of the configuration has.
 pub fn version_prefix(version: u64) -> String {
     format!("/v{version}/")
 }
--- a/crates/hollowford-soak/src/lib.rs
+++ b/crates/hollowford-soak/src/lib.rs
@@ -1,14 +1,14 @@
-//! A randomized soak: real processes on one machine, failures brought about from outside, and
-//! the promises checked from what callers and workers see. See docs/SOAK.md.
+//! Randomized soak test: runs real processes on one machine, injects failures from outside, and
+//! checks the system's guarantees against what callers and workers observe. See docs/SOAK.md.
 
 mod actions;
+mod addresses;
 pub mod callers;
 pub mod cell;
-pub mod harm;
+pub mod disruption;
 #[cfg(test)]
-mod harm_tests;
-pub mod judge;
-mod net;
+mod disruption_tests;
+pub mod invariants;
 pub mod ports;
 #[cfg(test)]
 mod ports_tests;
@@ -21,13 +21,13 @@
 
 pub use run::{Options, Report, run_seed};
 
-/// Why a soak can't go on. What it finds is not an error but a part of its report.
+/// Why a soak run can't continue. Violated guarantees are not errors: they are in the report.
 #[derive(Debug, thiserror::Error)]
 pub enum SoakError {
-    /// A file, a port or a process can't be had.
+    /// A file, port or process operation failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// An HTTP client can't be made.
+    /// Building an HTTP client failed.
     #[error("client: {0}")]
     Client(#[from] reqwest::Error),
 }
--- a/crates/hollowford-soak/src/main.rs
+++ b/crates/hollowford-soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `hollowford-soak`: runs seeds and tells which broke a promise.
+//! `hollowford-soak`: runs the soak test for some seeds and prints the violated guarantees.
 
 use hollowford_soak::cell::Size;
 use hollowford_soak::{Options, Report, run_seed};
@@ -8,7 +8,7 @@
 
 const HELP: &str = "hollowford-soak [--program FILE] [--seed N] [--seeds COUNT] [--seconds S]
     [--nodes N] [--workers N] [--workers-each N] [--callers N] [--keep FOLDER]
-Runs COUNT seeds from N on (a fresh one unless said), each for S seconds of failures.";
+Runs COUNT seeds starting at N (default: a random one), each with S seconds of failures.";
 
 fn main() -> ExitCode {
     match run(Arguments::from_env()) {
@@ -29,38 +29,38 @@
     let size = Size {
         nodes: args.opt_value_from_str("--nodes")?.unwrap_or(4),
         workers: args.opt_value_from_str("--workers")?.unwrap_or(8),
-        workers_each: args.opt_value_from_str("--workers-each")?.unwrap_or(4),
+        workers_per_partition: args.opt_value_from_str("--workers-each")?.unwrap_or(4),
     };
     let options = Options {
         program: program.unwrap_or_else(|| PathBuf::from("target/release/hollowford")),
         size,
         callers: args.opt_value_from_str("--callers")?.unwrap_or(12),
-        span_ms: seconds * 1_000,
-        keep: args.opt_value_from_str("--keep")?,
+        duration_ms: seconds * 1_000,
+        keep_dir: args.opt_value_from_str("--keep")?,
     };
     let rest = args.finish();
     if !rest.is_empty() {
-        return Err(format!("not understood: {rest:?}").into());
+        return Err(format!("unknown arguments: {rest:?}").into());
     }
     let runtime = tokio::runtime::Runtime::new()?;
     let mut clean = true;
     for seed in first..first + seeds {
         let report = runtime.block_on(run_seed(seed, &options))?;
-        show(&report);
-        clean &= report.wrong.is_empty();
+        print_report(&report);
+        clean &= report.violations.is_empty();
     }
     Ok(clean)
 }
 
-fn show(r: &Report) {
+fn print_report(r: &Report) {
     println!(
         "seed {}: {} actions, {} jobs, {} taken, {} starts, {} wrong",
         r.seed,
         r.actions,
         r.jobs,
-        r.taken,
+        r.accepted,
         r.starts,
-        r.wrong.len()
+        r.violations.len()
     );
-    r.wrong.iter().for_each(|w| println!("  {w}"));
+    r.violations.iter().for_each(|w| println!("  {w}"));
 }
--- a/crates/hollowford-soak/src/ports.rs
+++ b/crates/hollowford-soak/src/ports.rs
@@ -1,13 +1,13 @@
-//! Ports for processes that are about to be started.
+//! Free ports for processes to be started.
 
 use std::io;
 use std::net::TcpListener;
 
-/// Finds ports that are free on the loopback interface, each another one: all are held until the last is
-/// found. Found one after the other, two of three are the same in one of some 4,000 draws.
+/// Returns different free ports of the loopback interface. Keeps all of them bound until the last one is
+/// found: if each were released at once, two of three would be equal in one of about 4,000 calls.
 ///
 /// # Errors
-/// When no port is free.
+/// Returns an error if no port is free.
 pub fn free_ports<const N: usize>() -> io::Result<[u16; N]> {
     let mut held = Vec::with_capacity(N);
     let mut ports = [0; N];
--- a/crates/hollowford-soak/src/ports_tests.rs
+++ b/crates/hollowford-soak/src/ports_tests.rs
@@ -1,16 +1,15 @@
-//! Ports of one draw differ, so that a process can listen on all of them.
+//! The ports of one call differ, so that a process can listen on all of them.
 //!
-//! What was seen: a test of processes failed once beside load, since a process could not start: "Address
-//! already in use" at an address that only it had. Two of its three ports were the same.
+//! Guards against two equal ports for one process, which then could not start ("Address already in use").
 
 use crate::ports::free_ports;
 
-/// Draws enough that ports found one after the other would hardly ever all differ.
-const DRAWS: u32 = 30_000;
+/// Number of calls: large enough that ports released one at a time would almost certainly repeat.
+const CALLS: u32 = 30_000;
 
 #[test]
-fn ports_of_one_draw_differ() {
-    for _ in 0..DRAWS {
+fn ports_of_one_call_differ() {
+    for _ in 0..CALLS {
         let [a, b, c] = free_ports().expect("free ports");
         assert!(a != b && b != c && a != c, "{a}, {b}, {c}");
     }
--- a/crates/hollowford-soak/src/process.rs
+++ b/crates/hollowford-soak/src/process.rs
@@ -1,4 +1,4 @@
-//! One process of the program under test, started and ended by its id.
+//! One process of the program under test.
 
 use std::fs::File;
 use std::io;
@@ -10,88 +10,94 @@
 pub struct Process {
     child: Child,
     program: PathBuf,
-    settings: PathBuf,
-    log: PathBuf,
-    workers_each: usize,
+    settings_path: PathBuf,
+    log_path: PathBuf,
+    workers_per_partition: usize,
 }
 
 impl Process {
-    /// Starts a process with a settings file; it appends what it says to `log`.
+    /// Starts a process with a settings file. Its output is appended to `log_path`.
     ///
     /// # Errors
-    /// When the program can't be started.
+    /// Returns an error if the program can't be started.
     pub fn start(
         program: &Path,
-        settings: &Path,
-        log: &Path,
-        workers_each: usize,
+        settings_path: &Path,
+        log_path: &Path,
+        workers_per_partition: usize,
     ) -> io::Result<Process> {
         Ok(Process {
-            child: spawn(program, settings, log, workers_each)?,
+            child: spawn(program, settings_path, log_path, workers_per_partition)?,
             program: program.to_owned(),
-            settings: settings.to_owned(),
-            log: log.to_owned(),
-            workers_each,
+            settings_path: settings_path.to_owned(),
+            log_path: log_path.to_owned(),
+            workers_per_partition,
         })
     }
 
-    /// Sends the process a signal, by name.
+    /// Sends the process the signal of this name, such as `TERM`.
     ///
     /// # Errors
-    /// When it can't be sent.
+    /// Returns an error if the signal can't be sent.
     pub fn signal(&self, name: &str) -> io::Result<()> {
         let pid = self.child.id().to_string();
         let sent = Command::new("kill").args(["-s", name, &pid]).status()?;
         if sent.success() { Ok(()) } else { Err(io::Error::other(format!("signal {name}"))) }
     }
 
-    /// Kills the process without warning.
+    /// Kills the process and waits for its end.
     ///
     /// # Errors
-    /// When it can't be waited for.
+    /// Returns an error if waiting fails.
     pub fn kill(&mut self) -> io::Result<()> {
-        // It may have ended already.
+        // The process may have ended already.
         let _ = self.child.kill();
         self.child.wait().map(drop)
     }
 
-    /// Tells how the process has ended: whether well; none while it runs.
+    /// Returns whether the process exited successfully, or `None` while it runs.
     ///
     /// # Errors
-    /// When the system doesn't say.
-    pub fn ended(&mut self) -> io::Result<Option<bool>> {
+    /// Returns an error if its status can't be read.
+    pub fn exit_success(&mut self) -> io::Result<Option<bool>> {
         Ok(self.child.try_wait()?.map(|status| status.success()))
     }
 
-    /// Starts the process again, with the same settings.
+    /// Starts the process again with the same settings.
     ///
     /// # Errors
-    /// When the program can't be started.
+    /// Returns an error if the program can't be started.
     pub fn restart(&mut self) -> io::Result<()> {
-        self.child = spawn(&self.program, &self.settings, &self.log, self.workers_each)?;
+        self.child =
+            spawn(&self.program, &self.settings_path, &self.log_path, self.workers_per_partition)?;
         Ok(())
     }
 
-    /// Returns what it has logged.
-    pub fn log(&self) -> String {
-        std::fs::read_to_string(&self.log).unwrap_or_default()
+    /// Returns the contents of the log file; empty if it can't be read.
+    pub fn log_text(&self) -> String {
+        std::fs::read_to_string(&self.log_path).unwrap_or_default()
     }
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-fn spawn(program: &Path, settings: &Path, log: &Path, workers_each: usize) -> io::Result<Child> {
-    let out = File::options().create(true).append(true).open(log)?;
+fn spawn(
+    program: &Path,
+    settings_path: &Path,
+    log_path: &Path,
+    workers_per_partition: usize,
+) -> io::Result<Child> {
+    let out = File::options().create(true).append(true).open(log_path)?;
     Command::new(program)
         .args(["node", "--config"])
-        .arg(settings)
-        .args(["--workers-each", &workers_each.to_string()])
+        .arg(settings_path)
+        .args(["--workers-each", &workers_per_partition.to_string()])
         .stdout(Stdio::from(out.try_clone()?))
         .stderr(Stdio::from(out))
         .spawn()
--- a/crates/hollowford-soak/src/proxy.rs
+++ b/crates/hollowford-soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy on the loopback interface that delays, resets, cuts or silences channels.
+//! A TCP proxy on the loopback interface that delays, blocks or resets connections.
 
 use crate::SoakError;
 use std::net::SocketAddr;
@@ -9,48 +9,48 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Bytes read at a time.
-const CHUNK: usize = 16 << 10;
+/// Size of the read buffer, in bytes.
+const BUFFER_BYTES: usize = 16 << 10;
 
-/// What the proxy does to what passes.
+/// What the proxy does with the data of its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// Lets it pass.
+    /// Forwards the data.
     #[default]
     Pass,
-    /// Lets it pass so many milliseconds later.
+    /// Forwards the data after this delay, in milliseconds.
     Delay(u64),
-    /// Holds what comes from the opener.
+    /// Holds back data from the client to the target.
     HoldRequests,
-    /// Holds what goes back to the opener.
+    /// Holds back data from the target to the client.
     HoldAnswers,
-    /// Holds both; new channels open and say nothing.
+    /// Holds back data in both directions; new connections are still accepted.
     Silent,
-    /// Ends every channel, and each new one at once.
+    /// Resets all connections, including new ones.
     Reset,
 }
 
 impl Mode {
-    fn holds(self, way: Way) -> bool {
+    fn holds(self, direction: Direction) -> bool {
         match self {
             Mode::Silent => true,
-            Mode::HoldRequests => way == Way::There,
-            Mode::HoldAnswers => way == Way::Back,
+            Mode::HoldRequests => direction == Direction::ToTarget,
+            Mode::HoldAnswers => direction == Direction::FromTarget,
             Mode::Pass | Mode::Delay(_) | Mode::Reset => false,
         }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
-    There,
-    Back,
+enum Direction {
+    ToTarget,
+    FromTarget,
 }
 
 /// A proxy in front of one address.
 #[derive(Clone, Debug)]
 pub struct Proxy {
-    /// Where it listens.
+    /// The address that the proxy listens on.
     pub addr: SocketAddr,
     mode: watch::Sender<Mode>,
 }
@@ -59,29 +59,30 @@
     /// Opens a proxy in front of `target`.
     ///
     /// # Errors
-    /// When no port can be had.
+    /// Returns an error if no port can be bound.
     pub async fn open(target: SocketAddr) -> Result<Proxy, SoakError> {
-        Proxy::open_to_lives(target, None).await
+        Proxy::open_with_generations(target, None).await
     }
 
-    /// Opens a proxy in front of `target`, whose channels end whenever `lives` changes, with what
-    /// the proxy holds: nothing that was sent to one life reaches the next one.
+    /// Opens a proxy in front of `target` that resets its connections whenever `generations`
+    /// changes, and drops the data that it holds back. So nothing that was sent to one incarnation
+    /// of the target reaches the next one.
     ///
     /// # Errors
-    /// When no port can be had.
-    pub async fn open_to_lives(
+    /// Returns an error if no port can be bound.
+    pub async fn open_with_generations(
         target: SocketAddr,
-        lives: Option<watch::Receiver<u64>>,
+        generations: Option<watch::Receiver<u64>>,
     ) -> Result<Proxy, SoakError> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let addr = listener.local_addr()?;
         let mode = watch::Sender::new(Mode::Pass);
-        tokio::spawn(accept(listener, target, mode.clone(), lives));
+        tokio::spawn(accept(listener, target, mode.clone(), generations));
         Ok(Proxy { addr, mode })
     }
 
-    /// Sets what is done from now on, also to open channels.
-    pub fn set(&self, mode: Mode) {
+    /// Sets the mode, also for open connections.
+    pub fn set_mode(&self, mode: Mode) {
         self.mode.send_replace(mode);
     }
 }
@@ -90,78 +91,78 @@
     listener: TcpListener,
     target: SocketAddr,
     mode: watch::Sender<Mode>,
-    lives: Option<watch::Receiver<u64>>,
+    generations: Option<watch::Receiver<u64>>,
 ) {
     while let Ok((from, _)) = listener.accept().await {
         if *mode.borrow() == Mode::Reset {
-            reset(&from);
+            reset_on_close(&from);
             continue;
         }
-        let life = lives.clone().map(|mut lives| {
-            lives.mark_unchanged();
-            lives
+        let generation = generations.clone().map(|mut generations| {
+            generations.mark_unchanged();
+            generations
         });
-        tokio::spawn(join(from, target, mode.subscribe(), life));
+        tokio::spawn(forward(from, target, mode.subscribe(), generation));
     }
 }
 
-/// Makes the end of the channel a reset.
-fn reset(stream: &TcpStream) {
-    // Without it the channel ends in the ordinary way, which is a failure as well.
+/// Makes closing the connection send a reset.
+fn reset_on_close(stream: &TcpStream) {
+    // If this fails, the connection closes normally, which is also a failure for its peer.
     let _ = stream.set_zero_linger();
 }
 
-/// Ends with the life at the other end of a channel.
-async fn over(life: Option<watch::Receiver<u64>>) {
-    let Some(mut life) = life else { return std::future::pending().await };
-    // The worker was taken away for good: its channels answer for themselves.
-    if life.changed().await.is_err() {
+/// Returns once the target's generation changes; never if there is none.
+async fn generation_changed(generation: Option<watch::Receiver<u64>>) {
+    let Some(mut generation) = generation else { return std::future::pending().await };
+    // The worker was removed for good, so its connections end without the proxy.
+    if generation.changed().await.is_err() {
         std::future::pending().await
     }
 }
 
-/// Passes on both ways of a channel until one ends.
-async fn join(
+/// Forwards both directions of a connection until one ends.
+async fn forward(
     from: TcpStream,
     target: SocketAddr,
     mut mode: watch::Receiver<Mode>,
-    life: Option<watch::Receiver<u64>>,
+    generation: Option<watch::Receiver<u64>>,
 ) {
     let Ok(to) = TcpStream::connect(target).await else {
-        reset(&from);
+        reset_on_close(&from);
         return;
     };
     let (mut from_read, mut from_write) = from.into_split();
     let (mut to_read, mut to_write) = to.into_split();
     tokio::select! {
-        () = pass(&mut from_read, &mut to_write, Way::There, mode.clone()) => {}
-        () = pass(&mut to_read, &mut from_write, Way::Back, mode.clone()) => {}
+        () = copy_one_way(&mut from_read, &mut to_write, Direction::ToTarget, mode.clone()) => {}
+        () = copy_one_way(&mut to_read, &mut from_write, Direction::FromTarget, mode.clone()) => {}
         _ = mode.wait_for(|m| *m == Mode::Reset) => {
-            reset(from_read.as_ref());
-            reset(to_read.as_ref());
+            reset_on_close(from_read.as_ref());
+            reset_on_close(to_read.as_ref());
         }
-        () = over(life) => {
-            reset(from_read.as_ref());
-            reset(to_read.as_ref());
+        () = generation_changed(generation) => {
+            reset_on_close(from_read.as_ref());
+            reset_on_close(to_read.as_ref());
         }
     }
 }
 
-/// Passes on one way until it ends.
-async fn pass(
+/// Forwards one direction of a connection until it ends.
+async fn copy_one_way(
     from: &mut OwnedReadHalf,
     to: &mut OwnedWriteHalf,
-    way: Way,
+    direction: Direction,
     mut mode: watch::Receiver<Mode>,
 ) {
-    let mut buf = vec![0; CHUNK];
+    let mut buf = vec![0; BUFFER_BYTES];
     loop {
         let Ok(n @ 1..) = from.read(&mut buf).await else { return };
-        if mode.wait_for(|m| !m.holds(way)).await.is_err() {
+        if mode.wait_for(|m| !m.holds(direction)).await.is_err() {
             return;
         }
-        let now = *mode.borrow();
-        if let Mode::Delay(ms) = now {
+        let current = *mode.borrow();
+        if let Mode::Delay(ms) = current {
             sleep(Duration::from_millis(ms)).await;
         }
         if to.write_all(&buf[..n]).await.is_err() {
--- a/crates/hollowford-soak/src/run.rs
+++ b/crates/hollowford-soak/src/run.rs
@@ -1,11 +1,13 @@
-//! One run of the soak, from its seed to its report.
+//! One run of the soak test, from its seed to its report.
 
 use crate::SoakError;
-use crate::callers::{Caller, SharedBook, lock};
+use crate::callers::{Caller, SharedObservations, lock};
 use crate::cell::{Cell, Size};
-use crate::harm::Harms;
-use crate::judge::{ConfigWatch, await_ends, judge_leaving, judge_starts};
-use crate::schedule::{Action, Entry, draw};
+use crate::disruption::DisruptionLog;
+use crate::invariants::{
+    ConfigMonitor, check_starts, check_starts_while_leaving, wait_for_jobs_to_end,
+};
+use crate::schedule::{Action, ScheduledAction, random_schedule};
 use hollowford_adapter_standin::{Faults, speech};
 use reqwest::Client;
 use std::collections::HashMap;
@@ -16,106 +18,106 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// Longest time for a process to become ready.
-pub(crate) const READY_WITHIN: Duration = Duration::from_secs(60);
-/// Between two looks at whether a process is ready, or has ended.
-pub(crate) const PAUSE: Duration = Duration::from_millis(20);
+/// Longest time for a process to become ready or to exit.
+pub(crate) const READY_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time between two checks whether a process is ready or has exited.
+pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Where a run's actions are kept beside its logs: the platform's clock in milliseconds, and what
-/// was done.
-const PLAYED: &str = "played.txt";
+/// File with the run's actions, beside its logs. Each line has the time, in milliseconds of the
+/// platform's clock, and the action.
+const ACTION_LOG_FILE: &str = "played.txt";
 
-/// What to run.
+/// Options of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// The program under test.
     pub program: PathBuf,
-    /// How large the cell is.
+    /// Size of the cell.
     pub size: Size,
-    /// Callers at a time.
+    /// Number of concurrent callers.
     pub callers: u64,
-    /// How long things go wrong, in milliseconds.
-    pub span_ms: u64,
-    /// Where logs of runs with a finding are kept; none: nowhere.
-    pub keep: Option<PathBuf>,
+    /// How long failures are injected, in milliseconds.
+    pub duration_ms: u64,
+    /// Folder for the logs of runs with violations; `None` discards them.
+    pub keep_dir: Option<PathBuf>,
 }
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// Its seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Things that went wrong from outside.
+    /// Number of scheduled actions.
     pub actions: usize,
-    /// Jobs handed in.
+    /// Number of submitted jobs.
     pub jobs: usize,
-    /// Of these, jobs that were taken.
-    pub taken: usize,
-    /// Tasks begun.
+    /// Number of accepted jobs.
+    pub accepted: usize,
+    /// Number of task starts.
     pub starts: usize,
-    /// Promises that were not kept.
-    pub wrong: Vec<String>,
+    /// Violated guarantees, in words.
+    pub violations: Vec<String>,
 }
 
-/// A run under way.
+/// State of a run in progress.
 pub(crate) struct Run {
     pub cell: Cell,
-    /// Faults of the store that are in force.
+    /// Active faults of the store.
     pub faults: Faults,
-    /// Counts what happens to each process, see [`ConfigWatch::life`].
-    pub lives: Vec<Arc<AtomicU64>>,
-    /// Newest version of the configuration that was written.
-    pub newest: Arc<AtomicU64>,
-    /// Processes that are down, ended by the run or by themselves.
+    /// Restarts of each process, see [`ConfigMonitor::generation`].
+    pub process_generations: Vec<Arc<AtomicU64>>,
+    /// Newest configuration version written.
+    pub newest_config_version: Arc<AtomicU64>,
+    /// Whether each process is down, stopped by the run or by itself.
     pub down: Vec<bool>,
-    /// What is wrong, apart from what callers were told.
-    pub wrong: Vec<String>,
-    /// What was harmed when.
-    pub harms: Harms,
-    /// Workers that were told to leave, by id, and their numbers.
-    pub leavers: HashMap<String, usize>,
+    /// Violations other than those in callers' answers.
+    pub violations: Vec<String>,
+    /// Disruptions so far.
+    pub disruptions: DisruptionLog,
+    /// Numbers of the workers that were asked to leave, by id.
+    pub drained_workers: HashMap<String, usize>,
     pub rng: fastrand::Rng,
-    /// What was done, a line each.
-    played: Vec<String>,
+    /// Applied actions, one line each.
+    action_log: Vec<String>,
 }
 
 /// Runs one seed.
 ///
 /// # Errors
-/// When the cell can't be started or changed, which says nothing about the program.
+/// Returns an error if the cell can't be started or changed. This is no failure of the program under test.
 pub async fn run_seed(seed: u64, o: &Options) -> Result<Report, SoakError> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let schedule = draw(&mut rng, o.size, o.span_ms);
+    let schedule = random_schedule(&mut rng, o.size, o.duration_ms);
     let cell = Cell::start(&o.program, o.size, &mut rng).await?;
     let nodes = cell.nodes.len();
     let mut run = Run {
-        newest: Arc::new(AtomicU64::new(cell.config)),
+        newest_config_version: Arc::new(AtomicU64::new(cell.config_version)),
         cell,
         faults: Faults::default(),
-        lives: (0..nodes).map(|_| Arc::default()).collect(),
+        process_generations: (0..nodes).map(|_| Arc::default()).collect(),
         down: vec![false; nodes],
-        wrong: Vec::new(),
-        harms: Harms::default(),
-        leavers: HashMap::new(),
+        violations: Vec::new(),
+        disruptions: DisruptionLog::default(),
+        drained_workers: HashMap::new(),
         rng,
-        played: Vec::new(),
+        action_log: Vec::new(),
     };
-    run.await_ready().await?;
-    let book = SharedBook::default();
+    run.wait_until_ready().await?;
+    let observations = SharedObservations::default();
     let stop: Arc<AtomicBool> = Arc::default();
-    let mut tasks = run.start_callers(o.callers, &book, &stop)?;
-    run.play(&schedule).await?;
-    run.heal().await?;
+    let mut tasks = run.start_callers(o.callers, &observations, &stop)?;
+    run.run_schedule(&schedule).await?;
+    run.end_failures().await?;
     stop.store(true, Ordering::Relaxed);
     while tasks.join_next().await.is_some() {}
-    run.finish(seed, schedule.len(), &book, o).await
+    run.finish(seed, schedule.len(), &observations, o).await
 }
 
 impl Run {
     fn start_callers(
         &mut self,
         callers: u64,
-        book: &SharedBook,
+        observations: &SharedObservations,
         stop: &Arc<AtomicBool>,
     ) -> Result<JoinSet<()>, SoakError> {
         let mut tasks = JoinSet::new();
@@ -124,73 +126,73 @@
             let caller = Caller {
                 number,
                 nodes: nodes.clone(),
-                client: client()?,
+                client: build_client()?,
                 rng: self.rng.fork(),
-                book: book.clone(),
+                observations: observations.clone(),
                 platform: self.cell.platform.clone(),
                 stop: stop.clone(),
             };
             tasks.spawn(caller.run());
         }
-        for (node, life) in nodes.iter().zip(&self.lives) {
-            let watch = ConfigWatch {
+        for (node, process_generation) in nodes.iter().zip(&self.process_generations) {
+            let watch = ConfigMonitor {
                 node: *node,
-                life: life.clone(),
-                newest: self.newest.clone(),
-                book: book.clone(),
+                generation: process_generation.clone(),
+                newest_version: self.newest_config_version.clone(),
+                observations: observations.clone(),
                 stop: stop.clone(),
-                client: client()?,
+                client: build_client()?,
             };
             tasks.spawn(watch.run());
         }
         Ok(tasks)
     }
 
-    async fn play(&mut self, schedule: &[Entry]) -> Result<(), SoakError> {
+    async fn run_schedule(&mut self, schedule: &[ScheduledAction]) -> Result<(), SoakError> {
         let began = Instant::now();
         for entry in schedule {
             let at = Duration::from_millis(entry.at_ms);
             sleep(at.saturating_sub(began.elapsed())).await;
             self.check_processes()?;
-            self.note_action(entry.action);
-            self.act(entry.action).await?;
+            self.log_action(entry.action);
+            self.apply(entry.action).await?;
         }
         Ok(())
     }
 
-    fn note_action(&mut self, action: Action) {
+    fn log_action(&mut self, action: Action) {
         let now = self.cell.platform.now();
-        self.harms.note(action, now);
-        self.played.push(format!("{now} {action:?}"));
+        self.disruptions.record(action, now);
+        self.action_log.push(format!("{now} {action:?}"));
     }
 
-    /// Notes processes that have ended by themselves.
+    /// Records a violation for each process that has exited by itself.
     fn check_processes(&mut self) -> Result<(), SoakError> {
         for (i, node) in self.cell.nodes.iter_mut().enumerate() {
-            if !self.down[i] && node.process.ended()?.is_some() {
+            if !self.down[i] && node.process.exit_success()?.is_some() {
                 self.down[i] = true;
-                self.wrong.push(format!("process n{i} has ended by itself"));
+                self.violations.push(format!("process n{i} has exited by itself"));
             }
         }
         Ok(())
     }
 
-    /// Waits until all processes are ready, and notes those that don't become so.
-    pub async fn await_ready(&mut self) -> Result<(), SoakError> {
-        let client = client()?;
+    /// Waits until all processes are ready. Records a violation for each one that isn't in time.
+    pub async fn wait_until_ready(&mut self) -> Result<(), SoakError> {
+        let build_client = build_client()?;
         let began = Instant::now();
         for i in 0..self.cell.nodes.len() {
             let url = format!("http://{}{}", self.cell.nodes[i].readiness, speech::READY_PATH);
             loop {
-                let answer = client.get(&url).timeout(READY_WITHIN).send().await;
+                let answer = build_client.get(&url).timeout(READY_TIMEOUT).send().await;
                 if answer.is_ok_and(|a| a.status().is_success()) {
                     break;
                 }
-                if began.elapsed() > READY_WITHIN {
-                    self.wrong.push(format!("process n{i} doesn't become ready"));
+                if began.elapsed() > READY_TIMEOUT {
+                    self.violations.push(format!("process n{i} doesn't become ready"));
                     break;
                 }
-                sleep(PAUSE).await;
+                sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
@@ -200,36 +202,40 @@
         mut self,
         seed: u64,
         actions: usize,
-        book: &SharedBook,
+        observations: &SharedObservations,
         o: &Options,
     ) -> Result<Report, SoakError> {
         let nodes: Vec<_> = self.cell.nodes.iter().map(|n| n.callers.addr).collect();
-        let stuck = await_ends(book, &nodes, &client()?).await;
+        let unfinished = wait_for_jobs_to_end(observations, &nodes, &build_client()?).await;
         self.check_processes()?;
-        let book = lock(book);
-        let mut wrong = std::mem::take(&mut self.wrong);
-        wrong.extend(stuck);
-        wrong.extend(book.wrong.iter().cloned());
-        wrong.extend(self.cell.platform.faults_found());
-        wrong.extend(judge_starts(&self.cell, &book, &self.harms));
+        let observations = lock(observations);
+        let mut violations = std::mem::take(&mut self.violations);
+        violations.extend(unfinished);
+        violations.extend(observations.violations.iter().cloned());
+        violations.extend(self.cell.platform.faults_found());
+        violations.extend(check_starts(&self.cell, &observations, &self.disruptions));
         let starts = self.cell.platform.leaving_starts();
-        wrong.extend(judge_leaving(&starts, &self.leavers, &self.harms));
-        if let (false, Some(keep)) = (wrong.is_empty(), &o.keep) {
-            let folder = keep.join(format!("seed-{seed}"));
+        violations.extend(check_starts_while_leaving(
+            &starts,
+            &self.drained_workers,
+            &self.disruptions,
+        ));
+        if let (false, Some(keep_dir)) = (violations.is_empty(), &o.keep_dir) {
+            let folder = keep_dir.join(format!("seed-{seed}"));
             self.cell.keep_logs(&folder)?;
-            std::fs::write(folder.join(PLAYED), self.played.join("\n"))?;
+            std::fs::write(folder.join(ACTION_LOG_FILE), self.action_log.join("\n"))?;
         }
         Ok(Report {
             seed,
             actions,
-            jobs: book.jobs.len(),
-            taken: book.jobs.values().filter(|t| t.accepted).count(),
+            jobs: observations.jobs.len(),
+            accepted: observations.jobs.values().filter(|t| t.accepted).count(),
             starts: self.cell.platform.starts().len(),
-            wrong,
+            violations,
         })
     }
 }
 
-fn client() -> Result<Client, SoakError> {
+fn build_client() -> Result<Client, SoakError> {
     Ok(Client::builder().no_proxy().build()?)
 }
--- a/crates/hollowford-soak/src/schedule.rs
+++ b/crates/hollowford-soak/src/schedule.rs
@@ -1,97 +1,97 @@
-//! What goes wrong, and when: drawn from a seed.
+//! The schedule of failures of a run, drawn from its seed.
 
 use crate::cell::Size;
 use crate::proxy::Mode;
 use fastrand::Rng;
 
-/// Shortest and longest time between two failures that begin, in milliseconds. Most last
-/// longer, so that they overlap.
-const BETWEEN_MS: std::ops::Range<u64> = 50..900;
-/// How long a failure lasts, in milliseconds. A takeover takes up to 1.5 s, a lease 3 s.
-const LASTS_MS: std::ops::Range<u64> = 100..4_000;
-/// How long a process that was killed is down.
-const DOWN_MS: std::ops::Range<u64> = 50..1_500;
-/// A process that was told to stop ends within this time, and is started again.
-const STOPS_WITHIN_MS: u64 = 6_000;
-/// A worker that leaves is gone this long after it said so: at times it stays for many seconds.
-const LEAVES_AFTER_MS: std::ops::Range<u64> = 3_000..9_000;
-/// Most configurations in quick succession, and the time between them.
-const CONFIGS: u64 = 4;
-const CONFIG_GAP_MS: u64 = 250;
+/// Time between the starts of two failures, in milliseconds. Most failures last longer, so
+/// they overlap.
+const FAILURE_INTERVAL_MS: std::ops::Range<u64> = 50..900;
+/// Duration of a failure, in milliseconds. A takeover takes up to 1.5 s, and a lease lasts 3 s.
+const FAILURE_DURATION_MS: std::ops::Range<u64> = 100..4_000;
+/// Time until a killed process is started again, in milliseconds.
+const DOWNTIME_MS: std::ops::Range<u64> = 50..1_500;
+/// Time from a stop signal to the next start of the process, in milliseconds.
+const STOP_TIME_MS: u64 = 6_000;
+/// Time from a worker's announcement that it leaves to its removal, in milliseconds.
+const DRAIN_TIME_MS: std::ops::Range<u64> = 3_000..9_000;
+/// Largest number of configurations in quick succession.
+const MAX_CONFIG_CHANGES: u64 = 4;
+const CONFIG_CHANGE_INTERVAL_MS: u64 = 250;
 
-/// One thing that is done to the cell from outside.
+/// An action on the cell from outside.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Kills a process.
     Kill(usize),
     /// Pauses a process.
     Pause(usize),
-    /// Lets a paused process go on.
+    /// Resumes a paused process.
     Resume(usize),
-    /// Tells a process to stop.
+    /// Asks a process to stop.
     Stop(usize),
-    /// Starts a process that has ended.
+    /// Starts a stopped process again.
     Start(usize),
-    /// Tells a process that its settings may have changed.
+    /// Asks a process to reload its settings.
     Hangup(usize),
-    /// The store refuses everything, or no more.
+    /// Starts or ends a store outage, in which every call is refused.
     Outage(bool),
-    /// The store's answers take so many milliseconds longer.
+    /// Delays the store's answers by this many milliseconds.
     Slow(u64),
-    /// The answers of the next transactions are lost.
+    /// Loses the answers to this many following transactions.
     LoseAnswers(u32),
-    /// The store has lost its history, or no more.
+    /// Makes the store lose its change history, or ends that.
     NoHistory(bool),
-    /// The way between a process and the store.
+    /// Sets the proxy between a process and the store.
     StorePath(usize, Mode),
-    /// The way between the processes and a worker.
+    /// Sets the proxy between the processes and a worker.
     WorkerPath(usize, Mode),
-    /// The way between callers and a process.
+    /// Sets the proxy between callers and a process.
     CallerPath(usize, Mode),
-    /// A worker crashes and comes back.
+    /// Crashes and restarts a worker.
     CrashWorker(usize),
-    /// A worker says that it leaves.
+    /// Makes a worker announce that it leaves.
     DrainWorker(usize),
-    /// It has left, and another one comes.
+    /// Removes a worker that leaves, and adds another one.
     ReplaceWorker(usize),
-    /// The operator writes the next configuration.
+    /// Writes the next configuration.
     Configure,
 }
 
-/// An action and its time.
+/// An action and when it is applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Entry {
-    /// Milliseconds since the start.
+pub struct ScheduledAction {
+    /// Time since the start, in milliseconds.
     pub at_ms: u64,
-    /// What is done.
+    /// The action to apply.
     pub action: Action,
 }
 
-/// Draws what goes wrong within `span_ms`, in the order of time.
-pub fn draw(rng: &mut Rng, size: Size, span_ms: u64) -> Vec<Entry> {
+/// Returns a random schedule of failures that start within `duration_ms`, sorted by time.
+pub fn random_schedule(rng: &mut Rng, size: Size, duration_ms: u64) -> Vec<ScheduledAction> {
     let mut out = Vec::new();
-    let mut at = rng.u64(BETWEEN_MS);
-    while at < span_ms {
-        draw_failure(rng, size, at, &mut out);
-        at += rng.u64(BETWEEN_MS);
+    let mut at = rng.u64(FAILURE_INTERVAL_MS);
+    while at < duration_ms {
+        add_random_failure(rng, size, at, &mut out);
+        at += rng.u64(FAILURE_INTERVAL_MS);
     }
     out.sort_by_key(|e| e.at_ms);
     out
 }
 
-fn draw_failure(rng: &mut Rng, size: Size, at: u64, out: &mut Vec<Entry>) {
-    let until = at + rng.u64(LASTS_MS);
+fn add_random_failure(rng: &mut Rng, size: Size, at: u64, out: &mut Vec<ScheduledAction>) {
+    let until = at + rng.u64(FAILURE_DURATION_MS);
     let (node, worker) = (rng.usize(..size.nodes), rng.usize(..size.workers));
-    let mut add = |at_ms, action| out.push(Entry { at_ms, action });
+    let mut add = |at_ms, action| out.push(ScheduledAction { at_ms, action });
     match rng.u8(..17) {
         0 | 1 => {
             add(at, Action::Kill(node));
-            add(at + rng.u64(DOWN_MS), Action::Start(node));
+            add(at + rng.u64(DOWNTIME_MS), Action::Start(node));
         }
         2 => {
             for n in 0..size.nodes {
                 add(at, Action::Kill(n));
-                add(at + rng.u64(DOWN_MS), Action::Start(n));
+                add(at + rng.u64(DOWNTIME_MS), Action::Start(n));
             }
         }
         3 => {
@@ -100,7 +100,7 @@
         }
         4 => {
             add(at, Action::Stop(node));
-            add(at + STOPS_WITHIN_MS, Action::Start(node));
+            add(at + STOP_TIME_MS, Action::Start(node));
         }
         5 => add(at, Action::Hangup(node)),
         6 => {
@@ -117,31 +117,31 @@
             add(until, Action::NoHistory(false));
         }
         10 => {
-            add(at, Action::StorePath(node, draw_mode(rng)));
+            add(at, Action::StorePath(node, random_mode(rng)));
             add(until, Action::StorePath(node, Mode::Pass));
         }
         11 | 12 => {
-            add(at, Action::WorkerPath(worker, draw_mode(rng)));
+            add(at, Action::WorkerPath(worker, random_mode(rng)));
             add(until, Action::WorkerPath(worker, Mode::Pass));
         }
         13 => {
-            add(at, Action::CallerPath(node, draw_mode(rng)));
+            add(at, Action::CallerPath(node, random_mode(rng)));
             add(until, Action::CallerPath(node, Mode::Pass));
         }
         14 => add(at, Action::CrashWorker(worker)),
         15 => {
             add(at, Action::DrainWorker(worker));
-            add(at + rng.u64(LEAVES_AFTER_MS), Action::ReplaceWorker(worker));
+            add(at + rng.u64(DRAIN_TIME_MS), Action::ReplaceWorker(worker));
         }
         _ => {
-            for i in 0..rng.u64(1..=CONFIGS) {
-                add(at + i * CONFIG_GAP_MS, Action::Configure);
+            for i in 0..rng.u64(1..=MAX_CONFIG_CHANGES) {
+                add(at + i * CONFIG_CHANGE_INTERVAL_MS, Action::Configure);
             }
         }
     }
 }
 
-fn draw_mode(rng: &mut Rng) -> Mode {
+fn random_mode(rng: &mut Rng) -> Mode {
     match rng.u8(..5) {
         0 => Mode::Delay(rng.u64(10..300)),
         1 => Mode::HoldRequests,
--- a/crates/hollowford/tests/common/node.rs
+++ b/crates/hollowford/tests/common/node.rs
@@ -67,7 +67,7 @@
         door: Door,
         ports: Ports,
         dir: &Path,
-        workers_each: usize,
+        workers_per_partition: usize,
     ) -> Node {
         let name = format!("n{i}");
         let path = dir.join(format!("{name}.toml"));
@@ -84,7 +84,8 @@
         File::create(&path).and_then(|mut f| f.write_all(text.as_bytes())).expect("settings");
         let log = dir.join(format!("{name}.log"));
         let program = Path::new(env!("CARGO_BIN_EXE_hollowford"));
-        let process = Process::start(program, &path, &log, workers_each).expect("the program");
+        let process =
+            Process::start(program, &path, &log, workers_per_partition).expect("the program");
         let at = |port| SocketAddr::from((ports.ip(i), port));
         let (callers, readiness) = (at(ports.callers), at(ports.readiness));
         Node { process, callers, readiness, store: door }
@@ -104,7 +105,7 @@
     pub fn wait(&mut self) -> bool {
         let began = Instant::now();
         while began.elapsed() < PATIENCE {
-            if let Some(well) = self.process.ended().expect("its state") {
+            if let Some(well) = self.process.exit_success().expect("its state") {
                 return well;
             }
             std::thread::sleep(Duration::from_millis(20));
@@ -119,12 +120,12 @@
 
     /// Tells whether the process runs.
     pub fn is_up(&mut self) -> bool {
-        self.process.ended().expect("its state").is_none()
+        self.process.exit_success().expect("its state").is_none()
     }
 
     /// Returns what it has logged.
     pub fn log(&self) -> String {
-        self.process.log()
+        self.process.log_text()
     }
 
     /// Tells whether it was the last to become the owner, by its log.
@@ -147,7 +148,7 @@
     }
 
     /// Starts processes with a partition for each `workers_each` workers.
-    pub async fn divided(shares: &[f64], workers: usize, workers_each: usize) -> Cell {
+    pub async fn divided(shares: &[f64], workers: usize, workers_per_partition: usize) -> Cell {
         let platform = Platform::start(workers).await.expect("the platform");
         platform.configure(1, &[("/plain/", false), ("/advised/", true)]);
         let dir = TempDir::new().expect("a folder");
@@ -155,8 +156,14 @@
         let mut nodes = Vec::new();
         for numbered in shares.iter().copied().enumerate() {
             let door = platform.open_door().await.expect("a way to the store");
-            let node =
-                Node::start(numbered, platform.addr(), door, ports, dir.path(), workers_each);
+            let node = Node::start(
+                numbered,
+                platform.addr(),
+                door,
+                ports,
+                dir.path(),
+                workers_per_partition,
+            );
             nodes.push(node);
         }
         let http = Client::builder().no_proxy().build().expect("a client");
@@ -223,8 +230,8 @@
 
     /// Hands in a job, again and again until it is taken.
     pub async fn submit_surely(&self, node: usize, queue: &str, id: u64, count: u32, ms: u64) {
-        let taken = || async { self.submit(node, queue, id, count, ms).await == 200 };
-        assert!(eventually(taken).await, "job {id} is not taken");
+        let accepted = || async { self.submit(node, queue, id, count, ms).await == 200 };
+        assert!(eventually(accepted).await, "job {id} is not taken");
     }
 
     /// Returns a job's state as one process tells it.
--- a/crates/hollowford/tests/soak.rs
+++ b/crates/hollowford/tests/soak.rs
@@ -6,17 +6,18 @@
 use std::path::Path;
 
 /// Size, callers and time of every short run.
-const SHORT: (Size, u64, u64) = (Size { nodes: 3, workers: 6, workers_each: 3 }, 6, 5_000);
+const SHORT: (Size, u64, u64) = (Size { nodes: 3, workers: 6, workers_per_partition: 3 }, 6, 5_000);
 /// The same of the runs in which faults were found by hand.
-const FOUND: (Size, u64, u64) = (Size { nodes: 4, workers: 8, workers_each: 4 }, 12, 12_000);
+const FOUND: (Size, u64, u64) =
+    (Size { nodes: 4, workers: 8, workers_per_partition: 4 }, 12, 12_000);
 
-async fn soak(seed: u64, (size, callers, span_ms): (Size, u64, u64)) {
+async fn soak(seed: u64, (size, callers, duration_ms): (Size, u64, u64)) {
     let program = Path::new(env!("CARGO_BIN_EXE_hollowford")).to_owned();
-    let options = Options { program, size, callers, span_ms, keep: None };
+    let options = Options { program, size, callers, duration_ms, keep_dir: None };
     let report = run_seed(seed, &options).await.expect("a cell");
     println!("{report:?}");
-    assert!(report.taken > 0, "seed {seed}: no job was taken");
-    assert!(report.wrong.is_empty(), "seed {seed}: {:#?}", report.wrong);
+    assert!(report.accepted > 0, "seed {seed}: no job was taken");
+    assert!(report.violations.is_empty(), "seed {seed}: {:#?}", report.violations);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
