--- a/crates/hollowford-soak/src/cell.rs
+++ b/crates/hollowford-soak/src/cell.rs
@@ -155,7 +155,7 @@
         w
     }
 
-    /// Lets a worker crash and come back as another life, every new_id time under the id that it had.
+    /// Crashes and restarts a worker, every other time under the same id.
     pub fn restart_worker(&mut self, i: usize) {
         let new_id = self.next_worker_id();
         let is_same = self.worker_count.is_multiple_of(2);
