--- a/crates/hollowford-standin/src/bench/load.rs
+++ b/crates/hollowford-standin/src/bench/load.rs
@@ -13,16 +13,16 @@
 use tonic::transport::{Channel, Endpoint};
 
 /// Of ten requests, so many are quick checks; the others are batch work.
-const CHECKS_OF_TEN: u64 = 5;
+const CHECKS_PER_TEN_REQUESTS: u64 = 5;
 /// Tasks of one batch request.
 const BATCH_TASKS: u32 = 9;
 const CHECK_RUN_MS: u64 = 20;
 const BATCH_RUN_MS: u64 = 100;
 /// Longest time of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(20);
-const LONGEST_MS: u64 = 120_000;
+const MAX_RECORDED_MS: u64 = 120_000;
 /// Calls that may be open; past it the loop is closed, and the step says so by its rate.
-const OPEN_BOUND: usize = 20_000;
+const MAX_OPEN_CALLS: usize = 20_000;
 /// Connections to each process.
 const CONNECTIONS: usize = 4;
 
@@ -34,8 +34,8 @@
 }
 
 /// What came of one call.
-struct Reply {
-    check: bool,
+struct CallResult {
+    is_check: bool,
     tasks: u32,
     /// Waiting time, when there is an answer.
     waited: Option<u64>,
@@ -44,10 +44,10 @@
 }
 
 /// What came of one step.
-pub(super) struct Shot {
+pub(super) struct LoadResult {
     pub started: u64,
     pub failed: u64,
-    pub took: Duration,
+    pub elapsed: Duration,
     pub check_wait: Histogram<u64>,
     pub check_call: Histogram<u64>,
     pub batch_wait: Histogram<u64>,
@@ -55,23 +55,23 @@
 
 /// Connects to every process.
 pub(super) async fn connect(options: &Options) -> Result<Vec<Caller>, StandinError> {
-    let wrong = |e: &dyn std::fmt::Display| StandinError::Bench(e.to_string());
+    let to_error = |e: &dyn std::fmt::Display| StandinError::Bench(e.to_string());
     let mut callers = Vec::new();
     for addr in &options.callers {
         for _ in 0..CONNECTIONS {
             let endpoint =
-                Endpoint::from_shared(format!("http://{addr}")).map_err(|e| wrong(&e))?;
-            let channel = endpoint.tcp_nodelay(true).connect().await.map_err(|e| wrong(&e))?;
+                Endpoint::from_shared(format!("http://{addr}")).map_err(|e| to_error(&e))?;
+            let channel = endpoint.tcp_nodelay(true).connect().await.map_err(|e| to_error(&e))?;
             let authorization =
-                format!("Bearer {}", options.token).parse().map_err(|e| wrong(&e))?;
+                format!("Bearer {}", options.token).parse().map_err(|e| to_error(&e))?;
             callers.push(Caller { client: SchedulerClient::new(channel), authorization });
         }
     }
     Ok(callers)
 }
 
-fn spec(check: bool) -> v1::RequestSpec {
-    let (kind, tasks, run) = match check {
+fn spec(is_check: bool) -> v1::RequestSpec {
+    let (kind, tasks, run) = match is_check {
         true => (v1::Kind::Check, 1, CHECK_RUN_MS),
         false => (v1::Kind::Batch, BATCH_TASKS, BATCH_RUN_MS),
     };
@@ -87,19 +87,20 @@
 
 fn histogram() -> Histogram<u64> {
     // Bounds that are constant and in order can't be refused.
-    Histogram::new_with_bounds(1, LONGEST_MS, 3).unwrap_or_else(|_| unreachable!())
+    Histogram::new_with_bounds(1, MAX_RECORDED_MS, 3).unwrap_or_else(|_| unreachable!())
 }
 
 /// Asks for `rate` starts a second for so many seconds, and waits for all answers.
-pub(super) async fn drive(callers: &[Caller], rate: u64, seconds: u64) -> Shot {
+pub(super) async fn run_load(callers: &[Caller], rate: u64, seconds: u64) -> LoadResult {
     static STEP: AtomicU64 = AtomicU64::new(0);
     let run = format!("{}-{}", std::process::id(), STEP.fetch_add(1, Ordering::Relaxed));
     let run: Arc<str> = run.into();
-    let (tx, mut rx) = mpsc::channel(OPEN_BOUND);
+    let (tx, mut rx) = mpsc::channel(MAX_OPEN_CALLS);
     // Of ten requests: five checks of one task and five batches of nine are fifty.
-    let per_ten = CHECKS_OF_TEN + (10 - CHECKS_OF_TEN) * u64::from(BATCH_TASKS);
-    let requests = rate * seconds * 10 / per_ten;
-    let spacing = Duration::from_secs_f64(per_ten as f64 / 10.0 / rate as f64);
+    let starts_per_ten_requests =
+        CHECKS_PER_TEN_REQUESTS + (10 - CHECKS_PER_TEN_REQUESTS) * u64::from(BATCH_TASKS);
+    let requests = rate * seconds * 10 / starts_per_ten_requests;
+    let spacing = Duration::from_secs_f64(starts_per_ten_requests as f64 / 10.0 / rate as f64);
     let started = Instant::now();
     for i in 0..requests {
         let due = spacing * i as u32;
@@ -108,43 +109,49 @@
             tokio::time::sleep(due - started.elapsed()).await;
         }
         let caller = callers[i as usize % callers.len()].clone();
-        let check = i % 10 < CHECKS_OF_TEN;
-        tokio::spawn(call(caller, run.clone(), i, check, tx.clone()));
+        let is_check = i % 10 < CHECKS_PER_TEN_REQUESTS;
+        tokio::spawn(call(caller, run.clone(), i, is_check, tx.clone()));
     }
     drop(tx);
-    let mut shot = Shot {
+    let mut load = LoadResult {
         started: 0,
         failed: 0,
-        took: Duration::ZERO,
+        elapsed: Duration::ZERO,
         check_wait: histogram(),
         check_call: histogram(),
         batch_wait: histogram(),
     };
-    while let Some(reply) = rx.recv().await {
-        shot.take(&reply);
+    while let Some(result) = rx.recv().await {
+        load.add(&result);
     }
-    shot.took = started.elapsed();
-    shot
+    load.elapsed = started.elapsed();
+    load
 }
 
-impl Shot {
-    fn take(&mut self, reply: &Reply) {
-        let Some(waited) = reply.waited else {
+impl LoadResult {
+    fn add(&mut self, result: &CallResult) {
+        let Some(waited) = result.waited else {
             self.failed += 1;
             return;
         };
-        self.started += u64::from(reply.tasks);
-        if reply.check {
+        self.started += u64::from(result.tasks);
+        if result.is_check {
             self.check_wait.saturating_record(waited);
-            self.check_call.saturating_record(reply.overhead);
+            self.check_call.saturating_record(result.overhead);
         } else {
             self.batch_wait.saturating_record(waited);
         }
     }
 }
 
-async fn call(mut caller: Caller, run: Arc<str>, i: u64, check: bool, tx: mpsc::Sender<Reply>) {
-    let body = spec(check);
+async fn call(
+    mut caller: Caller,
+    run: Arc<str>,
+    i: u64,
+    is_check: bool,
+    tx: mpsc::Sender<CallResult>,
+) {
+    let body = spec(is_check);
     let (tasks, run_ms) = (body.tasks, body.run_time_ms);
     let req = v1::SubmitRequest { request_id: format!("{run}-{i}"), spec: Some(body), wait: true };
     let mut req = tonic::Request::new(req);
@@ -155,5 +162,5 @@
     let waited = view.filter(|v| v.answer.is_some()).and_then(|v| v.waited_ms);
     let overhead = (called.elapsed().as_millis() as u64).saturating_sub(run_ms);
     // The receiver lives until every sender is gone.
-    let _ = tx.send(Reply { check, tasks, waited, overhead }).await;
+    let _ = tx.send(CallResult { is_check, tasks, waited, overhead }).await;
 }
--- a/crates/hollowford-standin/src/bench/mod.rs
+++ b/crates/hollowford-standin/src/bench/mod.rs
@@ -5,7 +5,7 @@
 mod plot;
 
 use crate::StandinError;
-use load::Shot;
+use load::LoadResult;
 use observe::Snapshot;
 use serde::Serialize;
 use std::path::Path;
@@ -76,9 +76,9 @@
     let mut steps = Vec::new();
     for &rate in &options.rates {
         let before = Snapshot::take(options).await?;
-        let shot = load::drive(&callers, rate, options.seconds).await;
+        let load = load::run_load(&callers, rate, options.seconds).await;
         let after = Snapshot::take(options).await?;
-        let step = Step::new(rate, &shot, &before, &after);
+        let step = Step::new(rate, &load, &before, &after);
         step.print();
         steps.push(step);
         // The queue that a step leaves behind is not the next one's.
@@ -94,25 +94,26 @@
 }
 
 impl Step {
-    fn new(rate: u64, shot: &Shot, before: &Snapshot, after: &Snapshot) -> Step {
+    fn new(rate: u64, load: &LoadResult, before: &Snapshot, after: &Snapshot) -> Step {
         let seconds = after.at.duration_since(before.at).as_secs_f64();
-        let placed = shot.started.max(1) as f64;
+        let placed = load.started.max(1) as f64;
         let writes = (after.writes - before.writes) as f64;
         let reads = (after.reads - before.reads) as f64;
-        let cpu: Vec<f64> = after.cpu.iter().zip(&before.cpu).map(|(a, b)| a - b).collect();
+        let cpu: Vec<f64> =
+            after.cpu_seconds.iter().zip(&before.cpu_seconds).map(|(a, b)| a - b).collect();
         Step {
             rate,
-            achieved: shot.started as f64 / shot.took.as_secs_f64(),
-            failed: shot.failed,
-            check_wait_p50: shot.check_wait.value_at_quantile(0.5),
-            check_wait_p99: shot.check_wait.value_at_quantile(0.99),
-            check_call_p99: shot.check_call.value_at_quantile(0.99),
-            batch_wait_p99: shot.batch_wait.value_at_quantile(0.99),
+            achieved: load.started as f64 / load.elapsed.as_secs_f64(),
+            failed: load.failed,
+            check_wait_p50: load.check_wait.value_at_quantile(0.5),
+            check_wait_p99: load.check_wait.value_at_quantile(0.99),
+            check_call_p99: load.check_call.value_at_quantile(0.99),
+            batch_wait_p99: load.batch_wait.value_at_quantile(0.99),
             writes_per_placement: writes / placed,
             writes_per_second: writes / seconds,
             reads_per_second: reads / seconds,
-            bytes_per_placement: (after.bytes - before.bytes) as f64 / placed,
-            bytes_per_second: (after.bytes - before.bytes) as f64 / seconds,
+            bytes_per_placement: (after.received_bytes - before.received_bytes) as f64 / placed,
+            bytes_per_second: (after.received_bytes - before.received_bytes) as f64 / seconds,
             cpu_us_per_placement: cpu.iter().sum::<f64>() * 1e6 / placed,
             cores: cpu.iter().map(|c| c / seconds).collect(),
             memory_mib: after.memory_mib.clone(),
--- a/crates/hollowford-standin/src/bench/observe.rs
+++ b/crates/hollowford-standin/src/bench/observe.rs
@@ -15,25 +15,25 @@
     pub reads: u64,
     pub writes: u64,
     /// Bytes received over loopback by all processes of the machine.
-    pub bytes: u64,
+    pub received_bytes: u64,
     /// Processor time of each process, in seconds.
-    pub cpu: Vec<f64>,
+    pub cpu_seconds: Vec<f64>,
     pub memory_mib: Vec<f64>,
 }
 
 impl Snapshot {
     pub async fn take(options: &Options) -> Result<Snapshot, StandinError> {
-        let wrong = |e: reqwest::Error| StandinError::Bench(e.without_url().to_string());
-        let http = reqwest::Client::builder().no_proxy().build().map_err(wrong)?;
+        let to_error = |e: reqwest::Error| StandinError::Bench(e.without_url().to_string());
+        let http = reqwest::Client::builder().no_proxy().build().map_err(to_error)?;
         let url = format!("http://{}/served", options.platform);
-        let served: Served =
-            http.get(url).send().await.map_err(wrong)?.json().await.map_err(wrong)?;
+        let stats: Served =
+            http.get(url).send().await.map_err(to_error)?.json().await.map_err(to_error)?;
         Ok(Snapshot {
             at: Instant::now(),
-            reads: served.reads,
-            writes: served.writes,
-            bytes: loopback_bytes().unwrap_or(0),
-            cpu: options.pids.iter().map(|p| cpu_seconds(p).unwrap_or(0.0)).collect(),
+            reads: stats.reads,
+            writes: stats.writes,
+            received_bytes: loopback_bytes().unwrap_or(0),
+            cpu_seconds: options.pids.iter().map(|p| cpu_seconds(p).unwrap_or(0.0)).collect(),
             memory_mib: options.pids.iter().map(|p| memory_mib(p).unwrap_or(0.0)).collect(),
         })
     }
--- a/crates/hollowford-standin/src/bench/plot.rs
+++ b/crates/hollowford-standin/src/bench/plot.rs
@@ -8,7 +8,7 @@
 /// A line of the plot: its name, its colour, and what it shows of a step.
 type Series = (&'static str, RGBColor, fn(&Step) -> u64);
 
-const SIZE: (u32, u32) = (800, 480);
+const SIZE_PX: (u32, u32) = (800, 480);
 
 /// Draws the steps into an SVG file.
 ///
@@ -19,16 +19,16 @@
 }
 
 fn draw_chart(steps: &[Step], path: &Path) -> Result<(), Box<dyn std::error::Error>> {
-    let root = SVGBackend::new(path, SIZE).into_drawing_area();
+    let root = SVGBackend::new(path, SIZE_PX).into_drawing_area();
     root.fill(&WHITE)?;
-    let most_rate = steps.iter().map(|s| s.rate as f64).fold(1.0, f64::max);
-    let highest = |s: &Step| s.check_call_p99.max(s.batch_wait_p99) as f64;
-    let most_ms = steps.iter().map(highest).fold(1.0, f64::max) * 1.1;
+    let max_rate = steps.iter().map(|s| s.rate as f64).fold(1.0, f64::max);
+    let max_latency = |s: &Step| s.check_call_p99.max(s.batch_wait_p99) as f64;
+    let max_ms = steps.iter().map(max_latency).fold(1.0, f64::max) * 1.1;
     let mut chart = ChartBuilder::on(&root)
         .margin(20)
         .x_label_area_size(40)
         .y_label_area_size(60)
-        .build_cartesian_2d(0.0..most_rate, 0.0..most_ms)?;
+        .build_cartesian_2d(0.0..max_rate, 0.0..max_ms)?;
     chart.configure_mesh().x_desc("starts asked for a second").y_desc("ms").draw()?;
     let series: [Series; 3] = [
         ("check, acceptance to start, p99", RED, |s| s.check_wait_p99),
--- a/crates/hollowford-standin/src/control.rs
+++ b/crates/hollowford-standin/src/control.rs
@@ -11,26 +11,26 @@
 use std::sync::Arc;
 
 /// The workers of one process, by id.
-pub struct Controlled {
+pub struct ControlledWorkers {
     /// The workers.
     pub workers: BTreeMap<String, Arc<StandinWorker>>,
     /// Their common record.
     pub recorder: Arc<Recorder>,
 }
 
-type State<'a> = Data<&'a Arc<Controlled>>;
+type State<'a> = Data<&'a Arc<ControlledWorkers>>;
 
 #[handler]
 fn leave(state: State<'_>, Path(id): Path<String>) {
     if let Some(w) = state.workers.get(&id) {
-        w.leave();
+        w.announce_leaving();
     }
 }
 
 #[handler]
-fn cut(state: State<'_>, Path(id): Path<String>) {
+fn disconnect(state: State<'_>, Path(id): Path<String>) {
     if let Some(w) = state.workers.get(&id) {
-        w.cut();
+        w.disconnect();
     }
 }
 
@@ -42,9 +42,9 @@
 }
 
 #[handler]
-fn deaf(state: State<'_>, Path((id, on)): Path<(String, bool)>) {
+fn reject_claims(state: State<'_>, Path((id, on)): Path<(String, bool)>) {
     if let Some(w) = state.workers.get(&id) {
-        w.set_deaf(on);
+        w.set_rejects_claims(on);
     }
 }
 
@@ -57,12 +57,12 @@
 ///
 /// # Errors
 /// When it can't be bound.
-pub async fn start(controlled: Controlled) -> io::Result<SocketAddr> {
+pub async fn start(controlled: ControlledWorkers) -> io::Result<SocketAddr> {
     let app = Route::new()
         .at("/leave/:id", post(leave))
-        .at("/cut/:id", post(cut))
+        .at("/cut/:id", post(disconnect))
         .at("/fail/:id/:on", post(fail))
-        .at("/deaf/:id/:on", post(deaf))
+        .at("/deaf/:id/:on", post(reject_claims))
         .at("/record", get(record))
         .data(Arc::new(controlled));
     let acceptor = TcpListener::bind("127.0.0.1:0").into_acceptor().await?;
--- a/crates/hollowford-standin/src/lib.rs
+++ b/crates/hollowford-standin/src/lib.rs
@@ -5,10 +5,10 @@
 
 pub mod bench;
 pub mod control;
-pub mod judge;
 pub mod payload;
 pub mod platform;
 pub mod record;
+pub mod record_check;
 pub mod register;
 pub mod worker;
 
--- a/crates/hollowford-standin/src/main.rs
+++ b/crates/hollowford-standin/src/main.rs
@@ -1,7 +1,7 @@
 //! Program of the stand-ins, for tests: `platform` or `workers`. It prints the
 //! addresses that it got as one line of JSON, and runs until it is ended.
 
-use hollowford_standin::control::{self, Controlled};
+use hollowford_standin::control::{self, ControlledWorkers};
 use hollowford_standin::record::Recorder;
 use hollowford_standin::register::{Group, start_group};
 use hollowford_standin::{StandinError, bench, platform};
@@ -77,12 +77,12 @@
         cpu_milli: args.opt_value_from_str("--cpu-milli")?.unwrap_or(16_000),
         memory_mib: args.opt_value_from_str("--memory-mib")?.unwrap_or(65_536),
         accelerators: args.opt_value_from_str("--accelerators")?.unwrap_or(0),
-        bad: args.opt_value_from_str("--bad")?.unwrap_or(0),
+        failing_count: args.opt_value_from_str("--bad")?.unwrap_or(0),
     };
     let recorder = Arc::new(Recorder::new(record.as_deref())?);
     let workers = start_group(&group, &platform, &recorder).await?;
     let workers = workers.into_iter().map(|w| (w.id().to_owned(), w)).collect();
-    let control = control::start(Controlled { workers, recorder }).await?;
+    let control = control::start(ControlledWorkers { workers, recorder }).await?;
     println!("{}", serde_json::json!({ "control": control }));
     std::future::pending().await
 }
--- a/crates/hollowford-standin/src/payload.rs
+++ b/crates/hollowford-standin/src/payload.rs
@@ -14,7 +14,7 @@
     /// Memory that it uses, in mebibytes.
     pub memory_mib: Option<u32>,
     /// Length of its result in bytes.
-    pub result: usize,
+    pub result_bytes: usize,
 }
 
 impl From<&[u8]> for Behaviour {
@@ -29,7 +29,7 @@
                 "fail" => b.fail = true,
                 "cpu" => b.cpu_milli = value.parse().ok(),
                 "memory" => b.memory_mib = value.parse().ok(),
-                "result" => b.result = value.parse().unwrap_or(0),
+                "result" => b.result_bytes = value.parse().unwrap_or(0),
                 _ => {}
             }
         }
--- a/crates/hollowford-standin/src/record.rs
+++ b/crates/hollowford-standin/src/record.rs
@@ -9,7 +9,7 @@
 /// What happened to a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
+pub enum TaskEvent {
     /// It started.
     Start,
     /// It ran to its end.
@@ -32,7 +32,7 @@
     /// The worker.
     pub worker: String,
     /// What happened.
-    pub what: What,
+    pub what: TaskEvent,
     /// Partition of the session.
     pub partition: u32,
     /// Number of the request.
--- a/crates/hollowford-standin/src/judge.rs
+++ b/crates/hollowford-standin/src/record_check.rs
@@ -1,13 +1,13 @@
 //! Judges the workers' records: did anything run twice at once, or over-commit?
 
-use crate::record::{Line, What};
+use crate::record::{Line, TaskEvent};
 use std::collections::BTreeMap;
 
 /// Identity of a task over all its attempts: the name in its payload, which a caller
 /// that repeats a request repeats too, or else the request's number; then the index.
 type TaskKey = (u32, String, u32);
 
-fn key_of(line: &Line) -> TaskKey {
+fn task_key(line: &Line) -> TaskKey {
     let name = match line.name.as_str() {
         "" => line.request.to_string(),
         name => name.to_owned(),
@@ -17,29 +17,31 @@
 
 /// What the records show.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Verdict {
+pub struct RecordSummary {
     /// Starts made.
     pub starts: usize,
     /// Faults found, in words.
-    pub faults: Vec<String>,
+    pub violations: Vec<String>,
     /// Starts by the payload's name.
-    pub by_name: BTreeMap<String, usize>,
+    pub starts_by_name: BTreeMap<String, usize>,
 }
 
 /// Judges all lines of all workers.
-pub fn judge(mut lines: Vec<Line>) -> Verdict {
+pub fn check_record(mut lines: Vec<Line>) -> RecordSummary {
     lines.sort_by_key(|l| l.at_us);
-    let mut verdict = Verdict::default();
+    let mut summary = RecordSummary::default();
     let mut running: BTreeMap<TaskKey, (String, u64, u32)> = BTreeMap::new();
     for line in &lines {
-        let key = key_of(line);
+        let key = task_key(line);
         match line.what {
-            What::Start => {
-                judge_start(&mut verdict, &running, line, &key);
+            TaskEvent::Start => {
+                check_start(&mut summary, &running, line, &key);
                 running.insert(key, (line.worker.clone(), line.request, line.attempt));
             }
-            What::NoRoom => verdict.faults.push(format!("over-commitment asked for: {line:?}")),
-            What::Done | What::Failed | What::Stopped | What::Lapsed => {
+            TaskEvent::NoRoom => {
+                summary.violations.push(format!("over-commitment asked for: {line:?}"))
+            }
+            TaskEvent::Done | TaskEvent::Failed | TaskEvent::Stopped | TaskEvent::Lapsed => {
                 let own = |(_, request, attempt): &(String, u64, u32)| {
                     (*request, *attempt) == (line.request, line.attempt)
                 };
@@ -49,23 +51,23 @@
             }
         }
     }
-    verdict
+    summary
 }
 
-fn judge_start(
-    verdict: &mut Verdict,
+fn check_start(
+    summary: &mut RecordSummary,
     running: &BTreeMap<TaskKey, (String, u64, u32)>,
     line: &Line,
     key: &TaskKey,
 ) {
-    verdict.starts += 1;
+    summary.starts += 1;
     if !line.name.is_empty() {
-        *verdict.by_name.entry(line.name.clone()).or_insert(0) += 1;
+        *summary.starts_by_name.entry(line.name.clone()).or_insert(0) += 1;
     }
     if let Some((worker, _, attempt)) = running.get(key) {
-        verdict.faults.push(format!("runs on {worker} as attempt {attempt} too: {line:?}"));
+        summary.violations.push(format!("runs on {worker} as attempt {attempt} too: {line:?}"));
     }
     if line.cpu_held > line.cpu_capacity {
-        verdict.faults.push(format!("over-committed: {line:?}"));
+        summary.violations.push(format!("over-committed: {line:?}"));
     }
 }
--- a/crates/hollowford-standin/src/register.rs
+++ b/crates/hollowford-standin/src/register.rs
@@ -26,7 +26,7 @@
     /// Accelerators of each.
     pub accelerators: u32,
     /// The first so many fail every task.
-    pub bad: usize,
+    pub failing_count: usize,
 }
 
 impl Group {
@@ -44,7 +44,7 @@
             cpu_milli: self.cpu_milli,
             memory_mib: self.memory_mib,
             accelerators: self.accelerators,
-            fail_all: i < self.bad,
+            fail_all: i < self.failing_count,
         }
     }
 }
--- a/crates/hollowford-standin/src/worker/service.rs
+++ b/crates/hollowford-standin/src/worker/service.rs
@@ -18,9 +18,9 @@
 use tonic::{Request, Response, Status, Streaming};
 
 /// How often a worker looks at its tasks.
-const TICK: Duration = Duration::from_millis(5);
+const TICK_INTERVAL: Duration = Duration::from_millis(5);
 /// Reports that may wait to be sent.
-const REPORTS_BOUND: usize = 65_536;
+const MAX_QUEUED_REPORTS: usize = 65_536;
 
 /// The gRPC service of one worker.
 #[derive(Clone, Debug)]
@@ -39,12 +39,12 @@
         let Some(Order::Claim(claim)) = first else {
             return Err(Status::invalid_argument("the first order must be a claim"));
         };
-        let (tx, rx) = mpsc::channel(REPORTS_BOUND);
+        let (tx, rx) = mpsc::channel(MAX_QUEUED_REPORTS);
         if let Some(session) = self.0.claim(&claim, tx) {
             let worker = self.0.clone();
             tokio::spawn(async move {
                 while let Ok(Some(order)) = orders.message().await {
-                    if order.order.is_some_and(|o| !worker.obey(session, o)) {
+                    if order.order.is_some_and(|o| !worker.handle_order(session, o)) {
                         return;
                     }
                 }
@@ -63,21 +63,21 @@
     addr: &str,
     mut settings: Settings,
     recorder: Arc<Recorder>,
-    objects: Option<Platform>,
+    object_store: Option<Platform>,
 ) -> io::Result<(Arc<StandinWorker>, Instance)> {
     let listener = TcpListener::bind(addr).await?;
     let local: SocketAddr = listener.local_addr()?;
     settings.instance.addr = local.to_string();
     let instance = settings.instance.clone();
-    let worker = Arc::new(StandinWorker::new(settings, recorder, objects));
+    let worker = Arc::new(StandinWorker::new(settings, recorder, object_store));
     let service = WorkerServer::new(Service(worker.clone()));
     let server = tonic::transport::Server::builder().add_service(service);
     let incoming = TcpIncoming::from(listener).with_nodelay(Some(true));
     tokio::spawn(server.serve_with_incoming(incoming));
-    let ticking = Arc::downgrade(&worker);
+    let weak_worker = Arc::downgrade(&worker);
     tokio::spawn(async move {
-        let mut ticks = tokio::time::interval(TICK);
-        while let Some(worker) = ticking.upgrade() {
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
+        while let Some(worker) = weak_worker.upgrade() {
             worker.tick();
             drop(worker);
             ticks.tick().await;
--- a/crates/hollowford-standin/src/worker/state.rs
+++ b/crates/hollowford-standin/src/worker/state.rs
@@ -1,8 +1,8 @@
 //! A worker's state, its sessions and its claims.
 
-use super::tasks::cpu_held;
+use super::tasks::allocated_cpu_milli;
 use crate::payload::Behaviour;
-use crate::record::{Line, Recorder, What};
+use crate::record::{Line, Recorder, TaskEvent};
 use hollowford_core::Clock;
 use hollowford_platform::Platform;
 use hollowford_platform::rows::Instance;
@@ -30,12 +30,12 @@
 
 pub(super) type TaskKey = (u64, u32, u32);
 
-pub(super) fn key(task: &v1::TaskRef) -> TaskKey {
+pub(super) fn task_key(task: &v1::TaskRef) -> TaskKey {
     (task.request, task.index, task.attempt)
 }
 
 #[derive(Debug)]
-pub(super) struct Running {
+pub(super) struct RunningTask {
     pub start: v1::Start,
     pub task: v1::TaskRef,
     pub behaviour: Behaviour,
@@ -45,18 +45,18 @@
 }
 
 #[derive(Debug)]
-pub(super) struct Inner {
+pub(super) struct WorkerState {
     pub partition: u32,
     pub epoch: u64,
     pub session: u64,
     pub reports: Option<mpsc::Sender<Result<v1::Report, Status>>>,
-    pub running: BTreeMap<TaskKey, Running>,
+    pub running: BTreeMap<TaskKey, RunningTask>,
     pub ended: BTreeMap<TaskKey, v1::Ended>,
     pub leaving: bool,
     pub fail_all: bool,
     /// No claim reaches the worker, as when it is cut off from later owners.
-    pub deaf: bool,
-    pub usage_at: u64,
+    pub rejects_claims: bool,
+    pub usage_reported_at: u64,
 }
 
 /// One stand-in worker.
@@ -67,18 +67,18 @@
     pub(super) clock: Clock,
     pub(super) clock_offset: u64,
     pub(super) recorder: Arc<Recorder>,
-    pub(super) objects: Option<Platform>,
-    pub(super) inner: Mutex<Inner>,
+    pub(super) object_store: Option<Platform>,
+    pub(super) state: Mutex<WorkerState>,
 }
 
 impl StandinWorker {
     pub(super) fn new(
         settings: Settings,
         recorder: Arc<Recorder>,
-        objects: Option<Platform>,
+        object_store: Option<Platform>,
     ) -> Self {
         const OFFSET_RANGE: std::ops::Range<u64> = 1_000_000..2_000_000_000;
-        let inner = Inner {
+        let state = WorkerState {
             partition: 0,
             epoch: 0,
             session: 0,
@@ -87,8 +87,8 @@
             ended: BTreeMap::new(),
             leaving: settings.instance.leaving,
             fail_all: settings.fail_all,
-            deaf: false,
-            usage_at: 0,
+            rejects_claims: false,
+            usage_reported_at: 0,
         };
         StandinWorker {
             settings,
@@ -97,13 +97,13 @@
             // No two clocks agree, so a mix-up of clocks shows.
             clock_offset: fastrand::u64(OFFSET_RANGE),
             recorder,
-            objects,
-            inner: Mutex::new(inner),
+            object_store,
+            state: Mutex::new(state),
         }
     }
 
-    pub(super) fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(super) fn lock(&self) -> MutexGuard<'_, WorkerState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     pub(super) fn now(&self) -> u64 {
@@ -116,7 +116,7 @@
     }
 
     /// Makes the worker say that its instance is leaving.
-    pub fn leave(&self) {
+    pub fn announce_leaving(&self) {
         self.lock().leaving = true;
     }
 
@@ -126,44 +126,44 @@
     }
 
     /// Lets no further claim reach the worker, or lets them through again.
-    pub fn set_deaf(&self, deaf: bool) {
-        self.lock().deaf = deaf;
+    pub fn set_rejects_claims(&self, rejects_claims: bool) {
+        self.lock().rejects_claims = rejects_claims;
     }
 
     /// Ends the present session, as a cut of the network does.
-    pub fn cut(&self) {
-        let mut inner = self.lock();
-        inner.session += 1;
-        inner.reports = None;
+    pub fn disconnect(&self) {
+        let mut state = self.lock();
+        state.session += 1;
+        state.reports = None;
     }
 
-    pub(super) fn say(&self, inner: &Inner, report: Report) {
-        if let Some(tx) = &inner.reports {
+    pub(super) fn send_report(&self, state: &WorkerState, report: Report) {
+        if let Some(tx) = &state.reports {
             let report = v1::Report { clock_ms: self.now(), report: Some(report) };
             // A full or closed session is settled by the next claim.
             let _ = tx.try_send(Ok(report));
         }
     }
 
-    pub(super) fn record(&self, inner: &Inner, r: &Running, what: What) {
+    pub(super) fn record(&self, state: &WorkerState, r: &RunningTask, what: TaskEvent) {
         let at_us = std::time::SystemTime::now()
             .duration_since(std::time::UNIX_EPOCH)
             .map_or(0, |d| d.as_micros() as u64);
         // A frozen worker stops a lapsed task late, but it did not run after the lease.
         let late_ms = match what {
-            What::Lapsed => self.now().saturating_sub(r.lease_until),
+            TaskEvent::Lapsed => self.now().saturating_sub(r.lease_until),
             _ => 0,
         };
         self.recorder.push(Line {
             at_us: at_us - late_ms * 1_000,
             worker: self.settings.instance.id.clone(),
             what,
-            partition: inner.partition,
+            partition: state.partition,
             request: r.task.request,
             index: r.task.index,
             attempt: r.task.attempt,
             name: r.behaviour.name.clone(),
-            cpu_held: cpu_held(inner),
+            cpu_held: allocated_cpu_milli(state),
             cpu_capacity: u64::from(self.settings.cpu_milli),
         });
     }
@@ -175,30 +175,30 @@
         claim: &v1::Claim,
         tx: mpsc::Sender<Result<v1::Report, Status>>,
     ) -> Option<u64> {
-        let mut inner = self.lock();
-        if inner.deaf {
+        let mut state = self.lock();
+        if state.rejects_claims {
             return None;
         }
-        let other = inner.epoch > 0 && inner.partition != claim.partition;
-        if claim.epoch < inner.epoch || other {
+        let other = state.epoch > 0 && state.partition != claim.partition;
+        if claim.epoch < state.epoch || other {
             let refused = v1::ClaimReply::default();
             let report =
                 v1::Report { clock_ms: self.now(), report: Some(Report::Claimed(refused)) };
             let _ = tx.try_send(Ok(report));
             return None;
         }
-        self.lapse(&mut inner);
-        inner.partition = claim.partition;
-        inner.epoch = claim.epoch;
-        inner.session += 1;
-        inner.reports = Some(tx);
-        let reply = self.claim_reply(&inner);
-        self.say(&inner, Report::Claimed(reply));
-        Some(inner.session)
+        self.end_lapsed_tasks(&mut state);
+        state.partition = claim.partition;
+        state.epoch = claim.epoch;
+        state.session += 1;
+        state.reports = Some(tx);
+        let reply = self.claim_reply(&state);
+        self.send_report(&state, Report::Claimed(reply));
+        Some(state.session)
     }
 
-    fn claim_reply(&self, inner: &Inner) -> v1::ClaimReply {
-        let running = inner.running.values().map(|r| v1::RunningTask {
+    fn claim_reply(&self, state: &WorkerState) -> v1::ClaimReply {
+        let running = state.running.values().map(|r| v1::RunningTask {
             task: Some(r.task),
             cpu_milli: r.start.cpu_milli,
             memory_mib: r.start.memory_mib,
@@ -209,9 +209,9 @@
             cpu_milli: self.settings.cpu_milli,
             memory_mib: self.settings.memory_mib,
             accelerators: self.settings.accelerators,
-            leaving: inner.leaving,
+            leaving: state.leaving,
             running: running.collect(),
-            ended: inner.ended.values().cloned().collect(),
+            ended: state.ended.values().cloned().collect(),
             accepted: true,
         }
     }
--- a/crates/hollowford/src/client.rs
+++ b/crates/hollowford/src/client.rs
@@ -99,7 +99,7 @@
 }
 
 /// Refuses arguments that no one has taken.
-pub fn finish(args: Arguments) -> Result<(), CliError> {
+pub fn reject_unused_arguments(args: Arguments) -> Result<(), CliError> {
     let rest = args.finish();
     match rest.first() {
         None => Ok(()),
--- a/crates/hollowford/src/command/cancel.rs
+++ b/crates/hollowford/src/command/cancel.rs
@@ -1,8 +1,8 @@
 //! `hollowford cancel`.
 
-use super::signature::{Command, Example};
+use super::definition::{Command, Example};
 use super::view;
-use crate::client::{Options, block_on, finish};
+use crate::client::{Options, block_on, reject_unused_arguments};
 use crate::error::CliError;
 use hollowford_protocol::v1;
 use pico_args::Arguments;
@@ -13,10 +13,10 @@
     signature: "ID | --label LABEL [--server IP:PORT] [--token TOKEN] [--json]",
     description: "Cancels one request, or every request that carries a label.",
     examples: &[
-        Example { line: "hollowford cancel check-17", does: "cancels the request" },
+        Example { line: "hollowford cancel check-17", explanation: "cancels the request" },
         Example {
             line: "hollowford cancel --label season-2027",
-            does: "cancels all that was asked for the season",
+            explanation: "cancels all that was asked for the season",
         },
     ],
     run,
@@ -26,7 +26,7 @@
     let options = Options::take(&mut args)?;
     let label: Option<String> = args.opt_value_from_str("--label")?;
     let id: Option<String> = args.opt_free_from_str()?;
-    finish(args)?;
+    reject_unused_arguments(args)?;
     block_on(async {
         let target = options.connect().await?;
         let mut scheduler = target.scheduler();
--- a/crates/hollowford/src/command/check.rs
+++ b/crates/hollowford/src/command/check.rs
@@ -1,8 +1,8 @@
 //! `hollowford check`.
 
+use super::definition::{Command, Example};
 use super::serve::read_settings;
-use super::signature::{Command, Example};
-use crate::client::finish;
+use crate::client::reject_unused_arguments;
 use crate::error::CliError;
 use pico_args::Arguments;
 
@@ -13,7 +13,7 @@
     description: "Checks a settings file and says what is wrong, where, and what would be right.",
     examples: &[Example {
         line: "hollowford check examples/kivu-process.jsonc",
-        does: "checks the settings of one of Kivu's processes",
+        explanation: "checks the settings of one of Kivu's processes",
     }],
     run,
 };
@@ -21,7 +21,7 @@
 fn run(mut args: Arguments) -> Result<(), CliError> {
     let json = args.contains("--json");
     let file: String = args.free_from_str()?;
-    finish(args)?;
+    reject_unused_arguments(args)?;
     let s = read_settings(&file)?;
     if json {
         let v = serde_json::json!({"ok": true, "process": s.process, "partitions": s.partitions});
--- a/crates/hollowford/src/command/config.rs
+++ b/crates/hollowford/src/command/config.rs
@@ -1,7 +1,7 @@
 //! `hollowford config`.
 
-use super::signature::{Command, Example};
-use crate::client::{Options, block_on, finish};
+use super::definition::{Command, Example};
+use crate::client::{Options, block_on, reject_unused_arguments};
 use crate::error::CliError;
 use hollowford_protocol::v1;
 use pico_args::Arguments;
@@ -16,8 +16,11 @@
     description: "Reads or changes the configuration of client accounts, as an operator.
 A change names the version that it replaces; when another came first, it is refused.",
     examples: &[
-        Example { line: "hollowford config get university", does: "shows the account" },
-        Example { line: "hollowford config history --limit 5", does: "shows the last changes" },
+        Example { line: "hollowford config get university", explanation: "shows the account" },
+        Example {
+            line: "hollowford config history --limit 5",
+            explanation: "shows the last changes",
+        },
     ],
     run,
 };
@@ -52,7 +55,7 @@
 
 fn get(options: &Options, mut args: Arguments) -> Result<(), CliError> {
     let account: String = args.free_from_str()?;
-    finish(args)?;
+    reject_unused_arguments(args)?;
     block_on(async {
         let target = options.connect().await?;
         let req = v1::GetConfigRequest { account };
@@ -74,7 +77,7 @@
     let expected_version = args.value_from_str("--expect")?;
     let author: String = args.value_from_str("--author")?;
     let account: String = args.free_from_str()?;
-    finish(args)?;
+    reject_unused_arguments(args)?;
     block_on(async {
         let target = options.connect().await?;
         let req = v1::SetConfigRequest { account, config: Some(config), expected_version, author };
@@ -86,7 +89,7 @@
 
 fn history(options: &Options, mut args: Arguments) -> Result<(), CliError> {
     let limit: Option<u32> = args.opt_value_from_str("--limit")?;
-    finish(args)?;
+    reject_unused_arguments(args)?;
     block_on(async {
         let target = options.connect().await?;
         let req = v1::ConfigHistoryRequest { limit: limit.unwrap_or(0) };
--- a/crates/hollowford/src/command/signature.rs
+++ b/crates/hollowford/src/command/definition.rs
@@ -11,7 +11,7 @@
     /// The whole command line.
     pub line: &'static str,
     /// What it does.
-    pub does: &'static str,
+    pub explanation: &'static str,
 }
 
 /// A command: its name, signature, description and examples, and what it does.
@@ -51,7 +51,7 @@
         text.push_str("\nexamples:\n");
         for e in self.examples {
             // Writing to a text can't fail.
-            let _ = writeln!(text, "  {}\n      {}", e.line, e.does);
+            let _ = writeln!(text, "  {}\n      {}", e.line, e.explanation);
         }
         text
     }
--- a/crates/hollowford/src/command/dev.rs
+++ b/crates/hollowford/src/command/dev.rs
@@ -1,12 +1,12 @@
 //! `hollowford dev`.
 
-use super::signature::{Command, Example};
-use crate::client::{block_on, finish};
+use super::definition::{Command, Example};
+use crate::client::{block_on, reject_unused_arguments};
 use crate::dev::cell::{Cell, OPERATOR_TOKEN};
 use crate::dev::work::{self, WorkFile};
 use crate::dev::{report::Report, run};
 use crate::error::CliError;
-use hollowford_standin::judge::judge;
+use hollowford_standin::record_check::check_record;
 use pico_args::Arguments;
 
 /// The command.
@@ -19,11 +19,11 @@
     examples: &[
         Example {
             line: "hollowford dev --run examples/kivu.jsonc",
-            does: "runs Kivu's mixed work and shows what came of it",
+            explanation: "runs Kivu's mixed work and shows what came of it",
         },
         Example {
             line: "hollowford dev --run examples/ortak-sahne.jsonc",
-            does: "runs Ortak Sahne's rebuild wave and confirmations",
+            explanation: "runs Ortak Sahne's rebuild wave and confirmations",
         },
     ],
     run: run_command,
@@ -47,11 +47,11 @@
     let run_file: Option<String> = args.opt_value_from_str("--run")?;
     let json = args.contains("--json");
     let cell_file: Option<String> = args.opt_value_from_str("--cell")?;
-    finish(args)?;
+    reject_unused_arguments(args)?;
     let file = read(run_file.as_deref().or(cell_file.as_deref()))?;
     let cell = Cell::start(&file)?;
     if run_file.is_none() {
-        return stay(&file, &cell);
+        return serve_until_interrupt(&file, &cell);
     }
     let mut report = None;
     block_on(async {
@@ -60,23 +60,23 @@
     })?;
     let lines = cell.recorder.lines();
     cell.stop();
-    let verdict = judge(lines);
+    let summary = check_record(lines);
     let Some(report) = report else {
         return Err(CliError::Run("the run ended without a report".to_owned()));
     };
     if json {
-        println!("{}", report.to_json(&verdict));
-        return end(&report, verdict.faults.len());
+        println!("{}", report.to_json(&summary));
+        return exit_result(&report, summary.violations.len());
     }
     report.print();
-    println!("workers' record   {} starts, {} faults", verdict.starts, verdict.faults.len());
-    for fault in verdict.faults.iter().take(10) {
+    println!("workers' record   {} starts, {} faults", summary.starts, summary.violations.len());
+    for fault in summary.violations.iter().take(10) {
         println!("  {fault}");
     }
-    end(&report, verdict.faults.len())
+    exit_result(&report, summary.violations.len())
 }
 
-fn end(report: &Report, faults: usize) -> Result<(), CliError> {
+fn exit_result(report: &Report, faults: usize) -> Result<(), CliError> {
     match report.missing {
         0 if faults == 0 => Ok(()),
         0 => Err(CliError::Run(format!("the workers' record shows {faults} faults"))),
@@ -85,7 +85,7 @@
 }
 
 /// Prints where the cell is and how to call it, and waits for SIGINT.
-fn stay(file: &WorkFile, cell: &Cell) -> Result<(), CliError> {
+fn serve_until_interrupt(file: &WorkFile, cell: &Cell) -> Result<(), CliError> {
     for process in &cell.processes {
         let a = process.addresses();
         println!("process: callers {}, admin http://{}/state", a.callers, a.admin);
--- a/crates/hollowford/src/command/drain.rs
+++ b/crates/hollowford/src/command/drain.rs
@@ -1,7 +1,7 @@
 //! `hollowford drain`.
 
-use super::signature::{Command, Example};
-use crate::client::{Options, block_on, finish};
+use super::definition::{Command, Example};
+use crate::client::{Options, block_on, reject_unused_arguments};
 use crate::error::CliError;
 use hollowford_protocol::v1;
 use pico_args::Arguments;
@@ -13,14 +13,14 @@
     description: "Tells one process to hand over its partitions and to stop.",
     examples: &[Example {
         line: "hollowford drain --server 127.0.0.1:7001",
-        does: "stops the process that takes calls there",
+        explanation: "stops the process that takes calls there",
     }],
     run,
 };
 
 fn run(mut args: Arguments) -> Result<(), CliError> {
     let options = Options::take(&mut args)?;
-    finish(args)?;
+    reject_unused_arguments(args)?;
     block_on(async {
         let target = options.connect().await?;
         let reply = target.operator().drain(target.call(v1::DrainRequest {})).await?;
--- a/crates/hollowford/src/command/list.rs
+++ b/crates/hollowford/src/command/list.rs
@@ -1,8 +1,8 @@
 //! `hollowford list`.
 
-use super::signature::{Command, Example};
+use super::definition::{Command, Example};
 use super::view;
-use crate::client::{Options, block_on, finish};
+use crate::client::{Options, block_on, reject_unused_arguments};
 use crate::error::CliError;
 use hollowford_protocol::v1;
 use pico_args::Arguments;
@@ -14,7 +14,7 @@
     description: "Lists the client account's requests by id, a page at a time.",
     examples: &[Example {
         line: "hollowford list --limit 20",
-        does: "lists the first 20 requests",
+        explanation: "lists the first 20 requests",
     }],
     run,
 };
@@ -23,7 +23,7 @@
     let options = Options::take(&mut args)?;
     let after: Option<String> = args.opt_value_from_str("--after")?;
     let limit: Option<u32> = args.opt_value_from_str("--limit")?;
-    finish(args)?;
+    reject_unused_arguments(args)?;
     block_on(async {
         let target = options.connect().await?;
         let req =
--- a/crates/hollowford/src/command/node.rs
+++ b/crates/hollowford/src/command/node.rs
@@ -1,7 +1,7 @@
 //! `hollowford node`.
 
-use super::signature::{Command, Example};
-use crate::client::finish;
+use super::definition::{Command, Example};
+use crate::client::reject_unused_arguments;
 use crate::error::CliError;
 use hollowford_adapter::NodeSettings;
 use hollowford_node::{DEFAULT_WORKERS_PER_PARTITION, NodeOptions};
@@ -18,7 +18,7 @@
 for N workers (1,200 unless said otherwise). With --check it only reads and checks the file.",
     examples: &[Example {
         line: "hollowford node --check --config platform/examples/settings.toml",
-        does: "checks a settings file of the platform",
+        explanation: "checks a settings file of the platform",
     }],
     run,
 };
@@ -28,7 +28,7 @@
     let metrics: Option<u16> = args.opt_value_from_str("--metrics")?;
     let workers_each: Option<NonZeroUsize> = args.opt_value_from_str("--workers-each")?;
     let check = args.contains("--check");
-    finish(args)?;
+    reject_unused_arguments(args)?;
     let settings = match &file {
         Some(file) => NodeSettings::from_file(file),
         None => NodeSettings::from_environment(),
--- a/crates/hollowford/src/command/serve.rs
+++ b/crates/hollowford/src/command/serve.rs
@@ -1,7 +1,7 @@
 //! `hollowford serve`.
 
-use super::signature::{Command, Example};
-use crate::client::finish;
+use super::definition::{Command, Example};
+use crate::client::reject_unused_arguments;
 use crate::error::CliError;
 use hollowford_config::Settings;
 use hollowford_server::Process;
@@ -10,7 +10,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 /// How often the process looks whether an operator told it to stop.
-const STOP_CHECK: Duration = Duration::from_millis(50);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The command.
 pub const COMMAND: Command = Command {
@@ -21,7 +21,7 @@
 stop and answers the calls that are open.",
     examples: &[Example {
         line: "hollowford serve --config examples/kivu-process.jsonc",
-        does: "runs a process by the settings of the file",
+        explanation: "runs a process by the settings of the file",
     }],
     run,
 };
@@ -35,7 +35,7 @@
 
 fn run(mut args: Arguments) -> Result<(), CliError> {
     let file: String = args.value_from_str("--config")?;
-    finish(args)?;
+    reject_unused_arguments(args)?;
     let settings = read_settings(&file)?;
     abort_on_panic();
     let process = Process::start(settings).map_err(|e| CliError::Run(e.to_string()))?;
@@ -68,7 +68,7 @@
         tokio::select! {
             _ = term.recv() => return Ok(()),
             _ = int.recv() => return Ok(()),
-            () = tokio::time::sleep(STOP_CHECK) => {
+            () = tokio::time::sleep(STOP_CHECK_INTERVAL) => {
                 if process.is_stopping() {
                     return Ok(());
                 }
--- a/crates/hollowford/src/command/state.rs
+++ b/crates/hollowford/src/command/state.rs
@@ -1,7 +1,7 @@
 //! `hollowford state`.
 
-use super::signature::{Command, Example};
-use crate::client::{Options, block_on, finish};
+use super::definition::{Command, Example};
+use crate::client::{Options, block_on, reject_unused_arguments};
 use crate::error::CliError;
 use hollowford_protocol::v1;
 use pico_args::Arguments;
@@ -13,7 +13,7 @@
     description: "Dumps the state of one process as JSON, whole or one part of it.",
     examples: &[Example {
         line: "hollowford state --part owners",
-        does: "shows who owns which partition, as this process knows it",
+        explanation: "shows who owns which partition, as this process knows it",
     }],
     run,
 };
@@ -21,18 +21,18 @@
 fn run(mut args: Arguments) -> Result<(), CliError> {
     let options = Options::take(&mut args)?;
     let part: Option<String> = args.opt_value_from_str("--part")?;
-    finish(args)?;
+    reject_unused_arguments(args)?;
     block_on(async {
         let target = options.connect().await?;
         let reply = target.operator().state(target.call(v1::StateRequest {})).await?;
         let text = reply.into_inner().json;
-        let broken = |e: serde_json::Error| CliError::Run(e.to_string());
-        let mut value: serde_json::Value = serde_json::from_str(&text).map_err(broken)?;
+        let invalid_json = |e: serde_json::Error| CliError::Run(e.to_string());
+        let mut value: serde_json::Value = serde_json::from_str(&text).map_err(invalid_json)?;
         if let Some(part) = part {
-            let none = || CliError::Usage(format!("the state has no part {part:?}"));
-            value = value.get(&part).cloned().ok_or_else(none)?;
+            let unknown_part = || CliError::Usage(format!("the state has no part {part:?}"));
+            value = value.get(&part).cloned().ok_or_else(unknown_part)?;
         }
-        println!("{}", serde_json::to_string_pretty(&value).map_err(broken)?);
+        println!("{}", serde_json::to_string_pretty(&value).map_err(invalid_json)?);
         Ok(())
     })
 }
--- a/crates/hollowford/src/command/status.rs
+++ b/crates/hollowford/src/command/status.rs
@@ -1,8 +1,8 @@
 //! `hollowford status`.
 
-use super::signature::{Command, Example};
+use super::definition::{Command, Example};
 use super::view;
-use crate::client::{Options, block_on, finish};
+use crate::client::{Options, block_on, reject_unused_arguments};
 use crate::error::CliError;
 use hollowford_protocol::v1;
 use pico_args::Arguments;
@@ -15,7 +15,7 @@
 With --why it tells why the request waits, or why it was placed where it is.",
     examples: &[Example {
         line: "hollowford status check-17 --why",
-        does: "shows the request, and why it stands as it does",
+        explanation: "shows the request, and why it stands as it does",
     }],
     run,
 };
@@ -25,7 +25,7 @@
     let why = args.contains("--why");
     let r#final = args.contains("--wait");
     let request_id: String = args.free_from_str()?;
-    finish(args)?;
+    reject_unused_arguments(args)?;
     block_on(async {
         let target = options.connect().await?;
         let req = v1::GetRequest { request_id, after_version: 0, r#final };
--- a/crates/hollowford/src/command/submit.rs
+++ b/crates/hollowford/src/command/submit.rs
@@ -1,8 +1,8 @@
 //! `hollowford submit`.
 
-use super::signature::{Command, Example};
+use super::definition::{Command, Example};
 use super::view;
-use crate::client::{Options, block_on, finish};
+use crate::client::{Options, block_on, reject_unused_arguments};
 use crate::error::CliError;
 use hollowford_protocol::v1;
 use pico_args::Arguments;
@@ -17,12 +17,12 @@
 The same id with the same body finds the request that is there.",
     examples: &[Example {
         line: "hollowford submit check-17 --kind check --cpu-milli 500 --run-ms 200 --wait",
-        does: "runs a quick check and waits for its answer",
+        explanation: "runs a quick check and waits for its answer",
     }],
     run,
 };
 
-fn kind(name: &str) -> Result<v1::Kind, CliError> {
+fn parse_kind(name: &str) -> Result<v1::Kind, CliError> {
     match name {
         "check" => Ok(v1::Kind::Check),
         "gang" => Ok(v1::Kind::Gang),
@@ -38,7 +38,7 @@
     let kind_name: String = args.value_from_str("--kind")?;
     let payload: Option<String> = args.opt_value_from_str("--payload")?;
     Ok(v1::RequestSpec {
-        kind: kind(&kind_name)?.into(),
+        kind: parse_kind(&kind_name)?.into(),
         tasks: args.opt_value_from_str("--tasks")?.unwrap_or(1),
         per_task: Some(v1::Resources {
             cpu_milli: args.opt_value_from_str("--cpu-milli")?.unwrap_or(DEFAULT_CPU_MILLI),
@@ -60,17 +60,17 @@
     let spec = take_spec(&mut args)?;
     let wait = args.contains("--wait");
     let request_id: String = args.free_from_str()?;
-    finish(args)?;
+    reject_unused_arguments(args)?;
     let req = v1::SubmitRequest { request_id: request_id.clone(), spec: Some(spec), wait };
     block_on(async {
         let target = options.connect().await?;
         let mut reply = target.scheduler().submit(target.call(req)).await?.into_inner();
         // An entry that stops gives the present view; the answer is asked for again.
         while wait && reply.answer.is_none() && !reply.is_service {
-            let again = options.connect().await?;
+            let new_target = options.connect().await?;
             let get =
                 v1::GetRequest { request_id: request_id.clone(), after_version: 0, r#final: true };
-            reply = again.scheduler().get(again.call(get)).await?.into_inner();
+            reply = new_target.scheduler().get(new_target.call(get)).await?.into_inner();
         }
         view::print(&reply, options.json);
         Ok(())
--- a/crates/hollowford/src/dev/cell.rs
+++ b/crates/hollowford/src/dev/cell.rs
@@ -76,7 +76,7 @@
         cpu_milli: w.cpu_milli as u32,
         memory_mib: w.memory_mib as u32,
         accelerators: w.accelerators as u32,
-        bad: 0,
+        failing_count: 0,
     };
     let workers = start_group(&group, &platform.to_string(), recorder).await.map_err(failed())?;
     let store = Platform::new(&platform.to_string(), STORE_TIMEOUT)
--- a/crates/hollowford/src/dev/report.rs
+++ b/crates/hollowford/src/dev/report.rs
@@ -3,7 +3,7 @@
 use crate::command::{view_json, view_line};
 use hdrhistogram::Histogram;
 use hollowford_protocol::v1;
-use hollowford_standin::judge::Verdict;
+use hollowford_standin::record_check::RecordSummary;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,11 +13,11 @@
     &["decide", "ledger", "workers", "peers", "watch", "admin", "entry"];
 /// Clock ticks a second in `/proc`, as Linux fixes them for programs.
 const TICKS_PER_SECOND: f64 = 100.0;
-const LONGEST_MS: u64 = 3_600_000;
+const MAX_RECORDED_MS: u64 = 3_600_000;
 
 /// One request's answer.
 #[derive(Debug)]
-pub struct Answered {
+pub struct RequestResult {
     pub request_id: String,
     pub kind: v1::Kind,
     pub view: Option<v1::RequestView>,
@@ -25,9 +25,9 @@
     pub error: String,
 }
 
-impl Answered {
+impl RequestResult {
     /// Tells whether the request got its answer.
-    pub fn is_whole(&self) -> bool {
+    pub fn has_answer(&self) -> bool {
         self.view.is_some()
     }
 }
@@ -35,9 +35,9 @@
 /// The state of the cell at one time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Sample {
-    pub whole: u64,
-    pub free: u64,
-    pub waiting: u64,
+    pub total_cpu_milli: u64,
+    pub free_cpu_milli: u64,
+    pub waiting_tasks: u64,
     pub placed: u64,
     pub store_reads: u64,
     pub store_writes: u64,
@@ -46,9 +46,9 @@
 /// All that a run has shown.
 #[derive(Debug, Default)]
 pub struct Report {
-    pub answers: Vec<Answered>,
+    pub answers: Vec<RequestResult>,
     pub samples: Vec<Sample>,
-    pub took: Duration,
+    pub elapsed: Duration,
     /// Requests without an answer.
     pub missing: usize,
 }
@@ -80,7 +80,7 @@
     }
 
     /// Returns all of it as JSON.
-    pub fn to_json(&self, verdict: &Verdict) -> Value {
+    pub fn to_json(&self, summary: &RecordSummary) -> Value {
         let answers: Vec<Value> = self
             .answers
             .iter()
@@ -90,7 +90,7 @@
             })
             .collect();
         let waiting: BTreeMap<&str, Value> = self
-            .waiting()
+            .waiting_times()
             .into_iter()
             .map(|(kind, h)| {
                 let at = |q| h.value_at_quantile(q);
@@ -103,12 +103,12 @@
         json!({
             "answers": answers, "waiting": waiting, "packing": self.packing(),
             "placed": last.placed, "store_writes": last.store_writes,
-            "store_reads": last.store_reads, "seconds": self.took.as_secs_f64(),
-            "missing": self.missing, "starts": verdict.starts, "faults": verdict.faults,
+            "store_reads": last.store_reads, "seconds": self.elapsed.as_secs_f64(),
+            "missing": self.missing, "starts": summary.starts, "faults": summary.violations,
         })
     }
 
-    fn waiting(&self) -> BTreeMap<&'static str, Histogram<u64>> {
+    fn waiting_times(&self) -> BTreeMap<&'static str, Histogram<u64>> {
         let mut by_kind = BTreeMap::new();
         for a in &self.answers {
             let waited = a.view.as_ref().and_then(|v| v.waited_ms);
@@ -122,7 +122,7 @@
 
     fn print_waiting(&self) {
         println!("\nwaiting time      requests   p50 ms   p99 ms   max ms");
-        for (kind, h) in self.waiting() {
+        for (kind, h) in self.waiting_times() {
             println!(
                 "  {kind:<14} {:>9} {:>8} {:>8} {:>8}",
                 h.len(),
@@ -138,8 +138,8 @@
         let busy: Vec<f64> = self
             .samples
             .iter()
-            .filter(|s| s.waiting > 0 && s.whole > 0)
-            .map(|s| 1.0 - s.free as f64 / s.whole as f64)
+            .filter(|s| s.waiting_tasks > 0 && s.total_cpu_milli > 0)
+            .map(|s| 1.0 - s.free_cpu_milli as f64 / s.total_cpu_milli as f64)
             .collect();
         (!busy.is_empty()).then(|| busy.iter().sum::<f64>() / busy.len() as f64)
     }
@@ -157,7 +157,7 @@
     fn print_cost(&self) {
         let last = self.samples.last().copied().unwrap_or_default();
         let placed = last.placed.max(1) as f64;
-        let seconds = self.took.as_secs_f64();
+        let seconds = self.elapsed.as_secs_f64();
         println!(
             "control cost      {} tasks placed in {seconds:.1} s, {:.3} store writes and {:.3} \
              reads a placement",
@@ -181,7 +181,7 @@
 
 fn new_histogram() -> Histogram<u64> {
     // Bounds that are constant and in order can't be refused.
-    Histogram::new_with_bounds(1, LONGEST_MS, 3).unwrap_or_else(|_| unreachable!())
+    Histogram::new_with_bounds(1, MAX_RECORDED_MS, 3).unwrap_or_else(|_| unreachable!())
 }
 
 /// Sums the processor time of this process's control threads.
--- a/crates/hollowford/src/dev/run.rs
+++ b/crates/hollowford/src/dev/run.rs
@@ -1,7 +1,7 @@
 //! Submits the work of a file and collects the answers.
 
 use super::cell::{Cell, OPERATOR_TOKEN};
-use super::report::{Answered, Report, Sample};
+use super::report::{Report, RequestResult, Sample};
 use super::work::{WorkFile, WorkItem};
 use crate::client::Target;
 use crate::error::CliError;
@@ -14,13 +14,13 @@
 use tokio::sync::mpsc;
 
 /// How often the cell's state is sampled for the report.
-const SAMPLE_EVERY: Duration = Duration::from_millis(200);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(200);
 /// Longest wait for the cell to be ready.
-const READY_WAIT: Duration = Duration::from_secs(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 /// Longest wait for one answer.
-const ANSWER_WAIT: Duration = Duration::from_secs(120);
-const RETRY_WAIT: Duration = Duration::from_millis(100);
-const ANSWERS_BOUND: usize = 1_024;
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(120);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+const RESULT_QUEUE_LEN: usize = 1_024;
 
 /// Connections to every process, for each account.
 struct Targets {
@@ -54,9 +54,11 @@
     let targets = Arc::new(Targets::connect(file, cell).await?);
     wait_ready(file, cell).await?;
     let done = Arc::new(AtomicBool::new(false));
-    let sampler =
-        tokio::spawn(sample(cell.callers().iter().map(|a| a.to_string()).collect(), done.clone()));
-    let (tx, mut rx) = mpsc::channel(ANSWERS_BOUND);
+    let sampler = tokio::spawn(sample_cell(
+        cell.callers().iter().map(|a| a.to_string()).collect(),
+        done.clone(),
+    ));
+    let (tx, mut rx) = mpsc::channel(RESULT_QUEUE_LEN);
     let started = Instant::now();
     let mut total = 0;
     for item in &file.work {
@@ -67,19 +69,19 @@
     }
     drop(tx);
     let mut report = Report::default();
-    while let Some(answered) = rx.recv().await {
-        report.answers.push(answered);
-        progress(report.answers.len(), total);
+    while let Some(result) = rx.recv().await {
+        report.answers.push(result);
+        print_progress(report.answers.len(), total);
     }
-    report.took = started.elapsed();
+    report.elapsed = started.elapsed();
     cancel_services(file, &targets).await;
     done.store(true, Ordering::Release);
     report.samples = sampler.await.unwrap_or_default();
-    report.missing = total - report.answers.iter().filter(|a| a.is_whole()).count();
+    report.missing = total - report.answers.iter().filter(|a| a.has_answer()).count();
     Ok(report)
 }
 
-fn progress(have: usize, total: usize) {
+fn print_progress(have: usize, total: usize) {
     let mut err = std::io::stderr();
     if err.is_terminal() {
         // Progress that can't be shown is no reason to stop.
@@ -91,7 +93,7 @@
     }
 }
 
-async fn state(server: &str) -> Result<serde_json::Value, CliError> {
+async fn fetch_state(server: &str) -> Result<serde_json::Value, CliError> {
     let target = Target::connect(server, OPERATOR_TOKEN, None).await?;
     let reply = target.operator().state(target.call(v1::StateRequest {})).await?;
     serde_json::from_str(&reply.into_inner().json).map_err(|e| CliError::Run(e.to_string()))
@@ -100,10 +102,10 @@
 /// Waits until every partition is owned and every worker claimed.
 async fn wait_ready(file: &WorkFile, cell: &Cell) -> Result<(), CliError> {
     let started = Instant::now();
-    while started.elapsed() < READY_WAIT {
+    while started.elapsed() < READY_TIMEOUT {
         let mut claimed = 0;
         for addr in cell.callers() {
-            let state = state(&addr.to_string()).await?;
+            let state = fetch_state(&addr.to_string()).await?;
             let partitions = state["partitions"].as_array().cloned().unwrap_or_default();
             let workers = partitions.iter().filter_map(|p| p["workers"].as_array()).flatten();
             claimed += workers.filter(|w| w["claimed"] == true).count();
@@ -111,31 +113,31 @@
         if claimed as u64 == file.workers.count {
             return Ok(());
         }
-        tokio::time::sleep(RETRY_WAIT).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
     Err(CliError::Run("the cell did not become ready".to_owned()))
 }
 
 /// Reads free and whole processors of all partitions now and then.
-async fn sample(servers: Vec<String>, done: Arc<AtomicBool>) -> Vec<Sample> {
+async fn sample_cell(servers: Vec<String>, done: Arc<AtomicBool>) -> Vec<Sample> {
     let mut samples = Vec::new();
     while !done.load(Ordering::Acquire) {
         let mut s = Sample::default();
         for server in &servers {
-            let Ok(state) = state(server).await else {
+            let Ok(state) = fetch_state(server).await else {
                 continue;
             };
             for p in state["partitions"].as_array().into_iter().flatten() {
-                s.whole += p["whole_cpu_milli"].as_u64().unwrap_or(0);
-                s.free += p["free_cpu_milli"].as_u64().unwrap_or(0);
-                s.waiting += p["waiting_tasks"].as_u64().unwrap_or(0);
+                s.total_cpu_milli += p["whole_cpu_milli"].as_u64().unwrap_or(0);
+                s.free_cpu_milli += p["free_cpu_milli"].as_u64().unwrap_or(0);
+                s.waiting_tasks += p["waiting_tasks"].as_u64().unwrap_or(0);
                 s.placed += p["placed"].as_u64().unwrap_or(0);
             }
             s.store_reads += state["store_reads"].as_u64().unwrap_or(0);
             s.store_writes += state["store_writes"].as_u64().unwrap_or(0);
         }
         samples.push(s);
-        tokio::time::sleep(SAMPLE_EVERY).await;
+        tokio::time::sleep(SAMPLE_INTERVAL).await;
     }
     samples
 }
@@ -145,26 +147,26 @@
     item: WorkItem,
     i: u64,
     started: Instant,
-    tx: mpsc::Sender<Answered>,
+    tx: mpsc::Sender<RequestResult>,
 ) {
-    let due = Duration::from_millis(item.after_ms + i * item.every_ms);
-    tokio::time::sleep(due.saturating_sub(started.elapsed())).await;
+    let due_after = Duration::from_millis(item.after_ms + i * item.every_ms);
+    tokio::time::sleep(due_after.saturating_sub(started.elapsed())).await;
     let request_id = format!("{}-{i}", item.name);
     let req = v1::SubmitRequest {
         request_id: request_id.clone(),
         spec: Some(item.spec.clone()),
         wait: true,
     };
-    let called = Instant::now();
+    let submitted = Instant::now();
     let mut error = String::new();
     let mut view = None;
-    while called.elapsed() < ANSWER_WAIT && view.is_none() {
+    while submitted.elapsed() < ANSWER_TIMEOUT && view.is_none() {
         let Some(target) = targets.next(&item.account) else {
             break;
         };
         // The same id finds the same request, so asking again does no harm.
         match target.scheduler().submit(target.call(req.clone())).await {
-            Ok(reply) => view = Some(reply.into_inner()).filter(is_settled),
+            Ok(reply) => view = Some(reply.into_inner()).filter(has_final_state),
             Err(status) => match CliError::from(status) {
                 CliError::Refused { kind, message, retry_after_ms: Some(ms) } => {
                     error = format!("{kind}: {message}");
@@ -172,7 +174,7 @@
                 }
                 CliError::Unreachable(message) => {
                     error = message;
-                    tokio::time::sleep(RETRY_WAIT).await;
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
                 e => {
                     error = e.to_string();
@@ -183,10 +185,10 @@
     }
     let kind = item.spec.kind();
     // The receiver lives until every sender is gone.
-    let _ = tx.send(Answered { request_id, kind, view, error }).await;
+    let _ = tx.send(RequestResult { request_id, kind, view, error }).await;
 }
 
-fn is_settled(v: &v1::RequestView) -> bool {
+fn has_final_state(v: &v1::RequestView) -> bool {
     v.answer.is_some() || (v.is_service && v.running > 0 && v.queued == 0)
 }
 
--- a/crates/hollowford/src/error.rs
+++ b/crates/hollowford/src/error.rs
@@ -72,7 +72,7 @@
     }
 
     /// Returns the exit code, by the table of kinds.
-    pub fn exit(&self) -> u8 {
+    pub fn exit_code(&self) -> u8 {
         self.kind().answer().exit
     }
 
--- a/crates/hollowford/src/main.rs
+++ b/crates/hollowford/src/main.rs
@@ -11,7 +11,7 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    start_logs();
+    init_logging();
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
@@ -19,13 +19,13 @@
             if let Some(help) = e.help() {
                 eprintln!("help: {help}");
             }
-            ExitCode::from(e.exit())
+            ExitCode::from(e.exit_code())
         }
     }
 }
 
 /// Processes on the platform log to standard output; all other commands to standard error.
-fn start_logs() {
+fn init_logging() {
     if std::env::args().nth(1).as_deref() == Some("node") {
         if let Err(e) = hollowford_node::logs::init() {
             eprintln!("no logs: {e}");
--- a/crates/hollowford/tests/bad_input.rs
+++ b/crates/hollowford/tests/bad_input.rs
@@ -175,7 +175,7 @@
     caller.submit("good", &good, false).await.unwrap();
     let view = final_answer(&[caller], "good").await;
     assert_eq!(view.answer.unwrap().outcome(), Outcome::Done);
-    assert_eq!(cell.assert_no_fault().starts, 1);
+    assert_eq!(cell.assert_no_violations().starts, 1);
 }
 
 #[tokio::test]
--- a/crates/hollowford/tests/common/play.rs
+++ b/crates/hollowford/tests/common/play.rs
@@ -4,8 +4,8 @@
 use hollowford_platform::Platform;
 use hollowford_protocol::v1;
 use hollowford_server::{hash_token, seed_account};
-use hollowford_standin::judge::{Verdict, judge};
 use hollowford_standin::record;
+use hollowford_standin::record_check::{RecordSummary, check_record};
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
@@ -291,8 +291,8 @@
     }
 
     /// Judges the records of all workers.
-    pub fn verdict(&self) -> Verdict {
-        judge(self.lines())
+    pub fn record_summary(&self) -> RecordSummary {
+        check_record(self.lines())
     }
 
     pub fn lines(&self) -> Vec<record::Line> {
@@ -300,10 +300,10 @@
     }
 
     /// Fails the test when the workers' records show a fault.
-    pub fn assert_no_fault(&self) -> Verdict {
-        let verdict = self.verdict();
-        assert!(verdict.faults.is_empty(), "{:#?}", verdict.faults);
-        verdict
+    pub fn assert_no_violations(&self) -> RecordSummary {
+        let summary = self.record_summary();
+        assert!(summary.violations.is_empty(), "{:#?}", summary.violations);
+        summary
     }
 }
 
--- a/crates/hollowford/tests/failures.rs
+++ b/crates/hollowford/tests/failures.rs
@@ -51,8 +51,8 @@
             assert_eq!(answer.outcome(), Outcome::Done, "{id}: {answer:?}");
         }
     }
-    let verdict = cell.assert_no_fault();
-    for (name, n) in &verdict.by_name {
+    let summary = cell.assert_no_violations();
+    for (name, n) in &summary.starts_by_name {
         assert_eq!(*n, 2, "{name}: two tasks, started once each");
     }
 }
@@ -73,7 +73,7 @@
     cell.entries[owner].kill();
     let view = waiting.await.unwrap().unwrap();
     assert_eq!(view.answer.unwrap().outcome(), Outcome::Done);
-    assert_eq!(cell.assert_no_fault().by_name["waited"], 1);
+    assert_eq!(cell.assert_no_violations().starts_by_name["waited"], 1);
 }
 
 #[tokio::test]
@@ -99,8 +99,8 @@
             assert_eq!(view.answer.unwrap().outcome(), Outcome::Done);
         }
     }
-    let verdict = cell.assert_no_fault();
-    assert!(verdict.by_name.values().all(|n| *n == 4), "{:?}", verdict.by_name);
+    let summary = cell.assert_no_violations();
+    assert!(summary.starts_by_name.values().all(|n| *n == 4), "{:?}", summary.starts_by_name);
     until("the old owner has let go", || async {
         let state = cell.state(owner).await?;
         state["partitions"].as_array()?.is_empty().then_some(())
@@ -149,8 +149,8 @@
     let callers = cell.callers("university").await;
     let view = final_answer(&callers, "long").await;
     assert_eq!(view.answer.unwrap().outcome(), Outcome::Done);
-    let verdict = cell.assert_no_fault();
-    assert!(verdict.by_name.values().all(|n| *n == 1));
+    let summary = cell.assert_no_violations();
+    assert!(summary.starts_by_name.values().all(|n| *n == 1));
 }
 
 fn addresses(cell: &Cell, from: usize) -> Vec<String> {
@@ -226,16 +226,16 @@
     let view = final_answer(&callers, "running").await;
     assert_eq!(view.answer.unwrap().outcome(), Outcome::Done);
     // What was refused was not run, and may be asked for again.
-    let verdict = cell.assert_no_fault();
-    assert_eq!(verdict.by_name["running"], 4);
+    let summary = cell.assert_no_violations();
+    assert_eq!(summary.starts_by_name["running"], 4);
     for id in &refused {
-        assert_eq!(verdict.by_name.get(id), None, "{id}");
+        assert_eq!(summary.starts_by_name.get(id), None, "{id}");
         submit_anyhow(&callers, id, &once(id, 1, 10)).await;
         let view = final_answer(&callers, id).await;
         assert_eq!(view.answer.unwrap().outcome(), Outcome::Done);
     }
-    let verdict = cell.assert_no_fault();
-    assert!(refused.iter().all(|id| verdict.by_name[id] == 1));
+    let summary = cell.assert_no_violations();
+    assert!(refused.iter().all(|id| summary.starts_by_name[id] == 1));
 }
 
 #[tokio::test]
@@ -252,8 +252,8 @@
         let view = final_answer(&callers, &format!("lost-{i}")).await;
         assert_eq!(view.answer.unwrap().outcome(), Outcome::Done);
     }
-    let verdict = cell.assert_no_fault();
-    assert!(verdict.by_name.values().all(|n| *n == 2), "{:?}", verdict.by_name);
+    let summary = cell.assert_no_violations();
+    assert!(summary.starts_by_name.values().all(|n| *n == 2), "{:?}", summary.starts_by_name);
 }
 
 #[tokio::test]
@@ -274,9 +274,9 @@
     let _ = submitted.await.unwrap();
     submit_anyhow(&rest, "doubtful", &once("doubtful", 3, 200)).await;
     let answer = final_answer(&rest, "doubtful").await.answer.unwrap();
-    let verdict = cell.assert_no_fault();
+    let summary = cell.assert_no_violations();
     assert_eq!(answer.outcome(), Outcome::Done, "{answer:?}");
-    assert_eq!(verdict.by_name["doubtful"], 3);
+    assert_eq!(summary.starts_by_name["doubtful"], 3);
 }
 
 #[tokio::test]
@@ -298,14 +298,15 @@
     .await;
     let frozen = usize::from(cell.lines()[0].worker.starts_with("g1"));
     cell.workers[frozen].freeze();
-    until("its tasks run elsewhere", || async { (cell.verdict().starts > 8).then_some(()) }).await;
+    until("its tasks run elsewhere", || async { (cell.record_summary().starts > 8).then_some(()) })
+        .await;
     // By now the frozen tasks would have come to their end.
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     cell.workers[frozen].thaw();
     let view = final_answer(&callers, "again").await;
     assert_eq!(view.answer.unwrap().outcome(), Outcome::Done);
-    let verdict = cell.assert_no_fault();
-    assert!(verdict.starts > 8, "nothing was started again");
+    let summary = cell.assert_no_violations();
+    assert!(summary.starts > 8, "nothing was started again");
 }
 
 #[tokio::test]
@@ -324,7 +325,8 @@
         let body = spec(Kind::Batch, 1, 1_500, 1_500);
         submit_anyhow(&callers, &format!("again-{i}"), &body).await;
     }
-    until("the worker runs some", || async { (cell.verdict().starts >= 8).then_some(()) }).await;
+    until("the worker runs some", || async { (cell.record_summary().starts >= 8).then_some(()) })
+        .await;
     let on_it = |line: &&hollowford_standin::record::Line| line.worker.starts_with("g0");
     let before = cell.lines().iter().filter(on_it).filter(|l| !l.name.is_empty()).count();
     cell.workers[0].kill();
@@ -339,8 +341,8 @@
         assert_eq!(answer.outcome(), Outcome::Done);
     }
     assert_eq!(unsure, before, "those on the killed worker");
-    let verdict = cell.verdict();
-    assert!(verdict.by_name.values().all(|n| *n == 1), "{:?}", verdict.by_name);
+    let summary = cell.record_summary();
+    assert!(summary.starts_by_name.values().all(|n| *n == 1), "{:?}", summary.starts_by_name);
 }
 
 #[tokio::test]
@@ -377,8 +379,8 @@
         let answer = final_answer(&callers, &format!("cut-{i}")).await.answer.unwrap();
         assert_eq!(answer.outcome(), Outcome::Done, "{answer:?}");
     }
-    let verdict = cell.assert_no_fault();
-    assert!(verdict.by_name.values().all(|n| *n == 3), "{:?}", verdict.by_name);
+    let summary = cell.assert_no_violations();
+    assert!(summary.starts_by_name.values().all(|n| *n == 3), "{:?}", summary.starts_by_name);
 }
 
 #[tokio::test]
@@ -396,13 +398,13 @@
     for i in 0..40 {
         let id = format!("race-{i}");
         let answer = final_answer(&callers, &id).await.answer.unwrap();
-        let starts = cell.verdict().by_name.get(&id).copied().unwrap_or(0);
+        let starts = cell.record_summary().starts_by_name.get(&id).copied().unwrap_or(0);
         match answer.outcome() {
             Outcome::Cancelled => assert_eq!(answer.had_begun, starts > 0, "{id}: {answer:?}"),
             outcome => assert_eq!((outcome, starts), (Outcome::Done, 2), "{id}"),
         }
     }
-    cell.assert_no_fault();
+    cell.assert_no_violations();
 }
 
 #[tokio::test]
@@ -427,7 +429,7 @@
     assert!(cell.entries[owner].ended().await);
     let answer = final_answer(&rest, "kept").await.answer.unwrap();
     assert_eq!(answer.outcome(), Outcome::Done);
-    assert_eq!(cell.assert_no_fault().by_name["kept"], 2);
+    assert_eq!(cell.assert_no_violations().starts_by_name["kept"], 2);
 }
 
 #[tokio::test]
@@ -442,8 +444,8 @@
         let answer = final_answer(&callers, &format!("slow-{i}")).await.answer.unwrap();
         assert_eq!(answer.outcome(), Outcome::Done);
     }
-    let verdict = cell.assert_no_fault();
-    assert!(verdict.by_name.values().all(|n| *n == 2));
+    let summary = cell.assert_no_violations();
+    assert!(summary.starts_by_name.values().all(|n| *n == 2));
 }
 
 #[tokio::test]
@@ -471,8 +473,8 @@
         let answer = final_answer(&callers, &format!("spread-{i}")).await.answer.unwrap();
         assert_eq!(answer.outcome(), Outcome::Done);
     }
-    let verdict = cell.assert_no_fault();
-    assert!(verdict.by_name.values().all(|n| *n == 1), "{:?}", verdict.by_name);
+    let summary = cell.assert_no_violations();
+    assert!(summary.starts_by_name.values().all(|n| *n == 1), "{:?}", summary.starts_by_name);
 }
 
 #[tokio::test]
--- a/crates/hollowford/tests/outage.rs
+++ b/crates/hollowford/tests/outage.rs
@@ -65,9 +65,9 @@
         })
         .await;
     }
-    let verdict = cell.assert_no_fault();
-    assert!(ids.iter().all(|id| verdict.by_name[id] == 1));
-    assert_eq!(verdict.by_name.get("once"), None);
+    let summary = cell.assert_no_violations();
+    assert!(ids.iter().all(|id| summary.starts_by_name[id] == 1));
+    assert_eq!(summary.starts_by_name.get("once"), None);
 }
 
 #[tokio::test]
@@ -90,7 +90,7 @@
     assert_eq!(kind_of(&status), "unavailable", "{status:?}");
     cell.entries[(owner + 1) % 3].thaw();
     answered_check(&callers[owner], "again").await;
-    cell.assert_no_fault();
+    cell.assert_no_violations();
 }
 
 #[tokio::test]
@@ -116,8 +116,10 @@
     long.payload = b"name=long run=60000".to_vec();
     let caller = callers[owner].clone();
     until("it is accepted", || async { caller.submit("long", &long, false).await.ok() }).await;
-    until("it runs", || async { (cell.verdict().by_name.get("long") == Some(&1)).then_some(()) })
-        .await;
+    until("it runs", || async {
+        (cell.record_summary().starts_by_name.get("long") == Some(&1)).then_some(())
+    })
+    .await;
     // The worker that runs it is cut off from the next owner.
     let on = cell.lines().into_iter().find(|l| l.name == "long").unwrap().worker;
     cell.worker_fault(0, &format!("deaf/{on}/true")).await;
@@ -129,6 +131,6 @@
     submit_anyhow(&callers, "long", &long).await;
     let view = final_answer(&callers, "long").await;
     assert_eq!(view.answer.unwrap().outcome(), Outcome::Done);
-    let verdict = cell.assert_no_fault();
-    assert_eq!(verdict.by_name["long"], 2);
+    let summary = cell.assert_no_violations();
+    assert_eq!(summary.starts_by_name["long"], 2);
 }
--- a/crates/hollowford/tests/pairs.rs
+++ b/crates/hollowford/tests/pairs.rs
@@ -96,7 +96,8 @@
             assert_eq!(answer.outcome(), Outcome::Done, "{kind}-{i}: {answer:?}");
         }
         let answer = final_answer(&callers, &format!("once-{i}")).await.answer.unwrap();
-        let starts = cell.verdict().by_name.get(&format!("once-{i}")).copied().unwrap_or(0);
+        let starts =
+            cell.record_summary().starts_by_name.get(&format!("once-{i}")).copied().unwrap_or(0);
         assert!(starts <= 2, "once-{i} was started {starts} times");
         match answer.outcome() {
             Outcome::Done => assert_eq!(starts, 2),
@@ -105,7 +106,7 @@
             other => panic!("once-{i}: {other:?}"),
         }
     }
-    cell.assert_no_fault();
+    cell.assert_no_violations();
 }
 
 #[parameterized(
--- a/crates/hollowford/tests/scale.rs
+++ b/crates/hollowford/tests/scale.rs
@@ -71,7 +71,7 @@
     assert_eq!(held, u64::from(running));
     // The check may have displaced one task, which waits again.
     assert!(p["waiting_tasks"].as_u64().unwrap() >= u64::from(queued));
-    cell.assert_no_fault();
+    cell.assert_no_violations();
 }
 
 #[tokio::test]
@@ -96,7 +96,7 @@
     }
     let seconds = started.elapsed().as_secs_f64() + 1.0;
     let writes = sum(&cell, "store_writes").await - writes;
-    let placed = cell.assert_no_fault().starts as u64;
+    let placed = cell.assert_no_violations().starts as u64;
     println!("{placed} placements, {writes} writes in {seconds:.1} s");
     assert_eq!(placed, 4_000);
     // 150 ledger rows a second, 2.5 renewals, and little else; by count, not by time:
@@ -145,7 +145,7 @@
     let attempts = retries(&cell).await - before;
     println!("entries repeated {attempts} calls");
     assert_eq!(attempts, 0, "a refusal is final; no layer asks again");
-    cell.assert_no_fault();
+    cell.assert_no_violations();
 }
 
 /// Sums the calls that entries have sent again.
@@ -187,5 +187,5 @@
         waits.last()
     );
     assert!(partition(&cell, owner).await.unwrap()["preempted"].as_u64().unwrap() >= 1);
-    cell.assert_no_fault();
+    cell.assert_no_violations();
 }
--- a/crates/hollowford/tests/whole_path.rs
+++ b/crates/hollowford/tests/whole_path.rs
@@ -37,8 +37,8 @@
     assert_eq!(answer.outcome(), Outcome::Cancelled);
     assert!(answer.had_begun);
 
-    let verdict = cell.assert_no_fault();
-    assert_eq!(verdict.starts, 1 + 6 + 40 + 3);
+    let summary = cell.assert_no_violations();
+    assert_eq!(summary.starts, 1 + 6 + 40 + 3);
 }
 
 #[tokio::test]
@@ -83,8 +83,8 @@
     let other_body = spec(Kind::Batch, 2, 500, 20);
     let status = callers[1].submit("once", &other_body, false).await.unwrap_err();
     assert_eq!(kind_of(&status), "conflict");
-    let verdict = cell.assert_no_fault();
-    assert_eq!(verdict.by_name["once"], 1);
+    let summary = cell.assert_no_violations();
+    assert_eq!(summary.starts_by_name["once"], 1);
 }
 
 #[tokio::test]
@@ -141,5 +141,5 @@
     }
     let view = final_answer(&[caller], "other").await;
     assert_eq!(view.answer.unwrap().outcome(), Outcome::Done);
-    cell.assert_no_fault();
+    cell.assert_no_violations();
 }
