--- a/crates/hollowford-standin/src/bench/load.rs
+++ b/crates/hollowford-standin/src/bench/load.rs
@@ -1,4 +1,4 @@
-//! Submits mixed work, as an open loop: the next call does not wait for the last.
+//! Submits mixed work in an open loop: a call does not wait for the previous one.
 
 use super::Options;
 use crate::StandinError;
@@ -12,38 +12,38 @@
 use tonic::metadata::{Ascii, MetadataValue};
 use tonic::transport::{Channel, Endpoint};
 
-/// Of ten requests, so many are quick checks; the others are batch work.
+/// Number of quick checks among ten requests; the others are batch work.
 const CHECKS_PER_TEN_REQUESTS: u64 = 5;
-/// Tasks of one batch request.
+/// Number of tasks of a batch request.
 const BATCH_TASKS: u32 = 9;
 const CHECK_RUN_MS: u64 = 20;
 const BATCH_RUN_MS: u64 = 100;
-/// Longest time of a call.
+/// Timeout of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 const MAX_RECORDED_MS: u64 = 120_000;
-/// Calls that may be open; past it the loop is closed, and the step says so by its rate.
-const MAX_OPEN_CALLS: usize = 20_000;
-/// Connections to each process.
+/// Capacity of the queue of call results.
+const RESULT_QUEUE_LEN: usize = 20_000;
+/// Number of connections to each process.
 const CONNECTIONS: usize = 4;
 
-/// A connection, with the token.
+/// A connection with the account's token.
 #[derive(Clone, Debug)]
 pub(super) struct Caller {
     client: SchedulerClient<Channel>,
     authorization: MetadataValue<Ascii>,
 }
 
-/// What came of one call.
+/// Result of one call.
 struct CallResult {
     is_check: bool,
     tasks: u32,
-    /// Waiting time, when there is an answer.
+    /// Waiting time in milliseconds; `None` without an answer.
     waited: Option<u64>,
-    /// From call to answer, less the run time.
+    /// Time from call to answer minus the run time, in milliseconds.
     overhead: u64,
 }
 
-/// What came of one step.
+/// Result of one step.
 pub(super) struct LoadResult {
     pub started: u64,
     pub failed: u64,
@@ -86,17 +86,17 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    // Bounds that are constant and in order can't be refused.
+    // Constant bounds in ascending order are always valid.
     Histogram::new_with_bounds(1, MAX_RECORDED_MS, 3).unwrap_or_else(|_| unreachable!())
 }
 
-/// Asks for `rate` starts a second for so many seconds, and waits for all answers.
+/// Submits requests for `rate` task starts per second over `seconds`, and waits for all answers.
 pub(super) async fn run_load(callers: &[Caller], rate: u64, seconds: u64) -> LoadResult {
     static STEP: AtomicU64 = AtomicU64::new(0);
     let run = format!("{}-{}", std::process::id(), STEP.fetch_add(1, Ordering::Relaxed));
     let run: Arc<str> = run.into();
-    let (tx, mut rx) = mpsc::channel(MAX_OPEN_CALLS);
-    // Of ten requests: five checks of one task and five batches of nine are fifty.
+    let (tx, mut rx) = mpsc::channel(RESULT_QUEUE_LEN);
+    // Ten requests: five checks of one task and five batches of nine tasks make fifty starts.
     let starts_per_ten_requests =
         CHECKS_PER_TEN_REQUESTS + (10 - CHECKS_PER_TEN_REQUESTS) * u64::from(BATCH_TASKS);
     let requests = rate * seconds * 10 / starts_per_ten_requests;
@@ -104,7 +104,7 @@
     let started = Instant::now();
     for i in 0..requests {
         let due = spacing * i as u32;
-        // Sleeps are no finer than a millisecond, so several calls may go at once.
+        // Sleeps are no finer than a millisecond, so several calls may be sent at once.
         if due > started.elapsed() + Duration::from_millis(1) {
             tokio::time::sleep(due - started.elapsed()).await;
         }
@@ -161,6 +161,6 @@
     let view = caller.client.submit(req).await.ok().map(tonic::Response::into_inner);
     let waited = view.filter(|v| v.answer.is_some()).and_then(|v| v.waited_ms);
     let overhead = (called.elapsed().as_millis() as u64).saturating_sub(run_ms);
-    // The receiver lives until every sender is gone.
+    // The receiver exists until all senders are dropped.
     let _ = tx.send(CallResult { is_check, tasks, waited, overhead }).await;
 }
--- a/crates/hollowford-standin/src/bench/mod.rs
+++ b/crates/hollowford-standin/src/bench/mod.rs
@@ -1,4 +1,4 @@
-//! Drives running processes at given rates with mixed work, and measures them.
+//! Load benchmark: submits mixed work to running processes at given rates and measures them.
 
 mod load;
 mod observe;
@@ -11,62 +11,62 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// What to drive, and how.
+/// Options of the benchmark.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Addresses of the processes' callers' side.
+    /// Addresses at which the processes accept callers.
     pub callers: Vec<String>,
     /// Address of the stand-in platform.
     pub platform: String,
-    /// Token of the client account that asks.
+    /// Token of the client account that submits the work.
     pub token: String,
-    /// Ids of the system's processes, for their processor time and memory.
+    /// Process ids of the system, to measure CPU time and memory.
     pub pids: Vec<String>,
-    /// Starts a second, one step after the other.
+    /// Rates of the steps, in task starts per second.
     pub rates: Vec<u64>,
-    /// Length of a step.
+    /// Length of a step, in seconds.
     pub seconds: u64,
 }
 
-/// What one step has shown.
+/// Measurements of one step.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Step {
-    /// Starts a second that were asked for.
+    /// Requested task starts per second.
     pub rate: u64,
-    /// Starts a second that were made and answered.
+    /// Task starts per second whose requests were answered.
     pub achieved: f64,
-    /// Calls refused or failed.
+    /// Number of calls that were refused or failed.
     pub failed: u64,
-    /// Waiting time of quick checks from acceptance to start, in milliseconds.
+    /// Median waiting time of quick checks from acceptance to start, in milliseconds.
     pub check_wait_p50: u64,
-    /// The same, at 99 of 100.
+    /// 99th percentile of the same waiting time, in milliseconds.
     pub check_wait_p99: u64,
-    /// From a quick check's call to its answer, less its run time, in milliseconds.
+    /// 99th percentile of the time from a quick check's call to its answer minus its run time, in milliseconds.
     pub check_call_p99: u64,
-    /// Waiting time of batch work.
+    /// 99th percentile of the waiting time of batch work, in milliseconds.
     pub batch_wait_p99: u64,
-    /// Store writes a placement.
+    /// Store writes per task placed.
     pub writes_per_placement: f64,
-    /// Store writes a second.
+    /// Store writes per second.
     pub writes_per_second: f64,
-    /// Store reads a second.
+    /// Store reads per second.
     pub reads_per_second: f64,
-    /// Bytes over loopback a placement, of all parts and the bench itself.
+    /// Bytes over the loopback interface per task placed, including those of the benchmark itself.
     pub bytes_per_placement: f64,
-    /// The same, a second.
+    /// Bytes over the loopback interface per second.
     pub bytes_per_second: f64,
-    /// Processor time a placement of all processes of the system, in microseconds.
+    /// CPU time of all processes of the system per task placed, in microseconds.
     pub cpu_us_per_placement: f64,
-    /// Part of a core that each process used.
+    /// CPU use of each process, in cores.
     pub cores: Vec<f64>,
     /// Resident memory of each process, in mebibytes.
     pub memory_mib: Vec<f64>,
 }
 
-/// Runs all steps, prints them, and saves JSON and a plot into `out`.
+/// Runs and prints all steps, and writes JSON and a plot into the folder `out`.
 ///
 /// # Errors
-/// When the processes can't be reached or the files can't be written.
+/// Returns an error if the processes can't be reached or the files can't be written.
 pub async fn run(options: &Options, out: Option<&Path>) -> Result<(), StandinError> {
     let callers = load::connect(options).await?;
     println!(
@@ -76,12 +76,12 @@
     let mut steps = Vec::new();
     for &rate in &options.rates {
         let before = Snapshot::take(options).await?;
-        let load = load::run_load(&callers, rate, options.seconds).await;
+        let result = load::run_load(&callers, rate, options.seconds).await;
         let after = Snapshot::take(options).await?;
-        let step = Step::new(rate, &load, &before, &after);
+        let step = Step::new(rate, &result, &before, &after);
         step.print();
         steps.push(step);
-        // The queue that a step leaves behind is not the next one's.
+        // Lets the queue of this step drain before the next one.
         tokio::time::sleep(Duration::from_secs(1)).await;
     }
     if let Some(dir) = out {
@@ -94,21 +94,21 @@
 }
 
 impl Step {
-    fn new(rate: u64, load: &LoadResult, before: &Snapshot, after: &Snapshot) -> Step {
+    fn new(rate: u64, result: &LoadResult, before: &Snapshot, after: &Snapshot) -> Step {
         let seconds = after.at.duration_since(before.at).as_secs_f64();
-        let placed = load.started.max(1) as f64;
+        let placed = result.started.max(1) as f64;
         let writes = (after.writes - before.writes) as f64;
         let reads = (after.reads - before.reads) as f64;
         let cpu: Vec<f64> =
             after.cpu_seconds.iter().zip(&before.cpu_seconds).map(|(a, b)| a - b).collect();
         Step {
             rate,
-            achieved: load.started as f64 / load.elapsed.as_secs_f64(),
-            failed: load.failed,
-            check_wait_p50: load.check_wait.value_at_quantile(0.5),
-            check_wait_p99: load.check_wait.value_at_quantile(0.99),
-            check_call_p99: load.check_call.value_at_quantile(0.99),
-            batch_wait_p99: load.batch_wait.value_at_quantile(0.99),
+            achieved: result.started as f64 / result.elapsed.as_secs_f64(),
+            failed: result.failed,
+            check_wait_p50: result.check_wait.value_at_quantile(0.5),
+            check_wait_p99: result.check_wait.value_at_quantile(0.99),
+            check_call_p99: result.check_call.value_at_quantile(0.99),
+            batch_wait_p99: result.batch_wait.value_at_quantile(0.99),
             writes_per_placement: writes / placed,
             writes_per_second: writes / seconds,
             reads_per_second: reads / seconds,
--- a/crates/hollowford-standin/src/bench/observe.rs
+++ b/crates/hollowford-standin/src/bench/observe.rs
@@ -1,22 +1,22 @@
-//! Counters read before and after a step.
+//! Reads counters before and after a step.
 
 use super::Options;
 use crate::StandinError;
 use crate::platform::Served;
 use std::time::Instant;
 
-/// Clock ticks a second in `/proc`, as Linux fixes them for programs.
+/// Clock ticks per second in `/proc`; Linux fixes this value for user space.
 const TICKS_PER_SECOND: f64 = 100.0;
 const KIB_PER_MIB: f64 = 1_024.0;
 
-/// Counters at one time.
+/// Counters at one point in time.
 pub(super) struct Snapshot {
     pub at: Instant,
     pub reads: u64,
     pub writes: u64,
     /// Bytes received over loopback by all processes of the machine.
     pub received_bytes: u64,
-    /// Processor time of each process, in seconds.
+    /// CPU time of each process, in seconds.
     pub cpu_seconds: Vec<f64>,
     pub memory_mib: Vec<f64>,
 }
@@ -49,7 +49,7 @@
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let (_, rest) = stat.rsplit_once(')')?;
     let fields: Vec<&str> = rest.split_whitespace().collect();
-    // User and system time, fields 14 and 15 of the whole line.
+    // User and system time are fields 14 and 15 of the whole line; `fields` starts with field 3.
     let user: f64 = fields.get(11)?.parse().ok()?;
     let system: f64 = fields.get(12)?.parse().ok()?;
     Some((user + system) / TICKS_PER_SECOND)
--- a/crates/hollowford-standin/src/bench/plot.rs
+++ b/crates/hollowford-standin/src/bench/plot.rs
@@ -1,11 +1,11 @@
-//! Draws waiting time over the rate.
+//! Plots waiting times over the rate of starts.
 
 use super::Step;
 use crate::StandinError;
 use plotters::prelude::*;
 use std::path::Path;
 
-/// A line of the plot: its name, its colour, and what it shows of a step.
+/// A line of the plot: its label, its color, and its value for a step in milliseconds.
 type Series = (&'static str, RGBColor, fn(&Step) -> u64);
 
 const SIZE_PX: (u32, u32) = (800, 480);
@@ -13,7 +13,7 @@
 /// Draws the steps into an SVG file.
 ///
 /// # Errors
-/// When the file can't be written.
+/// Returns an error if the file can't be written.
 pub(super) fn draw(steps: &[Step], path: &Path) -> Result<(), StandinError> {
     draw_chart(steps, path).map_err(|e| StandinError::Bench(e.to_string()))
 }
--- a/crates/hollowford-standin/src/control.rs
+++ b/crates/hollowford-standin/src/control.rs
@@ -1,4 +1,4 @@
-//! Calls that bring about faults of workers, and give out their record.
+//! HTTP endpoints that inject faults into workers and return their record.
 
 use crate::record::{Line, Recorder};
 use crate::worker::StandinWorker;
@@ -10,11 +10,11 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The workers of one process, by id.
+/// The workers of one process.
 pub struct ControlledWorkers {
-    /// The workers.
+    /// The workers by id.
     pub workers: BTreeMap<String, Arc<StandinWorker>>,
-    /// Their common record.
+    /// Their shared record.
     pub recorder: Arc<Recorder>,
 }
 
@@ -53,10 +53,10 @@
     Json(state.recorder.lines())
 }
 
-/// Starts the control address and returns it.
+/// Starts the control endpoints on a free port and returns their address.
 ///
 /// # Errors
-/// When it can't be bound.
+/// Returns an error if no port can be bound.
 pub async fn start(controlled: ControlledWorkers) -> io::Result<SocketAddr> {
     let app = Route::new()
         .at("/leave/:id", post(leave))
--- a/crates/hollowford-standin/src/lib.rs
+++ b/crates/hollowford-standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Small stand-ins for the platform and the workers, for tests and `dev` only.
+//! Stand-ins for the platform and the workers, for tests and the `dev` command only.
 //!
-//! Faults are switched on by a call. A worker records every start and stop that it
-//! makes: that record, and not the scheduler's own view, is the judge in tests.
+//! Faults are injected by HTTP calls. A worker records every start and end of a task. Tests check
+//! these records instead of the scheduler's own view.
 
 pub mod bench;
 pub mod control;
@@ -12,19 +12,19 @@
 pub mod register;
 pub mod worker;
 
-/// Why a stand-in could not start.
+/// Why a stand-in or the benchmark failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StandinError {
-    /// The command line is not as it should be.
-    #[error("which stand-in?")]
+    /// The subcommand is missing or unknown.
+    #[error("missing or unknown subcommand")]
     Usage,
-    /// An argument is wrong.
+    /// An argument is missing or invalid.
     #[error("{0}")]
     Arguments(#[from] pico_args::Error),
-    /// A plot can't be drawn, or a call failed.
+    /// A call of the benchmark failed, or its plot can't be drawn.
     #[error("{0}")]
     Bench(String),
-    /// An address or file can't be had.
+    /// An address or file operation failed.
     #[error("{0}")]
     Io(#[from] std::io::Error),
 }
--- a/crates/hollowford-standin/src/main.rs
+++ b/crates/hollowford-standin/src/main.rs
@@ -1,5 +1,5 @@
-//! Program of the stand-ins, for tests: `platform` or `workers`. It prints the
-//! addresses that it got as one line of JSON, and runs until it is ended.
+//! Program for the stand-ins (`platform`, `workers`) and the benchmark (`bench`). A stand-in prints its
+//! addresses as one line of JSON and runs until it is killed.
 
 use hollowford_standin::control::{self, ControlledWorkers};
 use hollowford_standin::record::Recorder;
--- a/crates/hollowford-standin/src/payload.rs
+++ b/crates/hollowford-standin/src/payload.rs
@@ -1,19 +1,19 @@
-//! What a stand-in worker reads from a task's payload: `key=value` words.
+//! Task payloads for stand-in workers: `key=value` words.
 
 /// How a task behaves on a stand-in worker.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Behaviour {
-    /// Name that the record carries.
+    /// Name of the task in the record.
     pub name: String,
-    /// True run time in milliseconds, where it differs from the declared one.
+    /// Actual run time in milliseconds, if it differs from the declared one.
     pub run_ms: Option<u64>,
-    /// Whether it fails.
+    /// Whether the task fails.
     pub fail: bool,
-    /// Processors that it uses, in thousandths of a core.
+    /// CPU use in thousandths of a core, if it differs from the allocation.
     pub cpu_milli: Option<u32>,
-    /// Memory that it uses, in mebibytes.
+    /// Memory use in mebibytes, if it differs from the allocation.
     pub memory_mib: Option<u32>,
-    /// Length of its result in bytes.
+    /// Size of the result in bytes.
     pub result_bytes: usize,
 }
 
--- a/crates/hollowford-standin/src/platform.rs
+++ b/crates/hollowford-standin/src/platform.rs
@@ -1,5 +1,4 @@
-//! The platform for `hollowford serve`: the stand-in of the users' platform, without its
-//! workers.
+//! The stand-in of the users' platform for `hollowford serve`, without that platform's workers.
 
 use hollowford_adapter_standin::Platform;
 use std::io;
@@ -7,11 +6,11 @@
 
 pub use hollowford_adapter_standin::{Faults, Served};
 
-/// Starts the platform on `addr` and returns the address that it got. It serves
-/// for as long as the runtime lives.
+/// Starts the platform on `addr` and returns the bound address. It serves until the runtime is
+/// dropped.
 ///
 /// # Errors
-/// When the address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn start(addr: &str) -> io::Result<SocketAddr> {
     Ok(Platform::start_at(addr, 0).await?.addr())
 }
--- a/crates/hollowford-standin/src/record.rs
+++ b/crates/hollowford-standin/src/record.rs
@@ -1,4 +1,4 @@
-//! The record that a stand-in worker keeps of what it did.
+//! The record of task events that a stand-in worker keeps.
 
 use serde::{Deserialize, Serialize};
 use std::fs::{File, OpenOptions};
@@ -6,32 +6,32 @@
 use std::path::Path;
 use std::sync::Mutex;
 
-/// What happened to a task.
+/// An event of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskEvent {
-    /// It started.
+    /// The task started.
     Start,
-    /// It ran to its end.
+    /// The task completed.
     Done,
-    /// It ran and failed.
+    /// The task failed.
     Failed,
-    /// It was stopped by order.
+    /// The task was stopped by an order.
     Stopped,
-    /// Its lease ended.
+    /// The task's lease ended.
     Lapsed,
-    /// A start was refused, because the instance had no room for it.
+    /// The worker refused a start for lack of capacity.
     NoRoom,
 }
 
 /// One line of the record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Line {
-    /// Wall clock in microseconds since 1970. All stand-ins run on one machine.
+    /// Wall clock time in microseconds since 1970. All stand-ins run on one machine.
     pub at_us: u64,
-    /// The worker.
+    /// Id of the worker.
     pub worker: String,
-    /// What happened.
+    /// The event.
     pub what: TaskEvent,
     /// Partition of the session.
     pub partition: u32,
@@ -41,16 +41,16 @@
     pub index: u32,
     /// Number of the attempt.
     pub attempt: u32,
-    /// Name from the payload.
+    /// Name from the payload; empty if it has none.
     pub name: String,
-    /// Processors that the worker holds after this, in thousandths of a core.
+    /// CPU allocated on the worker, in thousandths of a core.
     pub cpu_held: u64,
-    /// Processors that the instance has.
+    /// CPU capacity of the worker, in thousandths of a core.
     pub cpu_capacity: u64,
 }
 
-/// Where lines are kept: in memory, and in a file when one is given, so that a
-/// killed worker's lines stay.
+/// Keeps the lines in a file if one is given, so that they survive a killed worker, and otherwise
+/// in memory.
 #[derive(Debug, Default)]
 pub struct Recorder {
     lines: Mutex<Vec<Line>>,
@@ -58,23 +58,23 @@
 }
 
 impl Recorder {
-    /// Makes a recorder that appends to `path` as well, when given.
+    /// Returns a recorder that appends to the file `path`, or keeps the lines in memory for `None`.
     ///
     /// # Errors
-    /// When the file can't be opened.
+    /// Returns an error if the file can't be opened.
     pub fn new(path: Option<&Path>) -> io::Result<Recorder> {
         let open = |p| OpenOptions::new().create(true).append(true).open(p);
         let file = path.map(open).transpose()?.map(Mutex::new);
         Ok(Recorder { lines: Mutex::default(), file })
     }
 
-    /// Keeps one line.
+    /// Appends a line.
     pub fn push(&self, line: Line) {
         if let Some(file) = &self.file
             && let (Ok(mut file), Ok(mut text)) = (file.lock(), serde_json::to_vec(&line))
         {
             text.push(b'\n');
-            // A record that can't be written shows as missing lines in the test.
+            // Lines that can't be written are missing in the test's check.
             let _ = file.write_all(&text);
         }
         if self.file.is_none()
@@ -90,10 +90,10 @@
     }
 }
 
-/// Reads the lines of a record file.
+/// Reads the lines of a record file. Skips a line that a kill cut short.
 ///
 /// # Errors
-/// When the file can't be read. A line cut off by a kill is left out.
+/// Returns an error if the file can't be read.
 pub fn read(path: &Path) -> io::Result<Vec<Line>> {
     let text = std::fs::read_to_string(path)?;
     Ok(text.lines().filter_map(|l| serde_json::from_str(l).ok()).collect())
--- a/crates/hollowford-standin/src/record_check.rs
+++ b/crates/hollowford-standin/src/record_check.rs
@@ -1,10 +1,10 @@
-//! Judges the workers' records: did anything run twice at once, or over-commit?
+//! Checks the workers' records for tasks that ran twice at once and for over-commitment.
 
 use crate::record::{Line, TaskEvent};
 use std::collections::BTreeMap;
 
-/// Identity of a task over all its attempts: the name in its payload, which a caller
-/// that repeats a request repeats too, or else the request's number; then the index.
+/// Identity of a task over all its attempts: the partition, the name in its payload or else the
+/// request's number, and the index. A caller that repeats a request repeats the name.
 type TaskKey = (u32, String, u32);
 
 fn task_key(line: &Line) -> TaskKey {
@@ -15,18 +15,18 @@
     (line.partition, name, line.index)
 }
 
-/// What the records show.
+/// Result of the check.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecordSummary {
-    /// Starts made.
+    /// Number of task starts.
     pub starts: usize,
-    /// Faults found, in words.
+    /// Violations, in words.
     pub violations: Vec<String>,
-    /// Starts by the payload's name.
+    /// Number of starts by name in the payload.
     pub starts_by_name: BTreeMap<String, usize>,
 }
 
-/// Judges all lines of all workers.
+/// Checks the lines of all workers.
 pub fn check_record(mut lines: Vec<Line>) -> RecordSummary {
     lines.sort_by_key(|l| l.at_us);
     let mut summary = RecordSummary::default();
@@ -39,7 +39,7 @@
                 running.insert(key, (line.worker.clone(), line.request, line.attempt));
             }
             TaskEvent::NoRoom => {
-                summary.violations.push(format!("over-commitment asked for: {line:?}"))
+                summary.violations.push(format!("start beyond the worker's capacity: {line:?}"))
             }
             TaskEvent::Done | TaskEvent::Failed | TaskEvent::Stopped | TaskEvent::Lapsed => {
                 let own = |(_, request, attempt): &(String, u64, u32)| {
@@ -65,9 +65,9 @@
         *summary.starts_by_name.entry(line.name.clone()).or_insert(0) += 1;
     }
     if let Some((worker, _, attempt)) = running.get(key) {
-        summary.violations.push(format!("runs on {worker} as attempt {attempt} too: {line:?}"));
+        summary.violations.push(format!("also runs on {worker} as attempt {attempt}: {line:?}"));
     }
     if line.cpu_held > line.cpu_capacity {
-        summary.violations.push(format!("over-committed: {line:?}"));
+        summary.violations.push(format!("over-committed worker: {line:?}"));
     }
 }
--- a/crates/hollowford-standin/src/register.rs
+++ b/crates/hollowford-standin/src/register.rs
@@ -1,4 +1,4 @@
-//! Starts several workers and puts them on the platform's list.
+//! Starts groups of workers and registers them with the platform.
 
 use crate::record::Recorder;
 use crate::worker::{self, Settings, StandinWorker};
@@ -8,24 +8,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a group of workers is like.
+/// A group of similar workers.
 #[derive(Clone, Debug)]
 pub struct Group {
-    /// Start of their ids; a number follows.
+    /// Prefix of their ids, followed by a number.
     pub prefix: String,
-    /// How many there are.
+    /// Number of workers.
     pub count: usize,
-    /// Availability zones, over which the racks are dealt out.
+    /// Number of availability zones; racks are assigned to them in turn.
     pub zones: usize,
-    /// Workers in a rack.
+    /// Workers per rack.
     pub per_rack: usize,
-    /// Thousandths of a core of each.
+    /// CPU capacity of each worker, in thousandths of a core.
     pub cpu_milli: u32,
-    /// Mebibytes of each.
+    /// Memory of each worker, in mebibytes.
     pub memory_mib: u32,
-    /// Accelerators of each.
+    /// Accelerators of each worker.
     pub accelerators: u32,
-    /// The first so many fail every task.
+    /// Number of workers, from the first, that fail every task.
     pub failing_count: usize,
 }
 
@@ -49,10 +49,10 @@
     }
 }
 
-/// Starts the group on loopback and registers it with the platform at `platform`.
+/// Starts the group on the loopback interface and registers it with the platform at `platform`.
 ///
 /// # Errors
-/// When an address can't be bound or the platform doesn't answer.
+/// Returns an error if an address can't be bound or the platform doesn't answer.
 pub async fn start_group(
     group: &Group,
     platform: &str,
--- a/crates/hollowford-standin/src/worker/mod.rs
+++ b/crates/hollowford-standin/src/worker/mod.rs
@@ -1,4 +1,4 @@
-//! Workers: leases on their own clock, epochs, sessions and remembered outcomes.
+//! Stand-in workers: leases on their own clock, epochs, sessions and kept outcomes.
 
 mod service;
 mod state;
--- a/crates/hollowford-standin/src/worker/service.rs
+++ b/crates/hollowford-standin/src/worker/service.rs
@@ -1,4 +1,4 @@
-//! The gRPC service of a worker, and its start.
+//! The gRPC service of a worker.
 
 use super::state::{Settings, StandinWorker};
 use crate::record::Recorder;
@@ -17,9 +17,9 @@
 use tonic::transport::server::TcpIncoming;
 use tonic::{Request, Response, Status, Streaming};
 
-/// How often a worker looks at its tasks.
+/// Time between two checks of a worker's tasks.
 const TICK_INTERVAL: Duration = Duration::from_millis(5);
-/// Reports that may wait to be sent.
+/// Largest number of reports waiting to be sent.
 const MAX_QUEUED_REPORTS: usize = 65_536;
 
 /// The gRPC service of one worker.
@@ -54,11 +54,11 @@
     }
 }
 
-/// Starts one worker on `addr`. It serves for as long as the runtime lives.
-/// Returns the worker, and the instance with the address that it got.
+/// Starts a worker on `addr`, which serves until the runtime is dropped. Returns the worker and
+/// its instance with the bound address.
 ///
 /// # Errors
-/// When the address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn start(
     addr: &str,
     mut settings: Settings,
--- a/crates/hollowford-standin/src/worker/state.rs
+++ b/crates/hollowford-standin/src/worker/state.rs
@@ -13,16 +13,16 @@
 use tokio::sync::mpsc;
 use tonic::Status;
 
-/// What a stand-in worker is like.
+/// Settings of a stand-in worker.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The instance, as it is to be listed; the address is filled in.
+    /// The instance as listed on the platform. Its address is filled in at the start.
     pub instance: Instance,
-    /// Thousandths of a core.
+    /// CPU capacity in thousandths of a core.
     pub cpu_milli: u32,
-    /// Mebibytes.
+    /// Memory in mebibytes.
     pub memory_mib: u32,
-    /// Whole accelerators.
+    /// Number of accelerators.
     pub accelerators: u32,
     /// Whether every task fails at once.
     pub fail_all: bool,
@@ -54,7 +54,7 @@
     pub ended: BTreeMap<TaskKey, v1::Ended>,
     pub leaving: bool,
     pub fail_all: bool,
-    /// No claim reaches the worker, as when it is cut off from later owners.
+    /// Whether claims are ignored, as if the worker were disconnected from later owners.
     pub rejects_claims: bool,
     pub usage_reported_at: u64,
 }
@@ -94,7 +94,7 @@
             settings,
             incarnation: fastrand::u64(1..),
             clock: Clock::new(),
-            // No two clocks agree, so a mix-up of clocks shows.
+            // Every worker's clock differs, so that tests detect a confusion of clocks.
             clock_offset: fastrand::u64(OFFSET_RANGE),
             recorder,
             object_store,
@@ -115,22 +115,22 @@
         &self.settings.instance.id
     }
 
-    /// Makes the worker say that its instance is leaving.
+    /// Makes the worker report that its instance is leaving.
     pub fn announce_leaving(&self) {
         self.lock().leaving = true;
     }
 
-    /// Makes every task fail at once, or no longer.
+    /// Sets whether every task fails at once.
     pub fn set_fail_all(&self, fail_all: bool) {
         self.lock().fail_all = fail_all;
     }
 
-    /// Lets no further claim reach the worker, or lets them through again.
+    /// Sets whether the worker ignores claims.
     pub fn set_rejects_claims(&self, rejects_claims: bool) {
         self.lock().rejects_claims = rejects_claims;
     }
 
-    /// Ends the present session, as a cut of the network does.
+    /// Ends the current session, like a network failure.
     pub fn disconnect(&self) {
         let mut state = self.lock();
         state.session += 1;
@@ -140,7 +140,7 @@
     pub(super) fn send_report(&self, state: &WorkerState, report: Report) {
         if let Some(tx) = &state.reports {
             let report = v1::Report { clock_ms: self.now(), report: Some(report) };
-            // A full or closed session is settled by the next claim.
+            // The reply to the next claim makes up for reports lost in a full or closed session.
             let _ = tx.try_send(Ok(report));
         }
     }
@@ -149,7 +149,7 @@
         let at_us = std::time::SystemTime::now()
             .duration_since(std::time::UNIX_EPOCH)
             .map_or(0, |d| d.as_micros() as u64);
-        // A frozen worker stops a lapsed task late, but it did not run after the lease.
+        // A paused worker ends a lapsed task late, but the task did not run after its lease.
         let late_ms = match what {
             TaskEvent::Lapsed => self.now().saturating_sub(r.lease_until),
             _ => 0,
@@ -168,8 +168,8 @@
         });
     }
 
-    /// Starts a session, ending the one before. Returns its number, or `None` for
-    /// an epoch below the one obeyed.
+    /// Starts a session and ends the previous one. Returns its number, or `None` if the epoch is
+    /// older than that of the current owner.
     pub(super) fn claim(
         &self,
         claim: &v1::Claim,
--- a/crates/hollowford-standin/src/worker/tasks.rs
+++ b/crates/hollowford-standin/src/worker/tasks.rs
@@ -1,4 +1,4 @@
-//! What a worker does with its tasks.
+//! Starting, ending and reporting of a worker's tasks.
 
 use super::state::{RunningTask, StandinWorker, TaskKey, WorkerState, task_key};
 use crate::payload::Behaviour;
@@ -7,9 +7,9 @@
 use hollowford_protocol::v1::order::Order;
 use hollowford_protocol::v1::report::Report;
 
-/// How often a worker reports use.
+/// Time between two reports of resource use.
 const USAGE_INTERVAL_MS: u64 = 500;
-/// Longest result that a report carries itself.
+/// Largest result sent inside a report; larger ones go to the object store.
 const MAX_INLINE_RESULT_BYTES: usize = 1_024;
 
 impl StandinWorker {
@@ -18,7 +18,7 @@
         if state.session != session {
             return false;
         }
-        // A worker that wakes from a freeze stops what has lapsed before all else.
+        // A worker that was paused first ends the tasks whose leases have lapsed.
         self.end_lapsed_tasks(&mut state);
         match order {
             Order::Claim(_) => return false,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Ends a running task, remembers its outcome and reports it.
+    /// Ends a running task, keeps its outcome and reports it.
     fn end(&self, state: &mut WorkerState, key: &TaskKey, end: v1::End) {
         let Some(r) = state.running.remove(key) else {
             return;
@@ -174,7 +174,7 @@
     }
 }
 
-/// Returns the processors that running tasks hold.
+/// Returns the CPU allocated to running tasks, in thousandths of a core.
 pub(super) fn allocated_cpu_milli(state: &WorkerState) -> u64 {
     state.running.values().map(|r| u64::from(r.start.cpu_milli)).sum()
 }
--- a/crates/hollowford/src/client.rs
+++ b/crates/hollowford/src/client.rs
@@ -1,4 +1,4 @@
-//! The client that the commands use: an address, a token, and the generated stubs.
+//! The commands' client: a connection, a token, and the generated stubs.
 
 use crate::error::CliError;
 use hollowford_protocol::v1::operator_client::OperatorClient;
@@ -13,7 +13,7 @@
 const SERVER_VAR: &str = "HOLLOWFORD_SERVER";
 const TOKEN_VAR: &str = "HOLLOWFORD_TOKEN";
 
-/// Where to call and as whom.
+/// A connection to a server, with the token sent in every call.
 #[derive(Clone)]
 pub struct Target {
     channel: Channel,
@@ -21,10 +21,10 @@
 }
 
 impl Target {
-    /// Connects to a server, as the owner of a token.
+    /// Connects to a server with a token.
     ///
-    /// With the PEM text of a certificate authority, the link is encrypted, and the
-    /// server must prove that it is `localhost` or the address that was given.
+    /// With the PEM text of a certificate authority, the connection uses TLS, and the server's
+    /// certificate must be valid for the given host: `localhost` or an address.
     pub async fn connect(server: &str, token: &str, ca: Option<&str>) -> Result<Target, CliError> {
         let unreachable = |e: tonic::transport::Error| CliError::Unreachable(e.to_string());
         let scheme = if ca.is_some() { "https" } else { "http" };
@@ -39,42 +39,42 @@
         };
         let endpoint = endpoint.connect_timeout(CONNECT_TIMEOUT).tcp_nodelay(true);
         let channel = endpoint.connect().await.map_err(unreachable)?;
-        let invalid = |_| CliError::Usage("the token holds characters that can't be sent".into());
+        let invalid = |_| CliError::Usage("the token has characters that can't be sent".into());
         let authorization = format!("Bearer {token}").parse().map_err(invalid)?;
         Ok(Target { channel, authorization })
     }
 
-    /// Wraps a message into a call with the token.
+    /// Returns a call with the message and the token.
     pub fn call<T>(&self, message: T) -> tonic::Request<T> {
         let mut req = tonic::Request::new(message);
         req.metadata_mut().insert("authorization", self.authorization.clone());
         req
     }
 
-    /// Returns the stub of client accounts' calls.
+    /// Returns the stub for calls of client accounts.
     pub fn scheduler(&self) -> SchedulerClient<Channel> {
         SchedulerClient::new(self.channel.clone())
     }
 
-    /// Returns the stub of operators' calls.
+    /// Returns the stub for calls of operators.
     pub fn operator(&self) -> OperatorClient<Channel> {
         OperatorClient::new(self.channel.clone())
     }
 }
 
-/// Options that every calling command has.
+/// Options of every command that calls a server.
 #[derive(Debug)]
 pub struct Options {
     server: String,
     token: String,
-    /// Text of the certificate authority's PEM file, for encrypted links.
+    /// PEM text of the certificate authority, for connections with TLS.
     ca: Option<String>,
-    /// Print JSON.
+    /// Whether to print JSON.
     pub json: bool,
 }
 
 impl Options {
-    /// Takes `--server`, `--token`, `--ca` and `--json`, or the environment.
+    /// Reads `--server`, `--token`, `--ca` and `--json`. Server and token may come from the environment.
     pub fn take(args: &mut Arguments) -> Result<Options, CliError> {
         let or_var = |value: Option<String>, var: &str, flag: &str| {
             let missing = || CliError::Usage(format!("give {flag}, or set {var}"));
@@ -92,22 +92,22 @@
         })
     }
 
-    /// Connects as the options say.
+    /// Connects to the server of the options.
     pub async fn connect(&self) -> Result<Target, CliError> {
         Target::connect(&self.server, &self.token, self.ca.as_deref()).await
     }
 }
 
-/// Refuses arguments that no one has taken.
+/// Returns an error if arguments are left.
 pub fn reject_unused_arguments(args: Arguments) -> Result<(), CliError> {
     let rest = args.finish();
     match rest.first() {
         None => Ok(()),
-        Some(arg) => Err(CliError::Usage(format!("{arg:?} is not known here"))),
+        Some(arg) => Err(CliError::Usage(format!("unknown argument {arg:?}"))),
     }
 }
 
-/// Runs a future to its end on a runtime of its own.
+/// Runs a future to its end on a new runtime.
 pub fn block_on<F>(run: F) -> Result<(), CliError>
 where
     F: Future<Output = Result<(), CliError>>,
--- a/crates/hollowford/src/command/cancel.rs
+++ b/crates/hollowford/src/command/cancel.rs
@@ -11,12 +11,12 @@
 pub const COMMAND: Command = Command {
     name: "cancel",
     signature: "ID | --label LABEL [--server IP:PORT] [--token TOKEN] [--json]",
-    description: "Cancels one request, or every request that carries a label.",
+    description: "Cancels one request, or every request with a label.",
     examples: &[
         Example { line: "hollowford cancel check-17", explanation: "cancels the request" },
         Example {
             line: "hollowford cancel --label season-2027",
-            explanation: "cancels all that was asked for the season",
+            explanation: "cancels all requests with this label",
         },
     ],
     run,
--- a/crates/hollowford/src/command/check.rs
+++ b/crates/hollowford/src/command/check.rs
@@ -10,7 +10,7 @@
 pub const COMMAND: Command = Command {
     name: "check",
     signature: "FILE [--json]",
-    description: "Checks a settings file and says what is wrong, where, and what would be right.",
+    description: "Checks a settings file, and shows the first error, its position and what is expected.",
     examples: &[Example {
         line: "hollowford check examples/kivu-process.jsonc",
         explanation: "checks the settings of one of Kivu's processes",
--- a/crates/hollowford/src/command/config.rs
+++ b/crates/hollowford/src/command/config.rs
@@ -14,7 +14,7 @@
        --token-sha256 HEX [--weight N] [--quota-cpu-milli N] [--quota-memory-mib N]
        [--quota-accelerators N] [--max-queued N] [--server IP:PORT] [--token TOKEN] [--json]",
     description: "Reads or changes the configuration of client accounts, as an operator.
-A change names the version that it replaces; when another came first, it is refused.",
+A change names the version that it replaces, and is refused if that is not the current one.",
     examples: &[
         Example { line: "hollowford config get university", explanation: "shows the account" },
         Example {
@@ -31,7 +31,7 @@
         Some("get") => get(&options, args),
         Some("set") => set(&options, args),
         Some("history") => history(&options, args),
-        _ => Err(CliError::Usage("config get, config set or config history".to_owned())),
+        _ => Err(CliError::Usage("use config get, config set or config history".to_owned())),
     }
 }
 
--- a/crates/hollowford/src/command/definition.rs
+++ b/crates/hollowford/src/command/definition.rs
@@ -1,30 +1,30 @@
-//! What every command states about itself.
+//! Definitions of the commands: names, help texts and functions.
 
 use super::{cancel, check, config, dev, drain, list, node, serve, state, status, submit};
 use crate::error::CliError;
 use pico_args::Arguments;
 use std::fmt::Write;
 
-/// A command line with what it does. Tests run those that need no server.
+/// An example command line. Tests run those that need no server.
 #[derive(Debug)]
 pub struct Example {
-    /// The whole command line.
+    /// The complete command line.
     pub line: &'static str,
-    /// What it does.
+    /// What the command line does.
     pub explanation: &'static str,
 }
 
-/// A command: its name, signature, description and examples, and what it does.
+/// A command of the program.
 pub struct Command {
-    /// Its name.
+    /// Name on the command line.
     pub name: &'static str,
-    /// Its arguments, as the help shows them.
+    /// Arguments, as the help shows them.
     pub signature: &'static str,
-    /// What it does, in a sentence or two.
+    /// What the command does, in a sentence or two.
     pub description: &'static str,
-    /// How it is used.
+    /// Examples for the help.
     pub examples: &'static [Example],
-    /// Carries it out.
+    /// Runs the command.
     pub run: fn(Arguments) -> Result<(), CliError>,
 }
 
@@ -50,14 +50,14 @@
             format!("{}\n\nusage: hollowford {} {}\n", self.description, self.name, self.signature);
         text.push_str("\nexamples:\n");
         for e in self.examples {
-            // Writing to a text can't fail.
+            // Writing to a `String` can't fail.
             let _ = writeln!(text, "  {}\n      {}", e.line, e.explanation);
         }
         text
     }
 }
 
-/// Lists the commands; an error when a name was given that none of them has.
+/// Prints the list of commands. Returns an error if `name` is given, as no command has it.
 pub fn overview(name: Option<&str>) -> Result<(), CliError> {
     if let Some(name) = name {
         let near = COMMANDS.iter().min_by_key(|c| strsim::levenshtein(c.name, name));
@@ -68,6 +68,6 @@
     for c in COMMANDS {
         println!("  {:<8} {}", c.name, c.description.lines().next().unwrap_or_default());
     }
-    println!("\n`hollowford COMMAND --help` tells more.");
+    println!("\nSee `hollowford COMMAND --help` for details.");
     Ok(())
 }
--- a/crates/hollowford/src/command/dev.rs
+++ b/crates/hollowford/src/command/dev.rs
@@ -13,13 +13,14 @@
 pub const COMMAND: Command = Command {
     name: "dev",
     signature: "[--run FILE [--json] | --cell FILE]",
-    description: "Runs a whole cell in one process, with a stand-in platform and stand-in workers.
-With --run it submits the file's work, prints every answer and the measures, and ends;
-otherwise it prints the addresses and the tokens, and stays.",
+    description:
+        "Runs a complete cell in one process, with a stand-in platform and stand-in workers.
+With --run it submits the file's work, prints every answer and the measurements, and exits;
+otherwise it prints the addresses and tokens, and runs until it is interrupted.",
     examples: &[
         Example {
             line: "hollowford dev --run examples/kivu.jsonc",
-            explanation: "runs Kivu's mixed work and shows what came of it",
+            explanation: "runs Kivu's mixed work and shows the results",
         },
         Example {
             line: "hollowford dev --run examples/ortak-sahne.jsonc",
@@ -29,7 +30,7 @@
     run: run_command,
 };
 
-/// The cell that is started when no file is given.
+/// The cell to start when no file is given.
 const DEFAULT_CELL: &str = r#"{
     "workers": { "count": 6 },
     "accounts": [{ "name": "try", "token": "try-token" }]
@@ -62,7 +63,7 @@
     cell.stop();
     let summary = check_record(lines);
     let Some(report) = report else {
-        return Err(CliError::Run("the run ended without a report".to_owned()));
+        return Err(CliError::Run("the run returned no report".to_owned()));
     };
     if json {
         println!("{}", report.to_json(&summary));
@@ -84,7 +85,7 @@
     }
 }
 
-/// Prints where the cell is and how to call it, and waits for SIGINT.
+/// Prints the addresses and tokens of the cell, and waits for SIGINT.
 fn serve_until_interrupt(file: &WorkFile, cell: &Cell) -> Result<(), CliError> {
     for process in &cell.processes {
         let a = process.addresses();
--- a/crates/hollowford/src/command/drain.rs
+++ b/crates/hollowford/src/command/drain.rs
@@ -10,10 +10,10 @@
 pub const COMMAND: Command = Command {
     name: "drain",
     signature: "[--server IP:PORT] [--token TOKEN] [--json]",
-    description: "Tells one process to hand over its partitions and to stop.",
+    description: "Asks one process to hand over its partitions and to stop.",
     examples: &[Example {
         line: "hollowford drain --server 127.0.0.1:7001",
-        explanation: "stops the process that takes calls there",
+        explanation: "stops the process at this address",
     }],
     run,
 };
--- a/crates/hollowford/src/command/mod.rs
+++ b/crates/hollowford/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! The commands, one a file.
+//! The commands, one per file.
 
 mod cancel;
 mod check;
--- a/crates/hollowford/src/command/node.rs
+++ b/crates/hollowford/src/command/node.rs
@@ -15,7 +15,7 @@
     description: "Runs a process on the users' platform until SIGTERM.
 Reads the settings file that the platform lays, whose path HOLLOWFORD_NODE_FILE holds, and
 serves metrics on PORT of the process's address. A cell that first starts gets one partition
-for N workers (1,200 unless said otherwise). With --check it only reads and checks the file.",
+for N workers (default: 1,200). With --check it only reads and checks the file.",
     examples: &[Example {
         line: "hollowford node --check --config platform/examples/settings.toml",
         explanation: "checks a settings file of the platform",
@@ -39,7 +39,7 @@
         return Ok(());
     }
     super::serve::abort_on_panic();
-    // One thread: on a part of a core more only cost memory and wake-ups.
+    // On a share of a core, more threads would only cost memory and wake-ups.
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
--- a/crates/hollowford/src/command/serve.rs
+++ b/crates/hollowford/src/command/serve.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// How often the process looks whether an operator told it to stop.
+/// Time between two checks whether an operator asked the process to stop.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The command.
@@ -17,11 +17,11 @@
     name: "serve",
     signature: "--config FILE",
     description: "Runs a process of the system until SIGTERM, SIGINT or `drain`.
-Prints the addresses that it got as one line of JSON, hands its partitions over at a
-stop and answers the calls that are open.",
+Prints its addresses as one line of JSON. When it stops, it hands over its partitions and
+answers all open calls.",
     examples: &[Example {
         line: "hollowford serve --config examples/kivu-process.jsonc",
-        explanation: "runs a process by the settings of the file",
+        explanation: "runs a process with the settings of the file",
     }],
     run,
 };
@@ -50,8 +50,8 @@
     Ok(())
 }
 
-/// A process without one of its duties would hold its partitions and not serve
-/// them, so a fault in any thread ends it, and others take over.
+/// Makes a panic in any thread abort the process. Without one of its threads the process would
+/// keep its partitions without serving them; after an abort, others take them over.
 pub fn abort_on_panic() {
     let report = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| {
--- a/crates/hollowford/src/command/state.rs
+++ b/crates/hollowford/src/command/state.rs
@@ -10,10 +10,10 @@
 pub const COMMAND: Command = Command {
     name: "state",
     signature: "[--part NAME] [--server IP:PORT] [--token TOKEN]",
-    description: "Dumps the state of one process as JSON, whole or one part of it.",
+    description: "Prints the state of one process as JSON, or one part of it.",
     examples: &[Example {
         line: "hollowford state --part owners",
-        explanation: "shows who owns which partition, as this process knows it",
+        explanation: "shows the owner of each partition, as this process knows it",
     }],
     run,
 };
--- a/crates/hollowford/src/command/status.rs
+++ b/crates/hollowford/src/command/status.rs
@@ -12,10 +12,10 @@
     name: "status",
     signature: "ID [--why] [--wait] [--server IP:PORT] [--token TOKEN] [--json]",
     description: "Shows one request of the client account.
-With --why it tells why the request waits, or why it was placed where it is.",
+With --why it shows why the request waits, or why it was placed where it is.",
     examples: &[Example {
         line: "hollowford status check-17 --why",
-        explanation: "shows the request, and why it stands as it does",
+        explanation: "shows the request and the reason for its state",
     }],
     run,
 };
--- a/crates/hollowford/src/command/submit.rs
+++ b/crates/hollowford/src/command/submit.rs
@@ -14,7 +14,7 @@
        [--accelerators N] [--run-ms N] [--repeatable] [--urgent] [--label L]... [--payload TEXT]
        [--start-within-ms N] [--wait] [--server IP:PORT] [--token TOKEN] [--json]",
     description: "Submits a request, and with --wait waits for its answer.
-The same id with the same body finds the request that is there.",
+Submitting the same body again under the same id returns the existing request.",
     examples: &[Example {
         line: "hollowford submit check-17 --kind check --cpu-milli 500 --run-ms 200 --wait",
         explanation: "runs a quick check and waits for its answer",
@@ -65,7 +65,7 @@
     block_on(async {
         let target = options.connect().await?;
         let mut reply = target.scheduler().submit(target.call(req)).await?.into_inner();
-        // An entry that stops gives the present view; the answer is asked for again.
+        // A process that stops returns the current view, so ask again over a new connection.
         while wait && reply.answer.is_none() && !reply.is_service {
             let new_target = options.connect().await?;
             let get =
--- a/crates/hollowford/src/command/view.rs
+++ b/crates/hollowford/src/command/view.rs
@@ -1,9 +1,9 @@
-//! Prints requests' views.
+//! Formats and prints request views.
 
 use hollowford_protocol::v1;
 use serde_json::{Value, json};
 
-/// Returns a view as JSON. Results are given as their lengths.
+/// Returns a view as JSON, with the lengths of results instead of their contents.
 pub fn to_json(v: &v1::RequestView) -> Value {
     json!({
         "request_id": v.request_id, "version": v.version, "queued": v.queued,
@@ -22,7 +22,7 @@
     })
 }
 
-/// Names an outcome.
+/// Returns the name of an outcome.
 pub fn outcome(a: &v1::Answer) -> &'static str {
     match a.outcome() {
         v1::Outcome::Unspecified => "none",
@@ -52,7 +52,7 @@
     format!("{}: {state}{on}{waited}", v.request_id)
 }
 
-/// Prints a view, as JSON or as a line.
+/// Prints a view as JSON or as a line.
 pub fn print(v: &v1::RequestView, json: bool) {
     if json {
         println!("{}", to_json(v));
--- a/crates/hollowford/src/dev/cell.rs
+++ b/crates/hollowford/src/dev/cell.rs
@@ -1,4 +1,4 @@
-//! Starts a cell: the stand-ins and the processes, on ports that the system picks.
+//! Starts a cell of stand-ins and processes on free ports.
 
 use super::work::WorkFile;
 use crate::error::CliError;
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use tokio::runtime::Runtime;
 
-/// The operator token of a `dev` cell. It listens on loopback only.
+/// The operator token of a `dev` cell, which listens on the loopback interface only.
 pub const OPERATOR_TOKEN: &str = "dev-operator";
 const PEER_KEY: &str = "dev-cell-peer-key";
 const STORE_TIMEOUT: Duration = Duration::from_secs(5);
@@ -23,15 +23,15 @@
 pub struct Cell {
     /// The processes of the system.
     pub processes: Vec<Process>,
-    /// What the workers did.
+    /// Record of the workers' task events.
     pub recorder: Arc<Recorder>,
-    // The stand-ins stop when these are dropped.
+    // Dropping these stops the stand-ins.
     _workers: Vec<Arc<StandinWorker>>,
     _runtime: Runtime,
 }
 
 impl Cell {
-    /// Starts everything and gives the client accounts their configuration.
+    /// Starts the stand-ins and the processes, and writes the configuration of the client accounts.
     pub fn start(file: &WorkFile) -> Result<Cell, CliError> {
         let rt = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(2)
@@ -47,12 +47,12 @@
         Ok(Cell { processes, recorder, _workers: workers, _runtime: rt })
     }
 
-    /// Returns where callers call, one address a process.
+    /// Returns the address for callers of each process.
     pub fn callers(&self) -> Vec<SocketAddr> {
         self.processes.iter().map(|p| p.addresses().callers).collect()
     }
 
-    /// Stops the processes, one after the other.
+    /// Stops the processes one after the other.
     pub fn stop(self) {
         for process in self.processes {
             process.stop();
--- a/crates/hollowford/src/dev/mod.rs
+++ b/crates/hollowford/src/dev/mod.rs
@@ -1,4 +1,4 @@
-//! A whole cell in one process, with stand-ins, to try hollowford out.
+//! A complete cell in one process, with stand-ins for the platform and workers, to try hollowford out.
 
 pub mod cell;
 pub mod report;
--- a/crates/hollowford/src/dev/report.rs
+++ b/crates/hollowford/src/dev/report.rs
@@ -1,4 +1,4 @@
-//! What a run has shown: waiting time, packing and control cost.
+//! The report of a run: waiting times, packing and control cost.
 
 use crate::command::{view_json, view_line};
 use hdrhistogram::Histogram;
@@ -8,31 +8,31 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Threads whose processor time is the cost of control.
+/// Threads whose CPU time counts as control cost.
 const CONTROL_THREADS: &[&str] =
     &["decide", "ledger", "workers", "peers", "watch", "admin", "entry"];
-/// Clock ticks a second in `/proc`, as Linux fixes them for programs.
+/// Clock ticks per second in `/proc`; Linux fixes this value for user space.
 const TICKS_PER_SECOND: f64 = 100.0;
 const MAX_RECORDED_MS: u64 = 3_600_000;
 
-/// One request's answer.
+/// The result of a request.
 #[derive(Debug)]
 pub struct RequestResult {
     pub request_id: String,
     pub kind: v1::Kind,
     pub view: Option<v1::RequestView>,
-    /// The last error, when there is no view.
+    /// The last error, if there is no view.
     pub error: String,
 }
 
 impl RequestResult {
-    /// Tells whether the request got its answer.
+    /// Returns true if the request was answered.
     pub fn has_answer(&self) -> bool {
         self.view.is_some()
     }
 }
 
-/// The state of the cell at one time.
+/// The state of the cell at one point in time, summed over all partitions.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Sample {
     pub total_cpu_milli: u64,
@@ -43,13 +43,13 @@
     pub store_writes: u64,
 }
 
-/// All that a run has shown.
+/// Results and measurements of a run.
 #[derive(Debug, Default)]
 pub struct Report {
     pub answers: Vec<RequestResult>,
     pub samples: Vec<Sample>,
     pub elapsed: Duration,
-    /// Requests without an answer.
+    /// Number of requests without an answer.
     pub missing: usize,
 }
 
@@ -64,7 +64,7 @@
 }
 
 impl Report {
-    /// Prints a line a request, then the measures.
+    /// Prints one line per request, then the measurements.
     pub fn print(&self) {
         for a in &self.answers {
             match &a.view {
@@ -79,7 +79,7 @@
         self.print_cost();
     }
 
-    /// Returns all of it as JSON.
+    /// Returns the report as JSON.
     pub fn to_json(&self, summary: &RecordSummary) -> Value {
         let answers: Vec<Value> = self
             .answers
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Returns the mean part of the processors in use while work queued.
+    /// Returns the mean share of CPU in use while tasks were waiting, or `None` if none were.
     fn packing(&self) -> Option<f64> {
         let busy: Vec<f64> = self
             .samples
@@ -180,11 +180,11 @@
 }
 
 fn new_histogram() -> Histogram<u64> {
-    // Bounds that are constant and in order can't be refused.
+    // Constant bounds in ascending order are always valid.
     Histogram::new_with_bounds(1, MAX_RECORDED_MS, 3).unwrap_or_else(|_| unreachable!())
 }
 
-/// Sums the processor time of this process's control threads.
+/// Returns the CPU time of this process's control threads, in seconds.
 fn control_cpu_seconds() -> Option<f64> {
     let mut ticks = 0.0;
     for entry in std::fs::read_dir("/proc/self/task").ok()? {
@@ -195,7 +195,7 @@
             continue;
         }
         let fields: Vec<&str> = rest.split_whitespace().collect();
-        // User and system time, fields 14 and 15 of the whole line.
+        // User and system time are fields 14 and 15 of the whole line; `fields` starts with field 3.
         for at in [11, 12] {
             ticks += fields.get(at)?.parse::<f64>().ok()?;
         }
--- a/crates/hollowford/src/dev/run.rs
+++ b/crates/hollowford/src/dev/run.rs
@@ -1,4 +1,4 @@
-//! Submits the work of a file and collects the answers.
+//! Submits the work of a work file and collects the answers.
 
 use super::cell::{Cell, OPERATOR_TOKEN};
 use super::report::{Report, RequestResult, Sample};
@@ -13,16 +13,16 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
-/// How often the cell's state is sampled for the report.
+/// Time between two samples of the cell's state.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(200);
-/// Longest wait for the cell to be ready.
+/// Longest time for the cell to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// Longest wait for one answer.
+/// Longest time for one answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(120);
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 const RESULT_QUEUE_LEN: usize = 1_024;
 
-/// Connections to every process, for each account.
+/// Connections to every process for each account.
 struct Targets {
     by_account: BTreeMap<String, Vec<Target>>,
     next: AtomicUsize,
@@ -49,7 +49,7 @@
     }
 }
 
-/// Runs the file's work. Every request must get its answer.
+/// Submits the work and waits for all answers. Requests without one are counted in the report.
 pub async fn run(file: &WorkFile, cell: &Cell) -> Result<Report, CliError> {
     let targets = Arc::new(Targets::connect(file, cell).await?);
     wait_ready(file, cell).await?;
@@ -84,7 +84,7 @@
 fn print_progress(have: usize, total: usize) {
     let mut err = std::io::stderr();
     if err.is_terminal() {
-        // Progress that can't be shown is no reason to stop.
+        // Failing to print progress must not stop the run.
         let _ = write!(err, "\r{have} of {total} answered");
         let _ = err.flush();
         if have == total {
@@ -99,7 +99,7 @@
     serde_json::from_str(&reply.into_inner().json).map_err(|e| CliError::Run(e.to_string()))
 }
 
-/// Waits until every partition is owned and every worker claimed.
+/// Waits until every worker is claimed by an owner.
 async fn wait_ready(file: &WorkFile, cell: &Cell) -> Result<(), CliError> {
     let started = Instant::now();
     while started.elapsed() < READY_TIMEOUT {
@@ -118,7 +118,7 @@
     Err(CliError::Run("the cell did not become ready".to_owned()))
 }
 
-/// Reads free and whole processors of all partitions now and then.
+/// Samples the state of all partitions until `done` is set.
 async fn sample_cell(servers: Vec<String>, done: Arc<AtomicBool>) -> Vec<Sample> {
     let mut samples = Vec::new();
     while !done.load(Ordering::Acquire) {
@@ -164,7 +164,7 @@
         let Some(target) = targets.next(&item.account) else {
             break;
         };
-        // The same id finds the same request, so asking again does no harm.
+        // Submitting again under the same id is idempotent.
         match target.scheduler().submit(target.call(req.clone())).await {
             Ok(reply) => view = Some(reply.into_inner()).filter(has_final_state),
             Err(status) => match CliError::from(status) {
@@ -184,7 +184,7 @@
         }
     }
     let kind = item.spec.kind();
-    // The receiver lives until every sender is gone.
+    // The receiver exists until all senders are dropped.
     let _ = tx.send(RequestResult { request_id, kind, view, error }).await;
 }
 
--- a/crates/hollowford/src/dev/work.rs
+++ b/crates/hollowford/src/dev/work.rs
@@ -1,4 +1,4 @@
-//! The file that `dev` reads: a cell, its client accounts, and the work to submit.
+//! Work files for `dev`: a cell, its client accounts, and the work to submit.
 
 use hollowford_config::{Document, Node, Section, SettingsError, read_policy};
 use hollowford_engine::Policy;
@@ -6,20 +6,20 @@
 
 const HOUR_MS: u64 = 3_600_000;
 
-/// What `dev` is to start and run.
+/// A parsed work file.
 #[derive(Clone, Debug)]
 pub struct WorkFile {
-    /// Processes of the system.
+    /// Number of processes of the system.
     pub entries: u64,
-    /// Partitions.
+    /// Number of partitions.
     pub partitions: u64,
-    /// Workers.
+    /// Workers of the cell.
     pub workers: WorkerGroup,
-    /// Settings of the decisions.
+    /// Scheduling policy.
     pub policy: Policy,
     /// Client accounts.
     pub accounts: Vec<AccountSpec>,
-    /// Work.
+    /// Work to submit.
     pub work: Vec<WorkItem>,
 }
 
@@ -34,7 +34,7 @@
     pub accelerators: u64,
 }
 
-/// A client account of the file.
+/// A client account of the work file.
 #[derive(Clone, Debug)]
 pub struct AccountSpec {
     pub name: String,
@@ -43,23 +43,23 @@
     pub quota_cpu_milli: u64,
 }
 
-/// Requests that are alike.
+/// A series of equal requests.
 #[derive(Clone, Debug)]
 pub struct WorkItem {
     pub name: String,
     pub account: String,
     pub requests: u64,
-    /// When the first is submitted, in milliseconds from the start.
+    /// When the first request is submitted, in milliseconds from the start.
     pub after_ms: u64,
-    /// Time between two of them.
+    /// Time between two requests, in milliseconds.
     pub every_ms: u64,
     pub spec: v1::RequestSpec,
 }
 
-/// Reads a work file.
+/// Parses a work file.
 ///
 /// # Errors
-/// The first thing that is wrong, with line and column.
+/// Returns the first error in the file, with line and column.
 pub fn read(text: &str) -> Result<WorkFile, SettingsError> {
     Document::new(text).read(|s| {
         s.only(&["entries", "partitions", "workers", "policy", "accounts", "work"])?;
@@ -180,7 +180,7 @@
     })
 }
 
-/// Writes what the stand-in workers are to do into the payload.
+/// Returns the payload that tells the stand-in workers the actual run time and result size.
 fn read_payload(w: &Section<'_>) -> Result<String, SettingsError> {
     let mut words = Vec::new();
     if w.get("true_run_ms").is_some() {
--- a/crates/hollowford/src/error.rs
+++ b/crates/hollowford/src/error.rs
@@ -1,47 +1,47 @@
-//! What can go wrong on the command line.
+//! Errors of the command line.
 
 use hollowford_config::SettingsError;
 use hollowford_core::ErrorKind;
 
-/// An error as the user of the command line sees it.
+/// An error shown to the user of the command line.
 #[derive(Debug, thiserror::Error)]
 pub enum CliError {
-    /// The arguments are wrong.
+    /// The arguments can't be parsed.
     #[error("{0}")]
     Arguments(#[from] pico_args::Error),
-    /// The arguments are wrong, in words.
+    /// The arguments are missing, unknown or invalid.
     #[error("{0}")]
     Usage(String),
-    /// A file can't be read, or an address bound.
+    /// A file can't be read, or another system call failed.
     #[error("{what}: {error}")]
     Io {
-        /// The file or step.
+        /// The file or operation.
         what: String,
-        /// What the system says.
+        /// The system's error.
         error: std::io::Error,
     },
-    /// A settings file is wrong.
+    /// A settings file is invalid.
     #[error("{file}: {error}")]
     Settings {
         /// The file.
         file: String,
-        /// What is wrong, and where.
+        /// The error and its position.
         error: SettingsError,
     },
     /// The server refused the call.
     #[error("{kind}: {message}{}", retry(*retry_after_ms))]
     Refused {
-        /// Stable name of the kind.
+        /// Stable name of the error kind.
         kind: &'static str,
-        /// What the server said.
+        /// The server's message.
         message: String,
-        /// When to come back, in milliseconds.
+        /// Delay before a retry, in milliseconds.
         retry_after_ms: Option<u64>,
     },
     /// The server can't be reached.
     #[error("the server can't be reached: {0}")]
     Unreachable(String),
-    /// A run of `dev` did not get all its answers.
+    /// A process could not be started, or a run or call failed.
     #[error("{0}")]
     Run(String),
 }
@@ -51,7 +51,7 @@
 }
 
 impl CliError {
-    /// Names what could not be done.
+    /// Returns a function that adds the file or operation to a system error.
     pub fn io(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> CliError {
         let what = what.into();
         move |error| CliError::Io { what, error }
@@ -71,12 +71,12 @@
         }
     }
 
-    /// Returns the exit code, by the table of kinds.
+    /// Returns the exit code of the error's kind.
     pub fn exit_code(&self) -> u8 {
         self.kind().answer().exit
     }
 
-    /// Returns what to do about it.
+    /// Returns advice for the user, if there is any.
     pub fn help(&self) -> Option<&'static str> {
         match self {
             CliError::Refused { .. } => Some(self.kind().answer().help),
--- a/crates/hollowford/src/main.rs
+++ b/crates/hollowford/src/main.rs
@@ -1,4 +1,4 @@
-//! hollowford: a cluster scheduler for client accounts that don't trust one another.
+//! hollowford: a cluster scheduler for client accounts that don't trust each other.
 
 mod client;
 mod command;
@@ -24,11 +24,11 @@
     }
 }
 
-/// Processes on the platform log to standard output; all other commands to standard error.
+/// Initializes logging: `node` logs to standard output, all other commands to standard error.
 fn init_logging() {
     if std::env::args().nth(1).as_deref() == Some("node") {
         if let Err(e) = hollowford_node::logs::init() {
-            eprintln!("no logs: {e}");
+            eprintln!("logging can't be initialized: {e}");
         }
         return;
     }
