--- a/crates/hollowford/tests/bad_input.rs
+++ b/crates/hollowford/tests/bad_input.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::{Cell, Options, final_answer, kind_of, spec};
+use common::{Cell, Options, error_kind, final_answer, spec};
 use hollowford_config::Settings;
 use hollowford_core::Spec;
 use hollowford_protocol::v1::{self, Kind, Outcome};
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn frames_of_any_bytes_are_read_or_refused() {
+fn frames_of_random_bytes_never_panic() {
     let bytes = prop::collection::vec(any::<u8>(), 0..300);
     runner()
         .run(&bytes, |b| {
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_truncated_frame_never_reads_as_the_whole_one() {
+fn a_truncated_frame_never_decodes_to_the_original() {
     let call = peer::Call {
         partition: 3,
         account: "university".into(),
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn specifications_of_any_numbers_are_checked_without_a_panic() {
+fn random_specifications_never_panic() {
     let any_spec = (
         any::<i32>(),
         any::<u32>(),
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn settings_of_any_text_are_read_or_refused() {
+fn settings_of_random_text_never_panic() {
     runner()
         .run(&".{0,200}", |text| {
             let _ = Settings::try_from(text.as_str());
@@ -90,11 +90,11 @@
         .unwrap();
 }
 
-const GOOD: &str = include_str!("../../../examples/kivu-process.jsonc");
+const VALID_SETTINGS: &str = include_str!("../../../examples/kivu-process.jsonc");
 
 #[test]
-fn the_examples_settings_are_good() {
-    Settings::try_from(GOOD).unwrap();
+fn the_example_settings_are_valid() {
+    Settings::try_from(VALID_SETTINGS).unwrap();
     let other = include_str!("../../../examples/ortak-sahne-process.jsonc");
     Settings::try_from(other).unwrap();
 }
@@ -109,14 +109,9 @@
     renewal = { "\"renew_ms\": 400", "\"renew_ms\": 1400", "too long", "half of ownership_ms" },
     syntax = { "\"partitions\": 1,", "\"partitions\": 1", "line 12, column 18: Expected comma", "" },
 )]
-fn wrong_settings_are_named_with_what_would_be_right(
-    good: &str,
-    bad: &str,
-    message: &str,
-    help: &str,
-) {
-    assert!(GOOD.contains(good));
-    let text = GOOD.replacen(good, bad, 1);
+fn errors_in_settings_show_what_is_expected(valid: &str, invalid: &str, message: &str, help: &str) {
+    assert!(VALID_SETTINGS.contains(valid));
+    let text = VALID_SETTINGS.replacen(valid, invalid, 1);
     let e = Settings::try_from(text.as_str()).unwrap_err().to_string();
     assert!(e.contains("line ") && e.contains("column "), "{e}");
     assert!(e.contains(message), "{e}");
@@ -125,17 +120,17 @@
 
 #[test]
 fn secrets_are_not_printed() {
-    let settings = Settings::try_from(GOOD).unwrap();
+    let settings = Settings::try_from(VALID_SETTINGS).unwrap();
     assert!(!format!("{settings:?}").contains("replace-this-key"));
 }
 
 #[tokio::test]
-async fn bad_calls_get_their_error_kind_and_good_ones_go_on() {
+async fn invalid_calls_get_their_error_kind_and_valid_ones_work() {
     let cell = Cell::start(Options::default()).await;
     let caller = cell.caller(0, "university").await;
-    let good = spec(Kind::Batch, 1, 500, 10);
+    let valid = spec(Kind::Batch, 1, 500, 10);
     let with = |change: &dyn Fn(&mut v1::RequestSpec)| {
-        let mut s = good.clone();
+        let mut s = valid.clone();
         change(&mut s);
         s
     };
@@ -155,41 +150,41 @@
             "invalid",
         ),
         ("huge", with(&|s| s.per_task.as_mut().unwrap().cpu_milli = 1_000_000), "impossible"),
-        ("", good.clone(), "invalid"),
-        ("a\nb", good.clone(), "invalid"),
-        (&long, good.clone(), "too_large"),
+        ("", valid.clone(), "invalid"),
+        ("a\nb", valid.clone(), "invalid"),
+        (&long, valid.clone(), "too_large"),
     ];
     for (id, body, kind) in &cases {
         let status = caller.submit(id, body, false).await.unwrap_err();
-        assert_eq!(kind_of(&status), *kind, "{id:?}: {status:?}");
+        assert_eq!(error_kind(&status), *kind, "{id:?}: {status:?}");
     }
     let status = caller.get("never-submitted").await.unwrap_err();
-    assert_eq!(kind_of(&status), "not_found");
+    assert_eq!(error_kind(&status), "not_found");
     let status = caller.list("", 501).await.unwrap_err();
-    assert_eq!(kind_of(&status), "too_large");
+    assert_eq!(error_kind(&status), "too_large");
     let wrong = common::Caller::connect(&cell.entries[0].addr("callers"), "no-such-token").await;
-    let status = wrong.submit("a", &good, false).await.unwrap_err();
-    assert_eq!(kind_of(&status), "unauthenticated");
+    let status = wrong.submit("a", &valid, false).await.unwrap_err();
+    assert_eq!(error_kind(&status), "unauthenticated");
     let status = caller.set_config("university", 5, 1, "me").await.unwrap_err();
-    assert_eq!(kind_of(&status), "unauthenticated");
-    caller.submit("good", &good, false).await.unwrap();
+    assert_eq!(error_kind(&status), "unauthenticated");
+    caller.submit("good", &valid, false).await.unwrap();
     let view = final_answer(&[caller], "good").await;
     assert_eq!(view.answer.unwrap().outcome(), Outcome::Done);
     assert_eq!(cell.assert_no_violations().starts, 1);
 }
 
 #[tokio::test]
-async fn garbage_on_a_peer_link_ends_that_link_only() {
+async fn garbage_on_a_peer_connection_ends_only_that_connection() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let cell = Cell::start(Options::default()).await;
     for garbage in [&b"\xff\xff\xff\xff"[..], b"\0\0\0\x02hi", b"GET / HTTP/1.1\r\n\r\n"] {
         let addr = cell.entries[0].addr("peers");
-        let mut link = tokio::net::TcpStream::connect(addr).await.unwrap();
-        link.write_all(garbage).await.unwrap();
-        link.shutdown().await.unwrap();
+        let mut connection = tokio::net::TcpStream::connect(addr).await.unwrap();
+        connection.write_all(garbage).await.unwrap();
+        connection.shutdown().await.unwrap();
         let mut rest = Vec::new();
         // The process closes the link; how is its own affair.
-        let _ = link.read_to_end(&mut rest).await;
+        let _ = connection.read_to_end(&mut rest).await;
     }
     let caller = cell.caller(0, "university").await;
     caller.submit("good", &spec(Kind::Batch, 1, 500, 10), false).await.unwrap();
--- a/crates/hollowford/tests/common/play.rs
+++ b/crates/hollowford/tests/common/cell.rs
@@ -1,6 +1,6 @@
 //! Starts, freezes and ends the processes of a cell, by their ids.
 
-use super::{Caller, OPERATOR, PATIENCE, http, until};
+use super::{Caller, OPERATOR, TIMEOUT, http, wait_for};
 use hollowford_platform::Platform;
 use hollowford_protocol::v1;
 use hollowford_server::{hash_token, seed_account};
@@ -24,13 +24,13 @@
 }
 
 /// One process that the test started.
-pub struct Proc {
+pub struct TestProcess {
     child: Child,
     pub addresses: Value,
 }
 
-impl Proc {
-    fn start(program: &Path, args: &[&str]) -> Proc {
+impl TestProcess {
+    fn start(program: &Path, args: &[&str]) -> TestProcess {
         let mut child = Command::new(program)
             .args(args)
             .env("RUST_LOG", std::env::var("TEST_LOG").unwrap_or_else(|_| "warn".into()))
@@ -42,7 +42,7 @@
         BufReader::new(stdout).read_line(&mut line).unwrap();
         let addresses = serde_json::from_str(&line)
             .unwrap_or_else(|e| panic!("{} {args:?}: {e}: {line:?}", program.display()));
-        Proc { child, addresses }
+        TestProcess { child, addresses }
     }
 
     pub fn addr(&self, name: &str) -> String {
@@ -55,11 +55,11 @@
         assert!(sent.success(), "kill {name} {id}");
     }
 
-    pub fn freeze(&self) {
+    pub fn pause(&self) {
         self.signal("-STOP");
     }
 
-    pub fn thaw(&self) {
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
@@ -74,7 +74,7 @@
     }
 
     /// Waits until the process has ended, and tells whether it ended well.
-    pub async fn ended(&mut self) -> bool {
+    pub async fn wait_exit_success(&mut self) -> bool {
         let child = &mut self.child;
         let end = async {
             loop {
@@ -84,7 +84,7 @@
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
-        tokio::time::timeout(PATIENCE, end).await.expect("the process did not end")
+        tokio::time::timeout(TIMEOUT, end).await.expect("the process did not end")
     }
 
     pub fn id(&self) -> u32 {
@@ -92,7 +92,7 @@
     }
 }
 
-impl Drop for Proc {
+impl Drop for TestProcess {
     fn drop(&mut self) {
         self.kill();
     }
@@ -104,8 +104,8 @@
     pub entries: usize,
     pub partitions: u32,
     /// Processes of workers, and workers in each.
-    pub worker_procs: usize,
-    pub workers_each: usize,
+    pub worker_processes: usize,
+    pub workers_per_process: usize,
     pub cpu_milli: u32,
     /// Settings of the decisions, by their names in the file.
     pub policy: Value,
@@ -118,8 +118,8 @@
         Options {
             entries: 3,
             partitions: 2,
-            worker_procs: 1,
-            workers_each: 8,
+            worker_processes: 1,
+            workers_per_process: 8,
             cpu_milli: 4_000,
             policy: json!({}),
             tls: None,
@@ -129,9 +129,9 @@
 
 /// A cell of separate processes.
 pub struct Cell {
-    pub platform: Proc,
-    pub workers: Vec<Proc>,
-    pub entries: Vec<Proc>,
+    pub platform: TestProcess,
+    pub workers: Vec<TestProcess>,
+    pub entries: Vec<TestProcess>,
     dir: TempDir,
     options: Options,
     started: usize,
@@ -140,15 +140,15 @@
 impl Cell {
     pub async fn start(options: Options) -> Cell {
         let dir = TempDir::new().unwrap();
-        let platform = Proc::start(&standin(), &["platform"]);
+        let platform = TestProcess::start(&standin_program(), &["platform"]);
         let platform_addr = platform.addr("platform");
         for account in ACCOUNTS {
-            seed(&platform_addr, account).await;
+            write_account_config(&platform_addr, account).await;
         }
         let mut cell =
             Cell { platform, workers: Vec::new(), entries: Vec::new(), dir, options, started: 0 };
-        for i in 0..cell.options.worker_procs {
-            cell.start_workers(i, cell.options.workers_each);
+        for i in 0..cell.options.worker_processes {
+            cell.start_workers(i, cell.options.workers_per_process);
         }
         for _ in 0..cell.options.entries {
             cell.start_entry();
@@ -178,7 +178,7 @@
             "--record",
             record.to_str().unwrap(),
         ];
-        self.workers.push(Proc::start(&standin(), &args));
+        self.workers.push(TestProcess::start(&standin_program(), &args));
         self.workers.len() - 1
     }
 
@@ -209,7 +209,7 @@
         std::fs::write(&path, settings.to_string()).unwrap();
         let program = Path::new(env!("CARGO_BIN_EXE_hollowford"));
         let args = ["serve", "--config", path.to_str().unwrap()];
-        self.entries.push(Proc::start(program, &args));
+        self.entries.push(TestProcess::start(program, &args));
         self.entries.len() - 1
     }
 
@@ -220,8 +220,8 @@
         for i in 0..self.entries.len() {
             self.wait_entry_ready(i).await;
         }
-        let want = self.options.worker_procs * self.options.workers_each;
-        until("every worker claimed", || async {
+        let expected = self.options.worker_processes * self.options.workers_per_process;
+        wait_for("every worker claimed", || async {
             let mut claimed = 0;
             for i in 0..self.entries.len() {
                 let state = self.state(i).await?;
@@ -229,7 +229,7 @@
                 let workers = partitions.iter().filter_map(|p| p["workers"].as_array()).flatten();
                 claimed += workers.filter(|w| w["claimed"] == true).count();
             }
-            (claimed >= want).then_some(())
+            (claimed >= expected).then_some(())
         })
         .await;
     }
@@ -237,7 +237,7 @@
     /// Waits until a process calls itself ready.
     pub async fn wait_entry_ready(&self, entry: usize) {
         let admin = self.entries[entry].addr("admin");
-        until("a process that is ready", || async {
+        wait_for("a process that is ready", || async {
             let (status, _) = http::get_text(&admin, "/readyz").await?;
             (status == 200).then_some(())
         })
@@ -250,7 +250,7 @@
 
     /// Returns the place of the process that owns a partition.
     pub async fn owner(&self, partition: u32) -> usize {
-        until("an owner", || async {
+        wait_for("an owner", || async {
             for i in 0..self.entries.len() {
                 let Some(state) = self.state(i).await else {
                     continue;
@@ -281,21 +281,21 @@
         Caller::connect(&self.entries[entry].addr("callers"), OPERATOR).await
     }
 
-    pub async fn faults(&self, faults: Value) {
+    pub async fn set_faults(&self, faults: Value) {
         http::post(&self.platform_addr(), "/faults", &faults).await;
     }
 
     /// Brings about a fault of a worker: `leave/ID`, `cut/ID`, `fail/ID/true` or `deaf/ID/true`.
-    pub async fn worker_fault(&self, proc: usize, path: &str) {
-        http::post(&self.workers[proc].addr("control"), &format!("/{path}"), &json!(null)).await;
+    pub async fn inject_worker_fault(&self, process: usize, path: &str) {
+        http::post(&self.workers[process].addr("control"), &format!("/{path}"), &json!(null)).await;
     }
 
     /// Judges the records of all workers.
     pub fn record_summary(&self) -> RecordSummary {
-        check_record(self.lines())
+        check_record(self.record_lines())
     }
 
-    pub fn lines(&self) -> Vec<record::Line> {
+    pub fn record_lines(&self) -> Vec<record::Line> {
         (0..self.workers.len()).flat_map(|i| record::read(&self.record_path(i)).unwrap()).collect()
     }
 
@@ -308,11 +308,11 @@
 }
 
 /// The stand-ins' program lies beside the one under test.
-fn standin() -> PathBuf {
+fn standin_program() -> PathBuf {
     Path::new(env!("CARGO_BIN_EXE_hollowford")).with_file_name("hollowford-standin")
 }
 
-async fn seed(platform: &str, account: &str) {
+async fn write_account_config(platform: &str, account: &str) {
     let store = Platform::new(platform, Duration::from_secs(5)).unwrap();
     let req = v1::SetConfigRequest {
         account: account.to_owned(),
--- a/crates/hollowford/tests/common/mod.rs
+++ b/crates/hollowford/tests/common/mod.rs
@@ -2,8 +2,8 @@
 
 #![allow(dead_code, clippy::unwrap_used, clippy::expect_used)]
 
+pub mod cell;
 pub mod http;
-pub mod play;
 
 use hollowford_protocol::v1;
 use hollowford_protocol::v1::operator_client::OperatorClient;
@@ -11,11 +11,11 @@
 use std::time::Duration;
 use tonic::transport::Channel;
 
-pub use play::{Cell, Options};
+pub use cell::{Cell, Options};
 
 pub const OPERATOR: &str = "operator-token";
 /// The longest that any wait of a test takes before the test fails.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A caller: a connection and a token.
 #[derive(Clone)]
@@ -111,7 +111,7 @@
         expected_version: u64,
         author: &str,
     ) -> Result<v1::ConfigView, tonic::Status> {
-        let config = play::account_config(&play::token_of(account), weight);
+        let config = cell::account_config(&cell::token_of(account), weight);
         let req = v1::SetConfigRequest {
             account: account.into(),
             config: Some(config),
@@ -130,7 +130,7 @@
     ) -> Result<v1::ConfigView, tonic::Status> {
         let req = v1::SetConfigRequest {
             account: account.into(),
-            config: Some(play::account_config(token, 1)),
+            config: Some(cell::account_config(token, 1)),
             expected_version,
             author: "test".into(),
         };
@@ -154,11 +154,11 @@
         }
         unreachable!("the cycle has no end")
     };
-    tokio::time::timeout(PATIENCE, ask).await.expect("no answer in time")
+    tokio::time::timeout(TIMEOUT, ask).await.expect("no answer in time")
 }
 
 /// Submits again, through the processes in turn, until a reply comes.
-pub async fn submit_anyhow(
+pub async fn submit_with_retries(
     callers: &[Caller],
     id: &str,
     spec: &v1::RequestSpec,
@@ -172,11 +172,11 @@
         }
         unreachable!("the cycle has no end")
     };
-    tokio::time::timeout(PATIENCE, ask).await.expect("no reply in time")
+    tokio::time::timeout(TIMEOUT, ask).await.expect("no reply in time")
 }
 
 /// Waits until `check` gives something.
-pub async fn until<T, F>(what: &str, mut check: impl FnMut() -> F) -> T
+pub async fn wait_for<T, F>(what: &str, mut check: impl FnMut() -> F) -> T
 where
     F: Future<Output = Option<T>>,
 {
@@ -188,9 +188,9 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    match tokio::time::timeout(PATIENCE, wait).await {
+    match tokio::time::timeout(TIMEOUT, wait).await {
         Ok(found) => found,
-        Err(_) => panic!("{what}: not in {PATIENCE:?}"),
+        Err(_) => panic!("{what}: not in {TIMEOUT:?}"),
     }
 }
 
@@ -206,12 +206,12 @@
 }
 
 /// The error kind that a refusal names.
-pub fn kind_of(status: &tonic::Status) -> &str {
+pub fn error_kind(status: &tonic::Status) -> &str {
     status.metadata().get("hollowford-kind").and_then(|v| v.to_str().ok()).unwrap_or("")
 }
 
 /// When a refusal says to come back.
-pub fn retry_after(status: &tonic::Status) -> Option<u64> {
+pub fn retry_after_ms(status: &tonic::Status) -> Option<u64> {
     let value = status.metadata().get("hollowford-retry-after-ms")?;
     value.to_str().ok()?.parse().ok()
 }
--- a/crates/hollowford/tests/common/node.rs
+++ b/crates/hollowford/tests/common/node.rs
@@ -18,7 +18,7 @@
 
 /// Longest time for anything that a test waits for. Far above what it takes, since the
 /// machine may be busy.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const TIMEOUT: Duration = Duration::from_secs(60);
 
 /// One process.
 pub struct Node {
@@ -40,7 +40,7 @@
 /// The ports that all processes of a cell use, each on an address of its own.
 #[derive(Clone, Copy)]
 struct Ports {
-    net: u8,
+    subnet: u8,
     callers: u16,
     readiness: u16,
     peers: u16,
@@ -49,14 +49,14 @@
 impl Ports {
     fn new() -> Ports {
         static CELLS: AtomicU8 = AtomicU8::new(1);
-        let net = CELLS.fetch_add(1, Ordering::Relaxed);
+        let subnet = CELLS.fetch_add(1, Ordering::Relaxed);
         let [callers, readiness, peers] = free_ports().expect("free ports");
-        Ports { net, callers, readiness, peers }
+        Ports { subnet, callers, readiness, peers }
     }
 
     /// Returns the address of the process `i`, in the loopback range.
     fn ip(self, i: usize) -> Ipv4Addr {
-        Ipv4Addr::new(127, (std::process::id() % 250) as u8 + 1, self.net, i as u8 + 1)
+        Ipv4Addr::new(127, (std::process::id() % 250) as u8 + 1, self.subnet, i as u8 + 1)
     }
 }
 
@@ -64,7 +64,7 @@
     fn start(
         (i, cpu_share): (usize, f64),
         platform: SocketAddr,
-        door: Door,
+        store: Door,
         ports: Ports,
         dir: &Path,
         workers_per_partition: usize,
@@ -80,7 +80,7 @@
             cpu_share,
             seeds: vec![ports.ip(0), ports.ip(1)],
         };
-        let text = speech::settings(&process, platform, door.addr);
+        let text = speech::settings(&process, platform, store.addr);
         File::create(&path).and_then(|mut f| f.write_all(text.as_bytes())).expect("settings");
         let log = dir.join(format!("{name}.log"));
         let program = Path::new(env!("CARGO_BIN_EXE_hollowford"));
@@ -88,7 +88,7 @@
             Process::start(program, &path, &log, workers_per_partition).expect("the program");
         let at = |port| SocketAddr::from((ports.ip(i), port));
         let (callers, readiness) = (at(ports.callers), at(ports.readiness));
-        Node { process, callers, readiness, store: door }
+        Node { process, callers, readiness, store }
     }
 
     /// Sends the process a signal.
@@ -102,11 +102,11 @@
     }
 
     /// Waits until the process has ended, and tells whether it ended well.
-    pub fn wait(&mut self) -> bool {
+    pub fn wait_exit_success(&mut self) -> bool {
         let began = Instant::now();
-        while began.elapsed() < PATIENCE {
-            if let Some(well) = self.process.exit_success().expect("its state") {
-                return well;
+        while began.elapsed() < TIMEOUT {
+            if let Some(success) = self.process.exit_success().expect("its state") {
+                return success;
             }
             std::thread::sleep(Duration::from_millis(20));
         }
@@ -119,7 +119,7 @@
     }
 
     /// Tells whether the process runs.
-    pub fn is_up(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         self.process.exit_success().expect("its state").is_none()
     }
 
@@ -139,27 +139,31 @@
 impl Cell {
     /// Starts a platform and processes, with a queue `/plain/` and one by advice, `/advised/`.
     pub async fn start(nodes: usize, workers: usize) -> Cell {
-        Cell::of_sizes(&vec![0.25; nodes], workers).await
+        Cell::start_with_cpu_shares(&vec![0.25; nodes], workers).await
     }
 
     /// Starts one process for each part of a core.
-    pub async fn of_sizes(shares: &[f64], workers: usize) -> Cell {
-        Cell::divided(shares, workers, workers).await
+    pub async fn start_with_cpu_shares(shares: &[f64], workers: usize) -> Cell {
+        Cell::start_partitioned(shares, workers, workers).await
     }
 
     /// Starts processes with a partition for each `workers_each` workers.
-    pub async fn divided(shares: &[f64], workers: usize, workers_per_partition: usize) -> Cell {
+    pub async fn start_partitioned(
+        shares: &[f64],
+        workers: usize,
+        workers_per_partition: usize,
+    ) -> Cell {
         let platform = Platform::start(workers).await.expect("the platform");
         platform.configure(1, &[("/plain/", false), ("/advised/", true)]);
         let dir = TempDir::new().expect("a folder");
         let ports = Ports::new();
         let mut nodes = Vec::new();
-        for numbered in shares.iter().copied().enumerate() {
-            let door = platform.open_door().await.expect("a way to the store");
+        for index_and_share in shares.iter().copied().enumerate() {
+            let store = platform.open_door().await.expect("a way to the store");
             let node = Node::start(
-                numbered,
+                index_and_share,
                 platform.addr(),
-                door,
+                store,
                 ports,
                 dir.path(),
                 workers_per_partition,
@@ -169,7 +173,7 @@
         let http = Client::builder().no_proxy().build().expect("a client");
         let cell = Cell { platform, nodes, http, _dir: dir };
         for n in &cell.nodes {
-            cell.await_ready(n).await;
+            cell.wait_until_ready(n).await;
         }
         // A process writes its log a moment after what it tells others.
         let owned = || async { cell.nodes.iter().any(Node::owns) };
@@ -178,7 +182,7 @@
     }
 
     /// Waits until a process calls itself ready.
-    pub async fn await_ready(&self, node: &Node) {
+    pub async fn wait_until_ready(&self, node: &Node) {
         let url = format!("http://{}{}", node.readiness, speech::READY_PATH);
         let ready = || async {
             let answer = self.http.get(&url).send().await;
@@ -229,7 +233,14 @@
     }
 
     /// Hands in a job, again and again until it is taken.
-    pub async fn submit_surely(&self, node: usize, queue: &str, id: u64, count: u32, ms: u64) {
+    pub async fn submit_until_accepted(
+        &self,
+        node: usize,
+        queue: &str,
+        id: u64,
+        count: u32,
+        ms: u64,
+    ) {
         let accepted = || async { self.submit(node, queue, id, count, ms).await == 200 };
         assert!(eventually(accepted).await, "job {id} is not taken");
     }
@@ -242,16 +253,16 @@
     }
 
     /// Waits until a job has ended well.
-    pub async fn await_completed(&self, node: usize, queue: &str, id: u64) {
+    pub async fn wait_until_completed(&self, node: usize, queue: &str, id: u64) {
         let done = || async { self.state(node, queue, id).await == "completed" };
         assert!(eventually(done).await, "job {id}:\n{}", self.logs());
     }
 
     /// Checks that no task ran in two places, and that each was begun as often as it may.
-    pub fn judge(&self, most_begun: u32) {
+    pub fn assert_starts(&self, max_starts: u32) {
         assert_eq!(self.platform.faults_found(), Vec::<String>::new());
         for (task, n) in self.platform.begun() {
-            assert!(n <= most_begun, "{task} was begun {n} times");
+            assert!(n <= max_starts, "{task} was begun {n} times");
         }
     }
 
@@ -268,7 +279,7 @@
     Fut: Future<Output = bool>,
 {
     let began = Instant::now();
-    while began.elapsed() < PATIENCE {
+    while began.elapsed() < TIMEOUT {
         if holds().await {
             return true;
         }
--- a/crates/hollowford/tests/configuration.rs
+++ b/crates/hollowford/tests/configuration.rs
@@ -4,13 +4,13 @@
 
 mod common;
 
-use common::{Cell, Options, kind_of, spec, until};
+use common::{Cell, Options, error_kind, spec, wait_for};
 use hollowford_protocol::v1::Kind;
 use serde_json::json;
 
 /// Waits until every process has the change in force.
-async fn in_force_everywhere(cell: &Cell, head: u64) {
-    until("the change is in force", || async {
+async fn wait_until_active_everywhere(cell: &Cell, head: u64) {
+    wait_for("the change is in force", || async {
         for i in 0..cell.entries.len() {
             let state = cell.state(i).await?;
             if state["config_head"].as_u64()? < head {
@@ -23,7 +23,7 @@
 }
 
 #[tokio::test]
-async fn of_racing_operators_one_wins_and_the_others_learn_who() {
+async fn of_concurrent_changes_one_wins_and_the_others_learn_its_author() {
     let cell = Cell::start(Options::default()).await;
     let mut operators = Vec::new();
     for i in 0..3 {
@@ -32,15 +32,15 @@
     let names = ["ayse", "bosco", "chantal"];
     let race = operators.iter().zip(names).map(|(o, n)| o.set_config("university", 5, 1, n));
     let results = futures::future::join_all(race).await;
-    let won: Vec<usize> = (0..3).filter(|&i| results[i].is_ok()).collect();
-    assert_eq!(won.len(), 1, "{results:?}");
-    let winner = names[won[0]];
+    let winners: Vec<usize> = (0..3).filter(|&i| results[i].is_ok()).collect();
+    assert_eq!(winners.len(), 1, "{results:?}");
+    let winner = names[winners[0]];
     for status in results.iter().filter_map(|r| r.as_ref().err()) {
-        assert_eq!(kind_of(status), "conflict");
+        assert_eq!(error_kind(status), "conflict");
         assert!(status.message().contains("version 2"), "{}", status.message());
         assert!(status.message().contains(winner), "{}", status.message());
     }
-    in_force_everywhere(&cell, 3).await;
+    wait_until_active_everywhere(&cell, 3).await;
     for operator in &operators {
         let view = operator.get_config("university").await.unwrap();
         assert_eq!((view.version, view.author.as_str()), (2, winner));
@@ -48,38 +48,38 @@
 }
 
 #[tokio::test]
-async fn a_process_paused_across_a_change_decides_by_the_new_one() {
+async fn a_process_paused_during_a_change_uses_the_new_configuration() {
     let cell = Cell::start(Options { partitions: 1, ..Options::default() }).await;
     let owner = cell.owner(0).await;
     let paused = (owner + 1) % 3;
-    cell.entries[paused].freeze();
+    cell.entries[paused].pause();
     // The account gets another token while the process sleeps.
     let operator = cell.operator(owner).await;
     operator.set_config("university", 7, 1, "ayse").await.unwrap();
-    cell.entries[paused].thaw();
-    in_force_everywhere(&cell, 3).await;
+    cell.entries[paused].resume();
+    wait_until_active_everywhere(&cell, 3).await;
     let view = cell.operator(paused).await.get_config("university").await.unwrap();
     assert_eq!((view.version, view.config.unwrap().weight), (2, 7));
 }
 
 #[tokio::test]
-async fn a_process_started_in_an_outage_takes_no_work_until_it_knows_the_configuration() {
+async fn a_process_started_in_an_outage_accepts_no_work_until_it_knows_the_configuration() {
     let mut cell = Cell::start(Options { partitions: 1, ..Options::default() }).await;
-    cell.faults(json!({ "outage": true })).await;
+    cell.set_faults(json!({ "outage": true })).await;
     let new = cell.start_entry();
     let (status, why) =
         common::http::get_text(&cell.entries[new].addr("admin"), "/readyz").await.unwrap();
     assert_eq!((status, why.as_str()), (503, "the configuration was never read"));
     let caller = cell.caller(new, "university").await;
     let refused = caller.submit("early", &spec(Kind::Check, 1, 100, 10), false).await.unwrap_err();
-    assert_eq!(kind_of(&refused), "unavailable");
-    cell.faults(json!({})).await;
-    until("it is ready", || async {
+    assert_eq!(error_kind(&refused), "unavailable");
+    cell.set_faults(json!({})).await;
+    wait_for("it is ready", || async {
         let reply = common::http::get_text(&cell.entries[new].addr("admin"), "/readyz").await;
         reply.filter(|(status, _)| *status == 200)
     })
     .await;
-    common::submit_anyhow(&[caller], "late", &spec(Kind::Check, 1, 100, 10)).await;
+    common::submit_with_retries(&[caller], "late", &spec(Kind::Check, 1, 100, 10)).await;
 }
 
 #[tokio::test]
@@ -87,53 +87,53 @@
     let cell = Cell::start(Options::default()).await;
     let operator = cell.operator(0).await;
     for version in 1..6 {
-        cell.faults(json!({ "lose_replies": 1 })).await;
+        cell.set_faults(json!({ "lose_replies": 1 })).await;
         let set = operator.set_config("university", version as u32 + 1, version, "ayse").await;
         // The lost reply may have hit another write; then this one was answered.
         let view = match set {
             Ok(view) => view,
             Err(status) => {
-                assert_eq!(kind_of(&status), "unknown", "{status:?}");
+                assert_eq!(error_kind(&status), "unknown", "{status:?}");
                 operator.get_config("university").await.unwrap()
             }
         };
         assert_eq!(view.version, version + 1);
     }
-    cell.faults(json!({})).await;
-    in_force_everywhere(&cell, 7).await;
+    cell.set_faults(json!({})).await;
+    wait_until_active_everywhere(&cell, 7).await;
     let view = operator.get_config("university").await.unwrap();
     assert_eq!((view.version, view.config.unwrap().weight), (6, 6));
 }
 
 #[tokio::test]
-async fn a_process_that_wakes_with_an_old_configuration_does_not_decide_by_it() {
+async fn a_process_resumed_with_an_old_configuration_does_not_use_it() {
     let cell = Cell::start(Options { partitions: 1, ..Options::default() }).await;
     let owner = cell.owner(0).await;
     let paused = (owner + 1) % 3;
     let old_token = cell.caller(paused, "university").await;
-    cell.entries[paused].freeze();
+    cell.entries[paused].pause();
     // The account's token is replaced, and the process sleeps past its freshness bound.
     let operator = cell.operator(owner).await;
     operator.set_token("university", "another-token", 1).await.unwrap();
-    until("the others have it", || async {
+    wait_for("the others have it", || async {
         let state = cell.state(owner).await?;
         (state["config_head"] == 3).then_some(())
     })
     .await;
     tokio::time::sleep(std::time::Duration::from_millis(1_600)).await;
     // The store is slow, so the process is asked before it can have read the change.
-    cell.faults(json!({ "slow_ms": 150 })).await;
-    cell.entries[paused].thaw();
+    cell.set_faults(json!({ "slow_ms": 150 })).await;
+    cell.entries[paused].resume();
     for i in 0..30 {
         let id = format!("stale-{i}");
-        let said = old_token.submit(&id, &spec(Kind::Check, 1, 100, 10), false).await;
-        let kind = said.as_ref().map_err(kind_of).map(|_| "accepted").unwrap_or_else(|k| k);
+        let result = old_token.submit(&id, &spec(Kind::Check, 1, 100, 10), false).await;
+        let kind = result.as_ref().map_err(error_kind).map(|_| "accepted").unwrap_or_else(|k| k);
         assert!(["unavailable", "unauthenticated"].contains(&kind), "{kind}");
     }
 }
 
 #[tokio::test]
-async fn many_changes_in_a_row_are_each_in_force_everywhere() {
+async fn each_of_many_changes_becomes_active_everywhere() {
     const CHANGES: u64 = 100;
     let cell = Cell::start(Options::default()).await;
     let operator = cell.operator(0).await;
@@ -141,7 +141,7 @@
     for version in 1..=CHANGES {
         operator.set_config("university", version as u32, version, "ayse").await.unwrap();
         let accepted = std::time::Instant::now();
-        in_force_everywhere(&cell, version + 2).await;
+        wait_until_active_everywhere(&cell, version + 2).await;
         times.push(accepted.elapsed());
     }
     times.sort_unstable();
--- a/crates/hollowford/tests/documents.rs
+++ b/crates/hollowford/tests/documents.rs
@@ -11,7 +11,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-fn page(name: &str) -> String {
+fn read_file(name: &str) -> String {
     std::fs::read_to_string(root().join(name)).unwrap_or_else(|e| panic!("{name}: {e}"))
 }
 
@@ -19,7 +19,7 @@
 const WRITE_VAR: &str = "HOLLOWFORD_WRITE_PAGES";
 
 #[test]
-fn the_page_of_errors_is_the_table_in_the_code() {
+fn the_errors_page_matches_the_code() {
     let mut table = String::from(
         "# Errors\n\nEvery refusal names one of these kinds, in the metadata `hollowford-kind`, \
          and where it helps\na time to come back, in `hollowford-retry-after-ms`. The table is \
@@ -40,21 +40,21 @@
     if std::env::var(WRITE_VAR).is_ok() {
         std::fs::write(root().join("docs/ERRORS.md"), &table).unwrap();
     }
-    assert_eq!(page("docs/ERRORS.md"), table, "set {WRITE_VAR}=1 to write it again");
+    assert_eq!(read_file("docs/ERRORS.md"), table, "set {WRITE_VAR}=1 to write it again");
 }
 
 #[test]
 fn every_metric_is_on_the_operators_page() {
-    let source = page("crates/hollowford-server/src/metrics.rs");
+    let source = read_file("crates/hollowford-server/src/metrics.rs");
     let names = source.split('"').filter(|s| s.starts_with("hollowford_") && !s.contains(' '));
-    let operating = page("docs/OPERATIONS.md");
+    let operating = read_file("docs/OPERATIONS.md");
     let missing: Vec<&str> = names.filter(|n| !operating.contains(&format!("`{n}`"))).collect();
     assert!(missing.is_empty(), "{missing:?}");
 }
 
 #[test]
 fn every_metric_of_the_platform_process_is_on_the_operators_page() {
-    let source = page("crates/hollowford-node/src/metrics.rs");
+    let source = read_file("crates/hollowford-node/src/metrics.rs");
     let makers = ["counters(\"", "counter(\"", "gauges(\"", "gauge(\"", "seconds(\""];
     let name = |line: &str| {
         let rest = makers.iter().find_map(|m| line.split(m).nth(1))?;
@@ -62,17 +62,17 @@
     };
     let names: Vec<String> = source.lines().filter_map(name).collect();
     assert!(names.len() >= 15, "{names:?}");
-    let page = page("docs/OPERATIONS.md");
-    let lacks = |n: &&String| !page.contains(&format!("`hollowford_node_{n}`"));
-    let missing: Vec<&String> = names.iter().filter(lacks).collect();
+    let read_file = read_file("docs/OPERATIONS.md");
+    let is_missing = |n: &&String| !read_file.contains(&format!("`hollowford_node_{n}`"));
+    let missing: Vec<&String> = names.iter().filter(is_missing).collect();
     assert!(missing.is_empty(), "{missing:?}");
 }
 
 #[test]
 fn every_setting_is_on_the_operators_page() {
-    let operating = page("docs/OPERATIONS.md");
+    let operating = read_file("docs/OPERATIONS.md");
     for file in ["settings.rs", "policy.rs"] {
-        let source = page(&format!("crates/hollowford-config/src/{file}"));
+        let source = read_file(&format!("crates/hollowford-config/src/{file}"));
         let keys = source.split("KEYS: &[&str] = &[").nth(1).unwrap().split("];").next().unwrap();
         let keys = keys.split('"').skip(1).step_by(2);
         let missing: Vec<&str> = keys.filter(|k| !operating.contains(&format!("`{k}`"))).collect();
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn wrong_command_lines_are_answered_with_what_would_be_right() {
+fn wrong_command_lines_get_helpful_errors() {
     let (code, _, err) = hollowford(&["sumbit"]);
     assert_eq!(code, 2);
     assert!(err.contains("did you mean \"submit\""), "{err}");
--- a/crates/hollowford/tests/whole_path.rs
+++ b/crates/hollowford/tests/end_to_end.rs
@@ -4,35 +4,35 @@
 
 mod common;
 
-use common::{Cell, Options, final_answer, kind_of, spec};
+use common::{Cell, Options, error_kind, final_answer, spec};
 use hollowford_protocol::v1::{Kind, Outcome};
 
 #[tokio::test]
-async fn each_kind_submitted_through_one_entry_is_answered_through_another() {
+async fn each_kind_submitted_to_one_process_is_answered_by_another() {
     let cell = Cell::start(Options::default()).await;
-    let here = cell.caller(0, "university").await;
-    let there = cell.caller(1, "university").await;
+    let first = cell.caller(0, "university").await;
+    let second = cell.caller(1, "university").await;
 
     let mut check = spec(Kind::Check, 1, 500, 50);
     check.payload = b"name=check result=100".to_vec();
     let gang = spec(Kind::Gang, 6, 2_000, 100);
     let batch = spec(Kind::Batch, 40, 1_000, 30);
     for (id, spec) in [("check", &check), ("gang", &gang), ("batch", &batch)] {
-        let view = here.submit(id, spec, false).await.unwrap();
+        let view = first.submit(id, spec, false).await.unwrap();
         assert_eq!(view.request_id, id);
-        let view = final_answer(std::slice::from_ref(&there), id).await;
+        let view = final_answer(std::slice::from_ref(&second), id).await;
         let answer = view.answer.unwrap();
         assert_eq!(answer.outcome(), Outcome::Done, "{id}: {answer:?}");
         assert_eq!(answer.results.len() as u32, spec.tasks);
     }
-    let view = there.get("check").await.unwrap();
+    let view = second.get("check").await.unwrap();
     assert_eq!(view.answer.unwrap().results[0].result.len(), 100);
 
     let service = spec(Kind::Service, 3, 500, 0);
-    let view = here.submit("service", &service, true).await.unwrap();
+    let view = first.submit("service", &service, true).await.unwrap();
     assert_eq!((view.running, view.answer), (3, None));
-    there.cancel("service").await.unwrap();
-    let view = final_answer(&[here], "service").await;
+    second.cancel("service").await.unwrap();
+    let view = final_answer(&[first], "service").await;
     let answer = view.answer.unwrap();
     assert_eq!(answer.outcome(), Outcome::Cancelled);
     assert!(answer.had_begun);
@@ -46,16 +46,16 @@
     let cell = Cell::start(Options::default()).await;
     let own = cell.caller(0, "university").await;
     let other = cell.caller(0, "district-desk").await;
-    let theirs = spec(Kind::Batch, 1, 500, 20);
-    let ours = spec(Kind::Batch, 2, 500, 20);
-    own.submit("same-id", &theirs, false).await.unwrap();
+    let one_task = spec(Kind::Batch, 1, 500, 20);
+    let two_tasks = spec(Kind::Batch, 2, 500, 20);
+    own.submit("same-id", &one_task, false).await.unwrap();
 
     let status = other.get("same-id").await.unwrap_err();
-    assert_eq!(kind_of(&status), "not_found");
+    assert_eq!(error_kind(&status), "not_found");
     let status = other.cancel("same-id").await.unwrap_err();
-    assert_eq!(kind_of(&status), "not_found");
+    assert_eq!(error_kind(&status), "not_found");
     // The same id of another account is another request.
-    other.submit("same-id", &ours, false).await.unwrap();
+    other.submit("same-id", &two_tasks, false).await.unwrap();
     let view = final_answer(std::slice::from_ref(&other), "same-id").await;
     assert_eq!(view.answer.unwrap().results.len(), 2);
     let view = final_answer(std::slice::from_ref(&own), "same-id").await;
@@ -65,11 +65,11 @@
     assert_eq!(listed.len(), 1);
     let stranger = cell.caller(0, "stranger").await;
     let status = stranger.get("same-id").await.unwrap_err();
-    assert_eq!(kind_of(&status), "unauthenticated");
+    assert_eq!(error_kind(&status), "unauthenticated");
 }
 
 #[tokio::test]
-async fn one_id_with_two_bodies_is_a_conflict_and_with_one_body_one_request() {
+async fn the_same_id_is_one_request_and_another_body_a_conflict() {
     let cell = Cell::start(Options::default()).await;
     let callers = cell.callers("university").await;
     let mut body = spec(Kind::Batch, 1, 500, 20);
@@ -82,7 +82,7 @@
     }
     let other_body = spec(Kind::Batch, 2, 500, 20);
     let status = callers[1].submit("once", &other_body, false).await.unwrap_err();
-    assert_eq!(kind_of(&status), "conflict");
+    assert_eq!(error_kind(&status), "conflict");
     let summary = cell.assert_no_violations();
     assert_eq!(summary.starts_by_name["once"], 1);
 }
@@ -100,16 +100,16 @@
     let expected: Vec<u8> = (0..500_000).map(|i| i as u8).collect();
     for r in results {
         // What does not fit into the answer is fetched by itself.
-        let whole = match r.result.is_empty() {
+        let bytes = match r.result.is_empty() {
             true => caller.fetch("large", r.index).await.unwrap(),
             false => r.result,
         };
-        assert!(whole == expected, "result {} is not whole", r.index);
+        assert!(bytes == expected, "result {} is not whole", r.index);
     }
 }
 
 #[tokio::test]
-async fn a_watch_shows_a_request_from_its_queue_to_its_answer() {
+async fn a_watch_shows_a_request_until_its_answer() {
     let cell = Cell::start(Options::default()).await;
     let caller = cell.caller(1, "university").await;
     caller.submit("watched", &spec(Kind::Batch, 3, 500, 100), false).await.unwrap();
--- a/crates/hollowford/tests/pairs.rs
+++ b/crates/hollowford/tests/failure_pairs.rs
@@ -5,7 +5,7 @@
 
 mod common;
 
-use common::{Cell, Options, final_answer, spec, submit_anyhow};
+use common::{Cell, Options, final_answer, spec, submit_with_retries};
 use hollowford_protocol::v1::{Kind, Outcome};
 use serde_json::json;
 use std::time::Duration;
@@ -15,55 +15,60 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     OwnerKilled,
-    OwnerFrozen,
+    OwnerPaused,
     OwnerStopped,
     Outage,
     LostReplies,
     SlowStore,
-    SessionsCut,
-    WorkersFrozen,
+    SessionsDisconnected,
+    WorkersPaused,
     WorkerLeaves,
 }
 
 /// How long both failures last together.
-const TOGETHER: Duration = Duration::from_millis(2_500);
+const FAULT_DURATION: Duration = Duration::from_millis(2_500);
 const REQUESTS: usize = 12;
 
-async fn bring(cell: &mut Cell, owner: usize, fault: Fault, store: &mut serde_json::Value) {
+async fn inject(cell: &mut Cell, owner: usize, fault: Fault, store: &mut serde_json::Value) {
     match fault {
         Fault::OwnerKilled => cell.entries[owner].kill(),
-        Fault::OwnerFrozen => cell.entries[owner].freeze(),
+        Fault::OwnerPaused => cell.entries[owner].pause(),
         Fault::OwnerStopped => cell.entries[owner].terminate(),
         Fault::Outage => store["outage"] = json!(true),
         Fault::LostReplies => store["lose_replies"] = json!(20),
         Fault::SlowStore => store["slow_ms"] = json!(120),
-        Fault::SessionsCut => {
+        Fault::SessionsDisconnected => {
             for i in 0..4 {
-                cell.worker_fault(0, &format!("cut/g0w00{i}")).await;
+                cell.inject_worker_fault(0, &format!("cut/g0w00{i}")).await;
             }
         }
-        Fault::WorkersFrozen => cell.workers[0].freeze(),
-        Fault::WorkerLeaves => cell.worker_fault(0, "leave/g0w000").await,
+        Fault::WorkersPaused => cell.workers[0].pause(),
+        Fault::WorkerLeaves => cell.inject_worker_fault(0, "leave/g0w000").await,
     }
-    cell.faults(store.clone()).await;
+    cell.set_faults(store.clone()).await;
 }
 
-async fn mend(cell: &mut Cell, owner: usize, fault: Fault) {
+async fn end_fault(cell: &mut Cell, owner: usize, fault: Fault) {
     match fault {
-        Fault::OwnerFrozen => cell.entries[owner].thaw(),
-        Fault::WorkersFrozen => cell.workers[0].thaw(),
+        Fault::OwnerPaused => cell.entries[owner].resume(),
+        Fault::WorkersPaused => cell.workers[0].resume(),
         _ => {}
     }
-    cell.faults(json!({})).await;
+    cell.set_faults(json!({})).await;
 }
 
-async fn play(faults: [Fault; 2]) {
+async fn run_with_faults(faults: [Fault; 2]) {
     let policy = json!({
         "task_lease_ms": 3_000, "renew_every_ms": 700, "renewal_bound_ms": 10_000,
         "drift_margin_ms": 200,
     });
-    let options =
-        Options { partitions: 1, worker_procs: 2, workers_each: 4, policy, ..Options::default() };
+    let options = Options {
+        partitions: 1,
+        worker_processes: 2,
+        workers_per_process: 4,
+        policy,
+        ..Options::default()
+    };
     let mut cell = Cell::start(options).await;
     let owner = cell.owner(0).await;
     let mut callers = cell.callers("university").await;
@@ -73,20 +78,20 @@
         let mut once = spec(Kind::Batch, 2, 500, 300);
         once.repeatable = false;
         once.payload = format!("name=once-{i}").into_bytes();
-        submit_anyhow(&callers, &format!("once-{i}"), &once).await;
-        submit_anyhow(&callers, &format!("again-{i}"), &spec(Kind::Batch, 3, 500, 200)).await;
-        submit_anyhow(&callers, &format!("check-{i}"), &spec(Kind::Check, 1, 200, 20)).await;
+        submit_with_retries(&callers, &format!("once-{i}"), &once).await;
+        submit_with_retries(&callers, &format!("again-{i}"), &spec(Kind::Batch, 3, 500, 200)).await;
+        submit_with_retries(&callers, &format!("check-{i}"), &spec(Kind::Check, 1, 200, 20)).await;
     };
     for i in 0..REQUESTS / 2 {
         submit(i, callers.clone()).await;
     }
-    bring(&mut cell, owner, faults[0], &mut store).await;
-    bring(&mut cell, owner, faults[1], &mut store).await;
+    inject(&mut cell, owner, faults[0], &mut store).await;
+    inject(&mut cell, owner, faults[1], &mut store).await;
     let rest = (REQUESTS / 2..REQUESTS).map(|i| tokio::spawn(submit(i, callers.clone())));
     let rest: Vec<_> = rest.collect();
-    tokio::time::sleep(TOGETHER).await;
-    mend(&mut cell, owner, faults[0]).await;
-    mend(&mut cell, owner, faults[1]).await;
+    tokio::time::sleep(FAULT_DURATION).await;
+    end_fault(&mut cell, owner, faults[0]).await;
+    end_fault(&mut cell, owner, faults[1]).await;
     for task in rest {
         task.await.unwrap();
     }
@@ -102,7 +107,7 @@
         match answer.outcome() {
             Outcome::Done => assert_eq!(starts, 2),
             // Only a worker that froze past its leases may leave that open.
-            Outcome::MayHaveRun => assert!(faults.contains(&Fault::WorkersFrozen), "{answer:?}"),
+            Outcome::MayHaveRun => assert!(faults.contains(&Fault::WorkersPaused), "{answer:?}"),
             other => panic!("once-{i}: {other:?}"),
         }
     }
@@ -112,17 +117,17 @@
 #[parameterized(
     killed_and_lost_replies = { Fault::OwnerKilled, Fault::LostReplies },
     killed_and_outage = { Fault::Outage, Fault::OwnerKilled },
-    killed_and_sessions_cut = { Fault::SessionsCut, Fault::OwnerKilled },
-    killed_and_workers_frozen = { Fault::WorkersFrozen, Fault::OwnerKilled },
-    frozen_and_slow_store = { Fault::OwnerFrozen, Fault::SlowStore },
-    frozen_and_outage = { Fault::OwnerFrozen, Fault::Outage },
-    frozen_owner_and_frozen_workers = { Fault::OwnerFrozen, Fault::WorkersFrozen },
+    killed_and_sessions_disconnected = { Fault::SessionsDisconnected, Fault::OwnerKilled },
+    killed_and_workers_paused = { Fault::WorkersPaused, Fault::OwnerKilled },
+    paused_and_slow_store = { Fault::OwnerPaused, Fault::SlowStore },
+    paused_and_outage = { Fault::OwnerPaused, Fault::Outage },
+    paused_owner_and_paused_workers = { Fault::OwnerPaused, Fault::WorkersPaused },
     stopped_and_lost_replies = { Fault::LostReplies, Fault::OwnerStopped },
     stopped_and_worker_leaves = { Fault::WorkerLeaves, Fault::OwnerStopped },
-    outage_and_sessions_cut = { Fault::Outage, Fault::SessionsCut },
-    outage_and_workers_frozen = { Fault::Outage, Fault::WorkersFrozen },
+    outage_and_sessions_disconnected = { Fault::Outage, Fault::SessionsDisconnected },
+    outage_and_workers_paused = { Fault::Outage, Fault::WorkersPaused },
 )]
 fn two_failures_at_once(first: Fault, second: Fault) {
     let rt = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    rt.block_on(play([first, second]));
+    rt.block_on(run_with_faults([first, second]));
 }
--- a/crates/hollowford/tests/failures.rs
+++ b/crates/hollowford/tests/failures.rs
@@ -4,7 +4,9 @@
 
 mod common;
 
-use common::{Cell, Options, final_answer, kind_of, retry_after, spec, submit_anyhow, until};
+use common::{
+    Cell, Options, error_kind, final_answer, retry_after_ms, spec, submit_with_retries, wait_for,
+};
 use hollowford_protocol::v1::{Kind, Outcome, RequestSpec};
 use serde_json::json;
 use std::time::{Duration, Instant};
@@ -17,16 +19,16 @@
     })
 }
 
-fn once(name: &str, tasks: u32, run_ms: u64) -> RequestSpec {
+fn non_repeatable(name: &str, tasks: u32, run_ms: u64) -> RequestSpec {
     let mut s = spec(Kind::Batch, tasks, 500, run_ms);
     s.repeatable = false;
     s.payload = format!("name={name}").into_bytes();
     s
 }
 
-fn other_than(callers: &[common::Caller], gone: usize) -> Vec<common::Caller> {
-    let keep = callers.iter().enumerate().filter(|(i, _)| *i != gone);
-    keep.map(|(_, c)| c.clone()).collect()
+fn all_except(callers: &[common::Caller], excluded: usize) -> Vec<common::Caller> {
+    let remaining = callers.iter().enumerate().filter(|(i, _)| *i != excluded);
+    remaining.map(|(_, c)| c.clone()).collect()
 }
 
 #[tokio::test]
@@ -34,15 +36,15 @@
     let mut cell = Cell::start(Options { partitions: 1, ..Options::default() }).await;
     let owner = cell.owner(0).await;
     let callers = cell.callers("university").await;
-    let rest = other_than(&callers, owner);
+    let rest = all_except(&callers, owner);
     for i in 0..20 {
-        let body = once(&format!("once-{i}"), 2, 400);
-        submit_anyhow(&rest, &format!("once-{i}"), &body).await;
-        submit_anyhow(&rest, &format!("batch-{i}"), &spec(Kind::Batch, 4, 500, 300)).await;
+        let body = non_repeatable(&format!("once-{i}"), 2, 400);
+        submit_with_retries(&rest, &format!("once-{i}"), &body).await;
+        submit_with_retries(&rest, &format!("batch-{i}"), &spec(Kind::Batch, 4, 500, 300)).await;
     }
     cell.entries[owner].kill();
     let killed = Instant::now();
-    let view = submit_anyhow(&rest, "after", &spec(Kind::Check, 1, 100, 10)).await;
+    let view = submit_with_retries(&rest, "after", &spec(Kind::Check, 1, 100, 10)).await;
     println!("accepted again {:?} after the kill, epoch {}", killed.elapsed(), view.epoch);
     assert!(view.epoch >= 2);
     for i in 0..20 {
@@ -58,15 +60,15 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_waits_through_an_entry_gets_its_answer_when_the_owner_is_killed() {
+async fn a_caller_waiting_at_another_process_gets_its_answer_after_the_owner_is_killed() {
     let mut cell = Cell::start(Options { partitions: 1, ..Options::default() }).await;
     let owner = cell.owner(0).await;
     let callers = cell.callers("university").await;
-    let rest = other_than(&callers, owner);
-    let body = once("waited", 1, 1_500);
+    let rest = all_except(&callers, owner);
+    let body = non_repeatable("waited", 1, 1_500);
     let caller = rest[0].clone();
     let waiting = tokio::spawn(async move { caller.submit("waited", &body, true).await });
-    until("the task runs", || async {
+    wait_for("the task runs", || async {
         rest[1].get("waited").await.ok().filter(|v| v.running == 1).map(|_| ())
     })
     .await;
@@ -77,21 +79,21 @@
 }
 
 #[tokio::test]
-async fn an_owner_frozen_past_its_lease_decides_nothing_when_it_wakes() {
+async fn an_owner_paused_past_its_lease_decides_nothing_when_it_resumes() {
     let cell = Cell::start(Options { partitions: 1, ..Options::default() }).await;
     let owner = cell.owner(0).await;
     let callers = cell.callers("university").await;
-    let rest = other_than(&callers, owner);
+    let rest = all_except(&callers, owner);
     for i in 0..10 {
-        let body = once(&format!("before-{i}"), 4, 300);
-        submit_anyhow(&rest, &format!("before-{i}"), &body).await;
+        let body = non_repeatable(&format!("before-{i}"), 4, 300);
+        submit_with_retries(&rest, &format!("before-{i}"), &body).await;
     }
-    cell.entries[owner].freeze();
+    cell.entries[owner].pause();
     for i in 0..10 {
-        let body = once(&format!("during-{i}"), 4, 300);
-        submit_anyhow(&rest, &format!("during-{i}"), &body).await;
+        let body = non_repeatable(&format!("during-{i}"), 4, 300);
+        submit_with_retries(&rest, &format!("during-{i}"), &body).await;
     }
-    cell.entries[owner].thaw();
+    cell.entries[owner].resume();
     // Through the process that was frozen, too.
     for i in 0..10 {
         for name in ["before", "during"] {
@@ -101,7 +103,7 @@
     }
     let summary = cell.assert_no_violations();
     assert!(summary.starts_by_name.values().all(|n| *n == 4), "{:?}", summary.starts_by_name);
-    until("the old owner has let go", || async {
+    wait_for("the old owner has let go", || async {
         let state = cell.state(owner).await?;
         state["partitions"].as_array()?.is_empty().then_some(())
     })
@@ -110,20 +112,21 @@
 
 #[tokio::test]
 async fn replacing_every_process_under_load_fails_no_call() {
-    let mut cell = Cell::start(Options { workers_each: 16, ..Options::default() }).await;
+    let mut cell = Cell::start(Options { workers_per_process: 16, ..Options::default() }).await;
     let stop = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
     let (tx, balancer) = tokio::sync::watch::channel(addresses(&cell, 0));
     let mut tasks = Vec::new();
     for n in 0..6 {
-        tasks.push(tokio::spawn(load(n, balancer.clone(), stop.clone())));
+        tasks.push(tokio::spawn(submit_load(n, balancer.clone(), stop.clone())));
     }
     let watcher = cell.caller(0, "university").await;
-    submit_anyhow(std::slice::from_ref(&watcher), "long", &once("long", 1, 6_000)).await;
+    submit_with_retries(std::slice::from_ref(&watcher), "long", &non_repeatable("long", 1, 6_000))
+        .await;
     for _ in 0..3 {
         // The balancer first learns of the new one, then that the old one leaves.
         let new = cell.start_entry();
         cell.wait_ready().await;
-        until("the new one is ready", || async {
+        wait_for("the new one is ready", || async {
             let reply = common::http::get_text(&cell.entries[new].addr("admin"), "/readyz").await;
             reply.filter(|(status, _)| *status == 200)
         })
@@ -131,7 +134,7 @@
         tx.send_replace(addresses(&cell, 1));
         cell.entries[0].terminate();
         let mut old = cell.entries.remove(0);
-        assert!(old.ended().await, "the process ended by a fault");
+        assert!(old.wait_exit_success().await, "the process ended by a fault");
     }
     stop.store(true, std::sync::atomic::Ordering::Release);
     let mut calls = 0;
@@ -158,20 +161,20 @@
 }
 
 /// Calls that each caller makes at least.
-const LOAD_CALLS: usize = 20;
+const MIN_LOAD_CALLS: usize = 20;
 
 /// Submits and waits, one request after the other, as the balancer would send
 /// them. Every call must succeed; an entry that stops may answer without the final
 /// answer, which is then asked for through another.
-async fn load(
+async fn submit_load(
     n: usize,
     addresses: tokio::sync::watch::Receiver<Vec<String>>,
     stop: std::sync::Arc<std::sync::atomic::AtomicBool>,
 ) -> usize {
     let mut calls = 0;
-    while calls < LOAD_CALLS || !stop.load(std::sync::atomic::Ordering::Acquire) {
+    while calls < MIN_LOAD_CALLS || !stop.load(std::sync::atomic::Ordering::Acquire) {
         let id = format!("load-{n}-{calls}");
-        let body = once(&id, 1, 20 + 40 * n as u64);
+        let body = non_repeatable(&id, 1, 20 + 40 * n as u64);
         let mut view = None;
         while view
             .as_ref()
@@ -179,7 +182,7 @@
         {
             let now = addresses.borrow().clone();
             let addr = &now[calls % now.len()];
-            let caller = common::Caller::connect(addr, &common::play::token_of("university")).await;
+            let caller = common::Caller::connect(addr, &common::cell::token_of("university")).await;
             let reply = match view {
                 None => caller.submit(&id, &body, true).await,
                 Some(_) => caller.get_final(&id).await,
@@ -193,36 +196,37 @@
 }
 
 #[tokio::test]
-async fn a_table_outage_kills_no_running_work_and_refuses_new_work_at_once() {
+async fn a_store_outage_ends_no_running_work_and_refuses_new_work_at_once() {
     let mut policy = short_leases();
     policy["renewal_bound_ms"] = json!(60_000);
     let options = Options { partitions: 1, policy, ..Options::default() };
     let cell = Cell::start(options).await;
     let callers = cell.callers("university").await;
-    submit_anyhow(&callers, "running", &once("running", 4, 5_000)).await;
-    until("it runs", || async {
+    submit_with_retries(&callers, "running", &non_repeatable("running", 4, 5_000)).await;
+    wait_for("it runs", || async {
         callers[0].get("running").await.ok().filter(|v| v.running == 4).map(|_| ())
     })
     .await;
-    cell.faults(json!({ "outage": true })).await;
+    cell.set_faults(json!({ "outage": true })).await;
     // What was on its way when the outage began may be told "unknown". Once it has
     // been noticed, new work is refused as not run, with a time to come back.
     let mut refused = Vec::new();
     for i in 0..20 {
         let id = format!("new-{i}");
         let started = Instant::now();
-        let status = callers[i % 3].submit(&id, &once(&id, 1, 10), false).await.unwrap_err();
-        println!("{id}: {} after {:?}", kind_of(&status), started.elapsed());
-        match kind_of(&status) {
+        let status =
+            callers[i % 3].submit(&id, &non_repeatable(&id, 1, 10), false).await.unwrap_err();
+        println!("{id}: {} after {:?}", error_kind(&status), started.elapsed());
+        match error_kind(&status) {
             "unavailable" => refused.push(id),
             kind => assert_eq!((kind, refused.len()), ("unknown", 0), "{status:?}"),
         }
-        assert!(retry_after(&status).is_some());
+        assert!(retry_after_ms(&status).is_some());
     }
     assert!(refused.len() >= 15, "{refused:?}");
     // What runs is kept alive past the ownership lease and the task lease.
     tokio::time::sleep(Duration::from_millis(3_000)).await;
-    cell.faults(json!({})).await;
+    cell.set_faults(json!({})).await;
     let view = final_answer(&callers, "running").await;
     assert_eq!(view.answer.unwrap().outcome(), Outcome::Done);
     // What was refused was not run, and may be asked for again.
@@ -230,7 +234,7 @@
     assert_eq!(summary.starts_by_name["running"], 4);
     for id in &refused {
         assert_eq!(summary.starts_by_name.get(id), None, "{id}");
-        submit_anyhow(&callers, id, &once(id, 1, 10)).await;
+        submit_with_retries(&callers, id, &non_repeatable(id, 1, 10)).await;
         let view = final_answer(&callers, id).await;
         assert_eq!(view.answer.unwrap().outcome(), Outcome::Done);
     }
@@ -239,15 +243,15 @@
 }
 
 #[tokio::test]
-async fn writes_whose_replies_are_lost_change_nothing_twice() {
+async fn writes_with_lost_replies_are_applied_once() {
     let cell = Cell::start(Options { partitions: 1, ..Options::default() }).await;
     let callers = cell.callers("university").await;
     for i in 0..15 {
-        cell.faults(json!({ "lose_replies": 2 })).await;
-        let body = once(&format!("lost-{i}"), 2, 20);
-        submit_anyhow(&callers, &format!("lost-{i}"), &body).await;
+        cell.set_faults(json!({ "lose_replies": 2 })).await;
+        let body = non_repeatable(&format!("lost-{i}"), 2, 20);
+        submit_with_retries(&callers, &format!("lost-{i}"), &body).await;
     }
-    cell.faults(json!({})).await;
+    cell.set_faults(json!({})).await;
     for i in 0..15 {
         let view = final_answer(&callers, &format!("lost-{i}")).await;
         assert_eq!(view.answer.unwrap().outcome(), Outcome::Done);
@@ -261,18 +265,18 @@
     let mut cell = Cell::start(Options { partitions: 1, ..Options::default() }).await;
     let owner = cell.owner(0).await;
     let callers = cell.callers("university").await;
-    let rest = other_than(&callers, owner);
-    submit_anyhow(&rest, "warm", &once("warm", 1, 10)).await;
-    cell.faults(json!({ "lose_replies": 50 })).await;
-    let body = once("doubtful", 3, 200);
+    let rest = all_except(&callers, owner);
+    submit_with_retries(&rest, "warm", &non_repeatable("warm", 1, 10)).await;
+    cell.set_faults(json!({ "lose_replies": 50 })).await;
+    let body = non_repeatable("doubtful", 3, 200);
     let caller = rest[0].clone();
     let submitted = tokio::spawn(async move { caller.submit("doubtful", &body, false).await });
     tokio::time::sleep(Duration::from_millis(30)).await;
     cell.entries[owner].kill();
-    cell.faults(json!({})).await;
+    cell.set_faults(json!({})).await;
     // Whatever the first call came to, the caller asks again with the same id.
     let _ = submitted.await.unwrap();
-    submit_anyhow(&rest, "doubtful", &once("doubtful", 3, 200)).await;
+    submit_with_retries(&rest, "doubtful", &non_repeatable("doubtful", 3, 200)).await;
     let answer = final_answer(&rest, "doubtful").await.answer.unwrap();
     let summary = cell.assert_no_violations();
     assert_eq!(answer.outcome(), Outcome::Done, "{answer:?}");
@@ -280,29 +284,31 @@
 }
 
 #[tokio::test]
-async fn a_frozen_worker_stops_what_lapsed_and_its_work_runs_elsewhere_once_at_a_time() {
+async fn a_paused_worker_ends_lapsed_tasks_and_they_run_elsewhere_once_at_a_time() {
     let options = Options {
         partitions: 1,
-        worker_procs: 2,
-        workers_each: 2,
+        worker_processes: 2,
+        workers_per_process: 2,
         policy: short_leases(),
         ..Options::default()
     };
     let cell = Cell::start(options).await;
     let callers = cell.callers("university").await;
     // Half of the cell, so that the other half has room while one is frozen.
-    submit_anyhow(&callers, "again", &spec(Kind::Batch, 8, 1_000, 4_000)).await;
-    until("all tasks run", || async {
+    submit_with_retries(&callers, "again", &spec(Kind::Batch, 8, 1_000, 4_000)).await;
+    wait_for("all tasks run", || async {
         callers[0].get("again").await.ok().filter(|v| v.running == 8).map(|_| ())
     })
     .await;
-    let frozen = usize::from(cell.lines()[0].worker.starts_with("g1"));
-    cell.workers[frozen].freeze();
-    until("its tasks run elsewhere", || async { (cell.record_summary().starts > 8).then_some(()) })
-        .await;
+    let paused = usize::from(cell.record_lines()[0].worker.starts_with("g1"));
+    cell.workers[paused].pause();
+    wait_for("its tasks run elsewhere", || async {
+        (cell.record_summary().starts > 8).then_some(())
+    })
+    .await;
     // By now the frozen tasks would have come to their end.
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    cell.workers[frozen].thaw();
+    cell.workers[paused].resume();
     let view = final_answer(&callers, "again").await;
     assert_eq!(view.answer.unwrap().outcome(), Outcome::Done);
     let summary = cell.assert_no_violations();
@@ -310,70 +316,79 @@
 }
 
 #[tokio::test]
-async fn work_on_a_killed_worker_may_have_run_and_is_told_so() {
+async fn non_repeatable_work_on_a_killed_worker_is_reported_as_may_have_run() {
     let options = Options {
         partitions: 1,
-        worker_procs: 2,
-        workers_each: 2,
+        worker_processes: 2,
+        workers_per_process: 2,
         policy: short_leases(),
         ..Options::default()
     };
     let mut cell = Cell::start(options).await;
     let callers = cell.callers("university").await;
     for i in 0..8 {
-        submit_anyhow(&callers, &format!("once-{i}"), &once(&format!("once-{i}"), 1, 3_000)).await;
+        submit_with_retries(
+            &callers,
+            &format!("once-{i}"),
+            &non_repeatable(&format!("once-{i}"), 1, 3_000),
+        )
+        .await;
         let body = spec(Kind::Batch, 1, 1_500, 1_500);
-        submit_anyhow(&callers, &format!("again-{i}"), &body).await;
+        submit_with_retries(&callers, &format!("again-{i}"), &body).await;
     }
-    until("the worker runs some", || async { (cell.record_summary().starts >= 8).then_some(()) })
-        .await;
-    let on_it = |line: &&hollowford_standin::record::Line| line.worker.starts_with("g0");
-    let before = cell.lines().iter().filter(on_it).filter(|l| !l.name.is_empty()).count();
+    wait_for("the worker runs some", || async {
+        (cell.record_summary().starts >= 8).then_some(())
+    })
+    .await;
+    let on_killed_worker = |line: &&hollowford_standin::record::Line| line.worker.starts_with("g0");
+    let starts_before_kill =
+        cell.record_lines().iter().filter(on_killed_worker).filter(|l| !l.name.is_empty()).count();
     cell.workers[0].kill();
-    let mut unsure = 0;
+    let mut uncertain = 0;
     for i in 0..8 {
         let answer = final_answer(&callers, &format!("once-{i}")).await.answer.unwrap();
         match answer.outcome() {
-            Outcome::MayHaveRun => unsure += 1,
+            Outcome::MayHaveRun => uncertain += 1,
             outcome => assert_eq!(outcome, Outcome::Done),
         }
         let answer = final_answer(&callers, &format!("again-{i}")).await.answer.unwrap();
         assert_eq!(answer.outcome(), Outcome::Done);
     }
-    assert_eq!(unsure, before, "those on the killed worker");
+    assert_eq!(uncertain, starts_before_kill, "those on the killed worker");
     let summary = cell.record_summary();
     assert!(summary.starts_by_name.values().all(|n| *n == 1), "{:?}", summary.starts_by_name);
 }
 
 #[tokio::test]
-async fn a_leaving_instance_gets_no_new_work_even_when_the_list_lags_and_the_table_is_down() {
-    let options = Options { partitions: 1, workers_each: 3, ..Options::default() };
+async fn a_leaving_instance_gets_no_new_work_even_if_the_worker_list_is_outdated() {
+    let options = Options { partitions: 1, workers_per_process: 3, ..Options::default() };
     let cell = Cell::start(options).await;
     let callers = cell.callers("university").await;
-    cell.faults(json!({ "freeze_list": true })).await;
-    cell.worker_fault(0, "leave/g0w000").await;
-    until("the owner knows", || async {
+    cell.set_faults(json!({ "freeze_list": true })).await;
+    cell.inject_worker_fault(0, "leave/g0w000").await;
+    wait_for("the owner knows", || async {
         let state = cell.state(cell.owner(0).await).await?;
         let workers = state["partitions"][0]["workers"].as_array()?.clone();
         workers.iter().any(|w| w["id"] == "g0w000" && w["leaving"] == true).then_some(())
     })
     .await;
-    let mark = cell.lines().len();
-    submit_anyhow(&callers, "work", &spec(Kind::Batch, 30, 1_000, 50)).await;
+    let lines_before = cell.record_lines().len();
+    submit_with_retries(&callers, "work", &spec(Kind::Batch, 30, 1_000, 50)).await;
     final_answer(&callers, "work").await;
-    let lines = cell.lines();
-    assert!(lines[mark..].iter().all(|l| l.worker != "g0w000"));
-    assert!(lines.len() > mark);
+    let lines = cell.record_lines();
+    assert!(lines[lines_before..].iter().all(|l| l.worker != "g0w000"));
+    assert!(lines.len() > lines_before);
 }
 
 #[tokio::test]
-async fn a_cut_session_is_settled_by_the_next_claim() {
-    let cell = Cell::start(Options { partitions: 1, workers_each: 2, ..Options::default() }).await;
+async fn reports_lost_with_a_session_are_recovered_by_the_next_claim() {
+    let cell =
+        Cell::start(Options { partitions: 1, workers_per_process: 2, ..Options::default() }).await;
     let callers = cell.callers("university").await;
     for i in 0..20 {
-        let body = once(&format!("cut-{i}"), 3, 30);
-        submit_anyhow(&callers, &format!("cut-{i}"), &body).await;
-        cell.worker_fault(0, &format!("cut/g0w00{}", i % 2)).await;
+        let body = non_repeatable(&format!("cut-{i}"), 3, 30);
+        submit_with_retries(&callers, &format!("cut-{i}"), &body).await;
+        cell.inject_worker_fault(0, &format!("cut/g0w00{}", i % 2)).await;
     }
     for i in 0..20 {
         let answer = final_answer(&callers, &format!("cut-{i}")).await.answer.unwrap();
@@ -384,12 +399,13 @@
 }
 
 #[tokio::test]
-async fn a_cancellation_that_races_a_start_tells_the_truth() {
-    let cell = Cell::start(Options { partitions: 1, workers_each: 4, ..Options::default() }).await;
+async fn a_cancellation_that_races_a_start_reports_whether_it_had_begun() {
+    let cell =
+        Cell::start(Options { partitions: 1, workers_per_process: 4, ..Options::default() }).await;
     let callers = cell.callers("university").await;
     for i in 0..40 {
         let id = format!("race-{i}");
-        let body = once(&id, 2, 30);
+        let body = non_repeatable(&id, 2, 30);
         let submit = callers[0].submit(&id, &body, false);
         submit.await.unwrap();
         // A request may have ended by then.
@@ -415,18 +431,18 @@
     let mut cell = Cell::start(options).await;
     let owner = cell.owner(0).await;
     let callers = cell.callers("university").await;
-    let rest = other_than(&callers, owner);
-    submit_anyhow(&rest, "kept", &once("kept", 2, 8_000)).await;
-    until("it runs", || async {
+    let rest = all_except(&callers, owner);
+    submit_with_retries(&rest, "kept", &non_repeatable("kept", 2, 8_000)).await;
+    wait_for("it runs", || async {
         rest[0].get("kept").await.ok().filter(|v| v.running == 2).map(|_| ())
     })
     .await;
-    cell.faults(json!({ "outage": true })).await;
+    cell.set_faults(json!({ "outage": true })).await;
     cell.entries[owner].terminate();
     // Twice the task lease: without renewals the work would have lapsed.
     tokio::time::sleep(Duration::from_millis(4_500)).await;
-    cell.faults(json!({})).await;
-    assert!(cell.entries[owner].ended().await);
+    cell.set_faults(json!({})).await;
+    assert!(cell.entries[owner].wait_exit_success().await);
     let answer = final_answer(&rest, "kept").await.answer.unwrap();
     assert_eq!(answer.outcome(), Outcome::Done);
     assert_eq!(cell.assert_no_violations().starts_by_name["kept"], 2);
@@ -436,9 +452,14 @@
 async fn a_slow_store_slows_but_fails_nothing() {
     let cell = Cell::start(Options { partitions: 1, ..Options::default() }).await;
     let callers = cell.callers("university").await;
-    cell.faults(json!({ "slow_ms": 200 })).await;
+    cell.set_faults(json!({ "slow_ms": 200 })).await;
     for i in 0..5 {
-        submit_anyhow(&callers, &format!("slow-{i}"), &once(&format!("slow-{i}"), 2, 20)).await;
+        submit_with_retries(
+            &callers,
+            &format!("slow-{i}"),
+            &non_repeatable(&format!("slow-{i}"), 2, 20),
+        )
+        .await;
     }
     for i in 0..5 {
         let answer = final_answer(&callers, &format!("slow-{i}")).await.answer.unwrap();
@@ -450,16 +471,17 @@
 
 #[tokio::test]
 async fn partitions_spread_over_processes_that_join() {
-    let options = Options { entries: 1, partitions: 6, workers_each: 12, ..Options::default() };
+    let options =
+        Options { entries: 1, partitions: 6, workers_per_process: 12, ..Options::default() };
     let mut cell = Cell::start(options).await;
     let caller = cell.caller(0, "university").await;
     for i in 0..12 {
-        let body = once(&format!("spread-{i}"), 1, 3_000);
-        submit_anyhow(std::slice::from_ref(&caller), &format!("spread-{i}"), &body).await;
+        let body = non_repeatable(&format!("spread-{i}"), 1, 3_000);
+        submit_with_retries(std::slice::from_ref(&caller), &format!("spread-{i}"), &body).await;
     }
     cell.start_entry();
     cell.start_entry();
-    until("each owns two", || async {
+    wait_for("each owns two", || async {
         for i in 0..3 {
             if cell.state(i).await?["partitions"].as_array()?.len() != 2 {
                 return None;
@@ -482,12 +504,12 @@
     let mut cell = Cell::start(Options { partitions: 1, ..Options::default() }).await;
     let owner = cell.owner(0).await;
     let callers = cell.callers("university").await;
-    submit_anyhow(&callers, "work", &spec(Kind::Batch, 1, 100, 10)).await;
+    submit_with_retries(&callers, "work", &spec(Kind::Batch, 1, 100, 10)).await;
     // The row can be written, and nothing can be read back.
-    cell.faults(json!({ "no_scans": "p/" })).await;
+    cell.set_faults(json!({ "no_scans": "p/" })).await;
     cell.entries[owner].kill();
     cell.entries.remove(owner);
-    let next = until("another takes over", || async {
+    let next = wait_for("another takes over", || async {
         for (i, e) in cell.entries.iter().enumerate() {
             let name = "hollowford_takeovers_total{how=\"lapsed\"}";
             if common::http::metric(&e.addr("admin"), name).await > 0 {
@@ -498,5 +520,5 @@
     })
     .await;
     cell.entries[next].terminate();
-    assert!(cell.entries[next].ended().await);
+    assert!(cell.entries[next].wait_exit_success().await);
 }
--- a/crates/hollowford/tests/keys.rs
+++ b/crates/hollowford/tests/keys.rs
@@ -12,33 +12,33 @@
 const JOB: &str = "/plain/0000000000000001";
 
 /// Names an account with these keys and no quota.
-fn account(name: &str, keys: &[&str]) -> AccountKeys {
+fn account_with_keys(name: &str, keys: &[&str]) -> AccountKeys {
     let keys = keys.iter().map(|&k| k.to_owned()).collect();
     AccountKeys { name: name.into(), keys, cpu_milli: 0 }
 }
 
 /// Waits until a process answers a question with this key with `status`.
-async fn await_status(cell: &Cell, node: usize, key: &str, status: u16) {
-    let told =
+async fn wait_for_status(cell: &Cell, node: usize, key: &str, status: u16) {
+    let has_status =
         || async { cell.call_as(key, node, Method::GET, "/plain/", Value::Null).await.0 == status };
-    assert!(eventually(told).await, "no {status} for {key}:\n{}", cell.logs());
+    assert!(eventually(has_status).await, "no {status} for {key}:\n{}", cell.logs());
 }
 
 /// Starts processes that all know the keys of `a` and `b`.
-async fn keyed(nodes: usize) -> Cell {
+async fn start_with_keys(nodes: usize) -> Cell {
     let cell = Cell::start(nodes, 2).await;
-    let accounts = [account("a", &["a1", "a2"]), account("b", &["b1"])];
+    let accounts = [account_with_keys("a", &["a1", "a2"]), account_with_keys("b", &["b1"])];
     cell.platform.configure_accounts(2, PREFIXES, &accounts);
     for node in 0..nodes {
-        await_status(&cell, node, "", 401).await;
-        await_status(&cell, node, "b1", 200).await;
+        wait_for_status(&cell, node, "", 401).await;
+        wait_for_status(&cell, node, "b1", 200).await;
     }
     cell
 }
 
 #[tokio::test]
-async fn every_call_needs_a_key_and_a_job_is_its_accounts_own() {
-    let cell = keyed(2).await;
+async fn every_call_needs_a_key_and_a_job_belongs_to_its_account() {
+    let cell = start_with_keys(2).await;
     let call = async |key, method| cell.call_as(key, 1, method, JOB, Value::Null).await.0;
     let submit = async |key, node| {
         cell.call_as(key, node, Method::POST, JOB, speech::job(1, 600_000)).await.0
@@ -60,17 +60,17 @@
 }
 
 #[tokio::test]
-async fn a_key_that_is_taken_away_ends_and_accepted_work_goes_on() {
-    let cell = keyed(3).await;
+async fn a_removed_key_is_refused_and_accepted_work_continues() {
+    let cell = start_with_keys(3).await;
     let submit = |key| cell.call_as(key, 0, Method::POST, JOB, speech::job(1, 600_000));
     assert_eq!(submit("a1").await.0, 200);
     // The last key of `b` goes, too, and `a` has a new one.
-    let accounts = [account("a", &["a2", "a3"]), account("b", &[])];
+    let accounts = [account_with_keys("a", &["a2", "a3"]), account_with_keys("b", &[])];
     cell.platform.configure_accounts(3, PREFIXES, &accounts);
     for node in 0..3 {
-        await_status(&cell, node, "a1", 401).await;
-        await_status(&cell, node, "b1", 401).await;
-        await_status(&cell, node, "a3", 200).await;
+        wait_for_status(&cell, node, "a1", 401).await;
+        wait_for_status(&cell, node, "b1", 401).await;
+        wait_for_status(&cell, node, "a3", 200).await;
     }
     let (status, body) = cell.call_as("a3", 1, Method::GET, JOB, Value::Null).await;
     assert_eq!(status, 200);
@@ -78,19 +78,19 @@
 }
 
 #[tokio::test]
-async fn an_entry_without_the_store_hears_of_keys_from_the_owner() {
-    let cell = keyed(3).await;
-    let away = (cell.owner() + 1) % 3;
-    cell.nodes[away].store.shut(true);
-    let accounts = [account("a", &["a3"]), account("b", &["b1"])];
+async fn a_process_without_the_store_learns_keys_from_the_owner() {
+    let cell = start_with_keys(3).await;
+    let disconnected = (cell.owner() + 1) % 3;
+    cell.nodes[disconnected].store.shut(true);
+    let accounts = [account_with_keys("a", &["a3"]), account_with_keys("b", &["b1"])];
     cell.platform.configure_accounts(3, PREFIXES, &accounts);
-    await_status(&cell, away, "a1", 401).await;
-    await_status(&cell, away, "a3", 200).await;
+    wait_for_status(&cell, disconnected, "a1", 401).await;
+    wait_for_status(&cell, disconnected, "a3", 200).await;
 }
 
 #[tokio::test]
-async fn unknown_keys_are_refused_at_once_while_the_store_is_away_and_no_owner_lives() {
-    let mut cell = keyed(3).await;
+async fn unknown_keys_are_refused_at_once_without_store_and_owner() {
+    let mut cell = start_with_keys(3).await;
     cell.platform.set_faults(Faults { outage: true, ..Faults::default() });
     let owner = cell.owner();
     cell.nodes[owner].kill();
--- a/crates/hollowford/tests/node.rs
+++ b/crates/hollowford/tests/node.rs
@@ -12,21 +12,21 @@
 const ADVISED: &str = "/advised/";
 
 #[tokio::test]
-async fn a_job_is_taken_by_any_process_and_its_state_told_by_any_other() {
+async fn any_process_accepts_a_job_and_any_other_shows_its_state() {
     let cell = Cell::start(3, 2).await;
     for node in 0..3 {
         let id = node as u64 + 1;
         assert_eq!(cell.submit(node, PLAIN, id, 4, 100).await, 200);
-        cell.await_completed((node + 1) % 3, PLAIN, id).await;
+        cell.wait_until_completed((node + 1) % 3, PLAIN, id).await;
     }
     assert_eq!(cell.submit(0, ADVISED, 9, 4, 50).await, 200);
-    cell.await_completed(1, ADVISED, 9).await;
-    cell.judge(1);
+    cell.wait_until_completed(1, ADVISED, 9).await;
+    cell.assert_starts(1);
     assert_eq!(cell.platform.begun().len(), 16);
 }
 
 #[tokio::test]
-async fn requests_that_make_no_sense_are_refused_and_change_nothing() {
+async fn invalid_requests_are_refused_and_have_no_effect() {
     let cell = Cell::start(1, 1).await;
     let get = |path: &'static str| cell.call(0, Method::GET, path, Value::Null);
     assert_eq!(get("/nowhere/").await.0, 404);
@@ -55,14 +55,14 @@
 }
 
 #[tokio::test]
-async fn a_job_handed_in_twice_runs_once() {
+async fn a_job_submitted_twice_runs_once() {
     let cell = Cell::start(2, 1).await;
     assert_eq!(cell.submit(0, PLAIN, 1, 3, 200).await, 200);
     assert_eq!(cell.submit(1, PLAIN, 1, 3, 200).await, 200);
-    cell.await_completed(0, PLAIN, 1).await;
+    cell.wait_until_completed(0, PLAIN, 1).await;
     assert_eq!(cell.submit(1, PLAIN, 1, 3, 200).await, 200);
     assert_eq!(cell.state(0, PLAIN, 1).await, "completed");
-    cell.judge(1);
+    cell.assert_starts(1);
 }
 
 #[tokio::test]
@@ -70,19 +70,19 @@
     let mut cell = Cell::start(3, 3).await;
     let owner = cell.owner();
     let other = (owner + 1) % 3;
-    cell.submit_surely(other, PLAIN, 1, 6, 2_000).await;
-    cell.submit_surely(other, PLAIN, 2, 6, 50).await;
+    cell.submit_until_accepted(other, PLAIN, 1, 6, 2_000).await;
+    cell.submit_until_accepted(other, PLAIN, 2, 6, 50).await;
     cell.nodes[owner].kill();
-    cell.submit_surely(other, PLAIN, 3, 6, 50).await;
+    cell.submit_until_accepted(other, PLAIN, 3, 6, 50).await;
     for id in 1..=3 {
-        cell.await_completed(other, PLAIN, id).await;
+        cell.wait_until_completed(other, PLAIN, id).await;
     }
-    cell.judge(1);
+    cell.assert_starts(1);
     assert!(cell.platform.newest_fence() >= 2);
 }
 
 #[tokio::test]
-async fn a_planned_stop_of_the_owner_cuts_no_request() {
+async fn a_planned_stop_of_the_owner_fails_no_request() {
     let mut cell = Cell::start(3, 2).await;
     let owner = cell.owner();
     cell.nodes[owner].signal("TERM");
@@ -91,17 +91,17 @@
         let status = cell.submit(node, PLAIN, id, 1, 20).await;
         assert_eq!(status, 200, "request {id}");
     }
-    assert!(cell.nodes[owner].wait(), "ends well");
+    assert!(cell.nodes[owner].wait_exit_success(), "ends well");
     for id in 0..40 {
-        cell.await_completed((owner + 1) % 3, PLAIN, id).await;
+        cell.wait_until_completed((owner + 1) % 3, PLAIN, id).await;
     }
-    cell.judge(1);
+    cell.assert_starts(1);
 }
 
 #[tokio::test]
-async fn in_an_outage_new_jobs_are_refused_as_not_run_and_accepted_ones_go_on() {
+async fn in_an_outage_new_jobs_are_refused_and_accepted_ones_continue() {
     let cell = Cell::start(2, 1).await;
-    cell.submit_surely(0, PLAIN, 1, 2, 500).await;
+    cell.submit_until_accepted(0, PLAIN, 1, 2, 500).await;
     let runs = || async { cell.platform.begun().len() == 2 };
     assert!(eventually(runs).await);
     cell.platform.set_faults(Faults { outage: true, ..Faults::default() });
@@ -113,33 +113,33 @@
     let ended = || async { cell.platform.with_worker("w0", |w| w.done.len()) == Some(2) };
     assert!(eventually(ended).await, "accepted work goes on");
     cell.platform.set_faults(Faults::default());
-    cell.await_completed(0, PLAIN, 1).await;
-    cell.submit_surely(1, PLAIN, 2, 1, 20).await;
-    cell.await_completed(0, PLAIN, 2).await;
+    cell.wait_until_completed(0, PLAIN, 1).await;
+    cell.submit_until_accepted(1, PLAIN, 2, 1, 20).await;
+    cell.wait_until_completed(0, PLAIN, 2).await;
     for id in refused {
         assert_eq!(cell.state(0, PLAIN, id).await, "", "job {id} was refused as not run");
         let task = format!("{id:016x}.0.0.0");
         assert!(!cell.platform.begun().contains_key(&task));
     }
-    cell.judge(1);
+    cell.assert_starts(1);
 }
 
 #[tokio::test]
-async fn a_batch_whose_answer_is_lost_is_made_once() {
+async fn a_batch_with_a_lost_answer_is_committed_once() {
     let cell = Cell::start(2, 1).await;
     for id in 1..=5 {
         cell.platform.set_faults(Faults { lose_answers: 1, ..Faults::default() });
         assert_eq!(cell.submit(0, PLAIN, id, 1, 20).await, 200);
-        cell.await_completed(1, PLAIN, id).await;
+        cell.wait_until_completed(1, PLAIN, id).await;
     }
-    cell.judge(1);
+    cell.assert_starts(1);
     assert_eq!(cell.platform.newest_fence(), 1, "nobody took over");
 }
 
 #[tokio::test]
-async fn a_state_whose_end_is_on_the_way_to_the_store_is_waited_for() {
+async fn a_state_query_waits_for_an_end_being_written() {
     let cell = Cell::start(2, 1).await;
-    cell.submit_surely(0, PLAIN, 1, 1, 300).await;
+    cell.submit_until_accepted(0, PLAIN, 1, 1, 300).await;
     // A transaction takes 60 ms from here on, far more than the question after the end.
     cell.platform.set_faults(Faults { slow_ms: 60, ..Faults::default() });
     let ended = || async { cell.logs().contains("job.ends job=0000000000000001") };
@@ -148,45 +148,45 @@
 }
 
 #[tokio::test]
-async fn an_owner_that_the_store_turns_away_hands_over_to_a_process_that_it_serves() {
+async fn an_owner_refused_by_the_store_hands_over_to_another_process() {
     let cell = Cell::start(3, 1).await;
     let owner = cell.owner();
-    cell.submit_surely(owner, PLAIN, 1, 2, 1_500).await;
+    cell.submit_until_accepted(owner, PLAIN, 1, 2, 1_500).await;
     cell.nodes[owner].store.shut(true);
     // Callers of the process that is turned away are served as all others.
-    cell.submit_surely(owner, PLAIN, 2, 2, 20).await;
-    cell.await_completed(owner, PLAIN, 2).await;
-    cell.await_completed(owner, PLAIN, 1).await;
+    cell.submit_until_accepted(owner, PLAIN, 2, 2, 20).await;
+    cell.wait_until_completed(owner, PLAIN, 2).await;
+    cell.wait_until_completed(owner, PLAIN, 1).await;
     assert_ne!(cell.owner(), owner);
-    cell.judge(1);
+    cell.assert_starts(1);
 }
 
 #[tokio::test]
 async fn the_partition_goes_to_a_much_larger_instance_and_stays_there() {
-    let mut cell = Cell::of_sizes(&[0.12, 0.25, 0.5], 1).await;
+    let mut cell = Cell::start_with_cpu_shares(&[0.12, 0.25, 0.5], 1).await;
     let largest = 2;
     let owned = || async { cell.nodes[largest].owns() };
     assert!(eventually(owned).await, "{}", cell.logs());
-    cell.submit_surely(0, PLAIN, 1, 2, 50).await;
-    cell.await_completed(1, PLAIN, 1).await;
+    cell.submit_until_accepted(0, PLAIN, 1, 2, 50).await;
+    cell.wait_until_completed(1, PLAIN, 1).await;
     assert_eq!(cell.owner(), largest);
     cell.nodes[largest].kill();
     let next = || async { cell.nodes[1].owns() };
     assert!(eventually(next).await, "{}", cell.logs());
-    cell.submit_surely(0, PLAIN, 2, 2, 50).await;
-    cell.await_completed(1, PLAIN, 2).await;
-    cell.judge(1);
+    cell.submit_until_accepted(0, PLAIN, 2, 2, 50).await;
+    cell.wait_until_completed(1, PLAIN, 2).await;
+    cell.assert_starts(1);
 }
 
 #[tokio::test]
-async fn a_slow_store_makes_one_takeover_and_not_many() {
+async fn a_slow_store_causes_only_one_takeover() {
     let mut cell = Cell::start(5, 1).await;
     let owner = cell.owner();
     cell.platform.set_faults(Faults { slow_ms: 250, ..Faults::default() });
     cell.nodes[owner].kill();
     let other = (owner + 1) % 5;
-    cell.submit_surely(other, PLAIN, 1, 1, 20).await;
-    cell.await_completed(other, PLAIN, 1).await;
+    cell.submit_until_accepted(other, PLAIN, 1, 1, 20).await;
+    cell.wait_until_completed(other, PLAIN, 1).await;
     assert_eq!(cell.platform.newest_fence(), 2, "{}", cell.logs());
 }
 
@@ -198,11 +198,11 @@
     cell.nodes[other].kill();
     cell.platform.set_faults(Faults { outage: true, ..Faults::default() });
     cell.nodes[other].restart();
-    let asked = || async {
+    let is_served = || async {
         let (status, _) = cell.call(other, Method::GET, PLAIN, Value::Null).await;
         status == 200
     };
-    assert!(eventually(asked).await, "{}", cell.nodes[other].log());
+    assert!(eventually(is_served).await, "{}", cell.nodes[other].log());
 }
 
 #[tokio::test]
@@ -215,50 +215,50 @@
         }
     }
     for id in 1..=6 {
-        cell.submit_surely(owner, ADVISED, id, 2, 20).await;
+        cell.submit_until_accepted(owner, ADVISED, id, 2, 20).await;
     }
     for id in 1..=6 {
-        cell.await_completed(owner, ADVISED, id).await;
+        cell.wait_until_completed(owner, ADVISED, id).await;
     }
     for node in 0..3 {
         cell.nodes[node].signal("CONT");
-        assert!(cell.nodes[node].is_up());
+        assert!(cell.nodes[node].is_running());
     }
-    cell.judge(1);
+    cell.assert_starts(1);
 }
 
 #[tokio::test]
-async fn a_hangup_reads_the_settings_again_and_ends_nothing() {
+async fn a_hangup_reloads_the_settings_and_stops_nothing() {
     let mut cell = Cell::start(2, 1).await;
     for node in 0..2 {
         cell.nodes[node].signal("HUP");
     }
     let reloaded = || async { cell.nodes.iter().all(|n| n.log().contains("settings.reloaded")) };
     assert!(eventually(reloaded).await);
-    assert!(cell.nodes.iter_mut().all(node::Node::is_up));
+    assert!(cell.nodes.iter_mut().all(node::Node::is_running));
     let cell = cell;
     assert_eq!(cell.submit(0, PLAIN, 1, 1, 20).await, 200);
 }
 
 #[tokio::test]
-async fn a_new_configuration_is_in_force_at_every_process_without_the_feed() {
+async fn a_new_configuration_becomes_active_everywhere_without_change_history() {
     let cell = Cell::start(3, 1).await;
     cell.platform.set_faults(Faults { no_history: true, ..Faults::default() });
     cell.platform.configure(2, &[("/plain/", false), ("/later/", false)]);
     for node in 0..3 {
-        let known =
+        let is_added =
             || async { cell.call(node, Method::GET, "/later/", Value::Null).await.0 == 200 };
-        assert!(eventually(known).await);
-        let gone =
+        assert!(eventually(is_added).await);
+        let is_removed =
             || async { cell.call(node, Method::GET, "/advised/", Value::Null).await.0 == 404 };
-        assert!(eventually(gone).await);
+        assert!(eventually(is_removed).await);
     }
 }
 
 #[tokio::test]
-async fn a_worker_whose_row_turns_unreadable_gets_nothing_new_and_keeps_what_it_runs() {
+async fn a_worker_with_a_malformed_row_keeps_its_tasks_and_gets_no_new_ones() {
     let cell = Cell::start(2, 2).await;
-    cell.submit_surely(0, PLAIN, 1, 32, 600_000).await;
+    cell.submit_until_accepted(0, PLAIN, 1, 32, 600_000).await;
     let running = |id: &str| cell.platform.with_worker(id, |w| w.running().count());
     let full = || async { running("w0") == Some(16) && running("w1") == Some(16) };
     assert!(eventually(full).await);
@@ -271,26 +271,26 @@
     assert_eq!(cancel.0, 200);
     let idle = || async { running("w0") == Some(0) && running("w1") == Some(0) };
     assert!(eventually(idle).await);
-    cell.submit_surely(0, PLAIN, 2, 32, 300).await;
-    cell.await_completed(0, PLAIN, 2).await;
-    let begun = |id: &str| {
+    cell.submit_until_accepted(0, PLAIN, 2, 32, 300).await;
+    cell.wait_until_completed(0, PLAIN, 2).await;
+    let started_tasks = |id: &str| {
         let of_second = |task: &&String| task.starts_with("0000000000000002");
         cell.platform.with_worker(id, |w| w.begun.keys().filter(of_second).count())
     };
-    assert_eq!((begun("w0"), begun("w1")), (Some(0), Some(32)));
-    cell.judge(1);
+    assert_eq!((started_tasks("w0"), started_tasks("w1")), (Some(0), Some(32)));
+    cell.assert_starts(1);
 }
 
 #[tokio::test]
-async fn a_worker_that_starts_again_under_its_id_does_each_task_once() {
+async fn a_worker_restarted_under_its_id_runs_each_task_once() {
     let cell = Cell::start(2, 1).await;
     assert_eq!(cell.submit(0, PLAIN, 1, 12, 50).await, 200);
-    cell.await_completed(1, PLAIN, 1).await;
+    cell.wait_until_completed(1, PLAIN, 1).await;
     cell.platform.restart_as_itself("w0");
     assert_eq!(cell.submit(0, PLAIN, 2, 6, 50).await, 200);
-    cell.await_completed(1, PLAIN, 2).await;
-    cell.judge(1);
-    let begun = cell.platform.begun();
-    assert_eq!(begun.len(), 6);
-    assert!(begun.values().all(|&n| n == 1), "{begun:?}");
+    cell.wait_until_completed(1, PLAIN, 2).await;
+    cell.assert_starts(1);
+    let started_tasks = cell.platform.begun();
+    assert_eq!(started_tasks.len(), 6);
+    assert!(started_tasks.values().all(|&n| n == 1), "{started_tasks:?}");
 }
--- a/crates/hollowford/tests/outage.rs
+++ b/crates/hollowford/tests/outage.rs
@@ -5,7 +5,8 @@
 mod common;
 
 use common::{
-    Caller, Cell, Options, final_answer, kind_of, retry_after, spec, submit_anyhow, until,
+    Caller, Cell, Options, error_kind, final_answer, retry_after_ms, spec, submit_with_retries,
+    wait_for,
 };
 use hollowford_protocol::v1::{Kind, Outcome, RequestSpec, RequestView};
 use serde_json::json;
@@ -19,7 +20,7 @@
 /// Submits checks with new ids until one is answered.
 async fn answered_check(caller: &Caller, start: &str) -> (String, RequestView) {
     let mut tries = 0;
-    until("a check is answered", || {
+    wait_for("a check is answered", || {
         tries += 1;
         let id = format!("{start}-{tries}");
         async move {
@@ -31,12 +32,12 @@
 }
 
 #[tokio::test]
-async fn a_quick_check_is_answered_in_an_outage_and_kept_after_it() {
+async fn a_quick_check_is_answered_in_an_outage_and_durable_after_it() {
     let cell = Cell::start(Options { partitions: 1, ..Options::default() }).await;
     let callers = cell.callers("district-desk").await;
-    submit_anyhow(&callers, "before", &check("before", 20)).await;
+    submit_with_retries(&callers, "before", &check("before", 20)).await;
     final_answer(&callers, "before").await;
-    cell.faults(json!({ "outage": true })).await;
+    cell.set_faults(json!({ "outage": true })).await;
     let mut ids = Vec::new();
     for caller in &callers {
         let (id, view) = answered_check(caller, &format!("outage-{}", ids.len())).await;
@@ -48,16 +49,16 @@
     // Other work is refused as not run.
     let batch = spec(Kind::Batch, 1, 200, 20);
     let status = callers[0].submit("batch", &batch, false).await.unwrap_err();
-    assert_eq!(kind_of(&status), "unavailable");
-    assert!(retry_after(&status).is_some());
+    assert_eq!(error_kind(&status), "unavailable");
+    assert!(retry_after_ms(&status).is_some());
     let mut once = check("once", 20);
     once.repeatable = false;
     let status = callers[0].submit("once", &once, false).await.unwrap_err();
-    assert_eq!(kind_of(&status), "unavailable");
+    assert_eq!(error_kind(&status), "unavailable");
 
-    cell.faults(json!({})).await;
+    cell.set_faults(json!({})).await;
     for id in &ids {
-        until("the answer is kept", || async {
+        wait_for("the answer is kept", || async {
             let view = callers[0].get(id).await.ok()?;
             let answer = view.answer?;
             assert_eq!(answer.outcome(), Outcome::Done);
@@ -71,36 +72,36 @@
 }
 
 #[tokio::test]
-async fn a_member_that_can_not_promise_ends_quick_checks_in_an_outage() {
+async fn a_paused_member_ends_quick_checks_in_an_outage() {
     let cell = Cell::start(Options { partitions: 1, ..Options::default() }).await;
     let owner = cell.owner(0).await;
     let callers = cell.callers("district-desk").await;
-    submit_anyhow(&callers, "before", &check("before", 20)).await;
-    cell.faults(json!({ "outage": true })).await;
+    submit_with_retries(&callers, "before", &check("before", 20)).await;
+    cell.set_faults(json!({ "outage": true })).await;
     answered_check(&callers[owner], "first").await;
-    cell.entries[(owner + 1) % 3].freeze();
+    cell.entries[(owner + 1) % 3].pause();
     let mut tries = 0;
-    let status = until("checks are refused", || {
+    let status = wait_for("checks are refused", || {
         tries += 1;
         let id = format!("refused-{tries}");
         let caller = callers[owner].clone();
         async move { caller.submit(&id, &check(&id, 20), false).await.err() }
     })
     .await;
-    assert_eq!(kind_of(&status), "unavailable", "{status:?}");
-    cell.entries[(owner + 1) % 3].thaw();
+    assert_eq!(error_kind(&status), "unavailable", "{status:?}");
+    cell.entries[(owner + 1) % 3].resume();
     answered_check(&callers[owner], "again").await;
     cell.assert_no_violations();
 }
 
 #[tokio::test]
-async fn an_owner_killed_in_an_outage_leaves_nothing_that_runs_when_another_takes_over() {
+async fn a_check_of_an_owner_killed_in_an_outage_no_longer_runs_after_a_takeover() {
     let mut cell = Cell::start(Options { partitions: 1, ..Options::default() }).await;
     let owner = cell.owner(0).await;
     let mut callers = cell.callers("district-desk").await;
-    submit_anyhow(&callers, "before", &check("before", 20)).await;
+    submit_with_retries(&callers, "before", &check("before", 20)).await;
     // Only the promise, and not its youth, is to keep a process from taking over.
-    until("no process is young", || async {
+    wait_for("no process is young", || async {
         for i in 0..3 {
             if cell.state(i).await?["up_ms"].as_u64()? < 5_000 {
                 return None;
@@ -109,26 +110,26 @@
         Some(())
     })
     .await;
-    cell.faults(json!({ "outage": true })).await;
+    cell.set_faults(json!({ "outage": true })).await;
     answered_check(&callers[owner], "first").await;
     // A check that would run far longer than it was declared to.
     let mut long = check("long", 500);
     long.payload = b"name=long run=60000".to_vec();
     let caller = callers[owner].clone();
-    until("it is accepted", || async { caller.submit("long", &long, false).await.ok() }).await;
-    until("it runs", || async {
+    wait_for("it is accepted", || async { caller.submit("long", &long, false).await.ok() }).await;
+    wait_for("it runs", || async {
         (cell.record_summary().starts_by_name.get("long") == Some(&1)).then_some(())
     })
     .await;
     // The worker that runs it is cut off from the next owner.
-    let on = cell.lines().into_iter().find(|l| l.name == "long").unwrap().worker;
-    cell.worker_fault(0, &format!("deaf/{on}/true")).await;
+    let on = cell.record_lines().into_iter().find(|l| l.name == "long").unwrap().worker;
+    cell.inject_worker_fault(0, &format!("deaf/{on}/true")).await;
     cell.entries[owner].kill();
     callers.remove(owner);
-    cell.faults(json!({})).await;
+    cell.set_faults(json!({})).await;
     // Its caller repeats it, and it runs nowhere else by then.
     long.payload = b"name=long run=50".to_vec();
-    submit_anyhow(&callers, "long", &long).await;
+    submit_with_retries(&callers, "long", &long).await;
     let view = final_answer(&callers, "long").await;
     assert_eq!(view.answer.unwrap().outcome(), Outcome::Done);
     let summary = cell.assert_no_violations();
--- a/crates/hollowford/tests/partitions.rs
+++ b/crates/hollowford/tests/partitions.rs
@@ -15,7 +15,7 @@
 
 /// Four processes and six workers, two to a partition.
 async fn cell() -> Cell {
-    Cell::divided(&[0.25; 4], 6, 2).await
+    Cell::start_partitioned(&[0.25; 4], 6, 2).await
 }
 
 /// Returns which process owns each partition, by the logs; none: nobody does.
@@ -29,33 +29,34 @@
     (0..PARTITIONS).map(owner).collect()
 }
 
-async fn await_owners(cell: &Cell) -> Vec<usize> {
+async fn wait_for_owners(cell: &Cell) -> Vec<usize> {
     let all = || async { owners(cell).iter().all(Option::is_some) };
     assert!(eventually(all).await, "{}", cell.logs());
     owners(cell).into_iter().flatten().collect()
 }
 
 /// Counts the processes that own something.
-fn distinct(owners: &[Option<usize>]) -> usize {
+fn distinct_owner_count(owners: &[Option<usize>]) -> usize {
     owners.iter().flatten().collect::<BTreeSet<_>>().len()
 }
 
 #[tokio::test]
-async fn jobs_of_all_partitions_are_taken_by_every_process_and_counted_together() {
+async fn every_process_accepts_and_counts_jobs_of_all_partitions() {
     let cell = cell().await;
     for id in 0..24 {
         let queue = if id % 2 == 0 { PLAIN } else { ADVISED };
-        cell.submit_surely(id as usize % 4, queue, id, 3, 50).await;
+        cell.submit_until_accepted(id as usize % 4, queue, id, 3, 50).await;
     }
     for id in 0..24 {
         let queue = if id % 2 == 0 { PLAIN } else { ADVISED };
-        cell.await_completed((id as usize + 1) % 4, queue, id).await;
+        cell.wait_until_completed((id as usize + 1) % 4, queue, id).await;
     }
-    cell.judge(1);
-    let begun = |i: usize| cell.platform.with_worker(&format!("w{i}"), |w| w.begun.len());
+    cell.assert_starts(1);
+    let started_tasks = |i: usize| cell.platform.with_worker(&format!("w{i}"), |w| w.begun.len());
     for partition in 0..PARTITIONS {
         // Racks are dealt in turn, so each partition has two workers.
-        let used = begun(partition).unwrap_or(0) + begun(partition + PARTITIONS).unwrap_or(0);
+        let used = started_tasks(partition).unwrap_or(0)
+            + started_tasks(partition + PARTITIONS).unwrap_or(0);
         assert!(used > 0, "partition {partition} has run nothing");
     }
     // None of these fits: each waits in its own partition, and one count tells of all.
@@ -74,27 +75,27 @@
 #[tokio::test]
 async fn equal_processes_share_the_partitions() {
     let cell = cell().await;
-    let spread = || async { distinct(&owners(&cell)) == PARTITIONS };
+    let spread = || async { distinct_owner_count(&owners(&cell)) == PARTITIONS };
     assert!(eventually(spread).await, "{:?}\n{}", owners(&cell), cell.logs());
 }
 
 #[tokio::test]
 async fn each_partition_outlives_its_owner() {
     let mut cell = cell().await;
-    let first = await_owners(&cell).await;
+    let first = wait_for_owners(&cell).await;
     for id in 0..12 {
-        cell.submit_surely(0, PLAIN, id, 2, 1_500).await;
+        cell.submit_until_accepted(0, PLAIN, id, 2, 1_500).await;
     }
     let victim = first[0];
     let alive = (0..4).find(|&n| n != victim).expect("another one");
     cell.nodes[victim].kill();
     for id in 12..24 {
-        cell.submit_surely(alive, PLAIN, id, 2, 50).await;
+        cell.submit_until_accepted(alive, PLAIN, id, 2, 50).await;
     }
     for id in 0..24 {
-        cell.await_completed(alive, PLAIN, id).await;
+        cell.wait_until_completed(alive, PLAIN, id).await;
     }
-    cell.judge(1);
+    cell.assert_starts(1);
 }
 
 #[tokio::test]
@@ -102,16 +103,17 @@
     let mut cell = cell().await;
     // One process may own all at first, and hands over: a partition that is just on its way to a
     // process that is killed has no owner of whom anybody could tell.
-    let spread = || async { distinct(&owners(&cell)) == PARTITIONS };
+    let spread = || async { distinct_owner_count(&owners(&cell)) == PARTITIONS };
     assert!(eventually(spread).await, "{:?}", owners(&cell));
     let first = owners(&cell);
-    let late = (0..4).find(|&n| !first.contains(&Some(n))).expect("one that owns nothing");
-    cell.submit_surely(late, PLAIN, 1, 1, 20).await;
-    cell.nodes[late].kill();
+    let restarted = (0..4).find(|&n| !first.contains(&Some(n))).expect("one that owns nothing");
+    cell.submit_until_accepted(restarted, PLAIN, 1, 1, 20).await;
+    cell.nodes[restarted].kill();
     cell.platform.set_faults(Faults { outage: true, ..Faults::default() });
-    cell.nodes[late].restart();
-    let told = || async { cell.call(late, Method::GET, PLAIN, Value::Null).await.0 == 200 };
-    assert!(eventually(told).await, "{}", cell.nodes[late].log());
+    cell.nodes[restarted].restart();
+    let is_served =
+        || async { cell.call(restarted, Method::GET, PLAIN, Value::Null).await.0 == 200 };
+    assert!(eventually(is_served).await, "{}", cell.nodes[restarted].log());
 }
 
 #[tokio::test]
@@ -125,9 +127,9 @@
         cell.nodes[node].restart();
     }
     for id in 0..12 {
-        cell.submit_surely(0, PLAIN, id, 2, 20).await;
-        cell.await_completed(1, PLAIN, id).await;
+        cell.submit_until_accepted(0, PLAIN, id, 2, 20).await;
+        cell.wait_until_completed(1, PLAIN, id).await;
     }
-    cell.judge(1);
+    cell.assert_starts(1);
     assert!(!cell.logs().contains("owner.serves partition=3"));
 }
--- a/crates/hollowford/tests/scale.rs
+++ b/crates/hollowford/tests/scale.rs
@@ -4,12 +4,14 @@
 
 mod common;
 
-use common::{Caller, Cell, Options, final_answer, kind_of, retry_after, spec, submit_anyhow};
+use common::{
+    Caller, Cell, Options, error_kind, final_answer, retry_after_ms, spec, submit_with_retries,
+};
 use hollowford_protocol::v1::{Kind, Outcome};
 use serde_json::{Value, json};
 use std::time::Instant;
 
-async fn sum(cell: &Cell, field: &str) -> u64 {
+async fn sum_state_field(cell: &Cell, field: &str) -> u64 {
     let mut total = 0;
     for i in 0..cell.entries.len() {
         if let Some(state) = cell.state(i).await {
@@ -19,16 +21,16 @@
     total
 }
 
-async fn partition(cell: &Cell, entry: usize) -> Option<Value> {
+async fn first_partition(cell: &Cell, entry: usize) -> Option<Value> {
     Some(cell.state(entry).await?["partitions"].as_array()?.first()?.clone())
 }
 
 /// Runs `running` tasks and queues `queued` more, kills the owner, and tells what
 /// the next owner read and how long it took.
-async fn recover_at(running: u32, queued: u32) {
+async fn check_recovery(running: u32, queued: u32) {
     let options = Options {
         partitions: 1,
-        workers_each: 50,
+        workers_per_process: 50,
         cpu_milli: running * 10 / 50,
         policy: json!({ "preset": "ortak-sahne" }),
         ..Options::default()
@@ -42,10 +44,10 @@
     for i in 0..(running + queued).div_ceil(TASKS) {
         let mut body = spec(Kind::Batch, TASKS, 10, 600_000);
         body.per_task.as_mut().unwrap().memory_mib = 1;
-        submit_anyhow(&rest, &format!("fill-{i}"), &body).await;
+        submit_with_retries(&rest, &format!("fill-{i}"), &body).await;
     }
-    common::until("the cell is full", || async {
-        let p = partition(&cell, owner).await?;
+    common::wait_for("the cell is full", || async {
+        let p = first_partition(&cell, owner).await?;
         (p["started"].as_u64()? >= u64::from(running)).then_some(())
     })
     .await;
@@ -53,49 +55,49 @@
     let other = (owner + 2) % 3;
     cell.entries[owner].kill();
     let killed = Instant::now();
-    submit_anyhow(&rest, "check", &spec(Kind::Check, 1, 5, 10)).await;
+    submit_with_retries(&rest, "check", &spec(Kind::Check, 1, 5, 10)).await;
     let view = final_answer(&rest, "check").await;
     assert_eq!(view.answer.unwrap().outcome(), Outcome::Done);
-    let took = killed.elapsed();
-    let p = match partition(&cell, next).await {
+    let elapsed = killed.elapsed();
+    let p = match first_partition(&cell, next).await {
         Some(p) => p,
-        None => partition(&cell, other).await.unwrap(),
+        None => first_partition(&cell, other).await.unwrap(),
     };
-    let held: u64 =
+    let held_tasks: u64 =
         p["workers"].as_array().unwrap().iter().map(|w| w["held"].as_u64().unwrap()).sum();
     println!(
-        "running {running}, queued {queued}: a check ended {took:?} after the kill; held {held}, \
+        "running {running}, queued {queued}: a check ended {elapsed:?} after the kill; held {held_tasks}, \
          waiting {}",
         p["waiting_tasks"]
     );
-    assert_eq!(held, u64::from(running));
+    assert_eq!(held_tasks, u64::from(running));
     // The check may have displaced one task, which waits again.
     assert!(p["waiting_tasks"].as_u64().unwrap() >= u64::from(queued));
     cell.assert_no_violations();
 }
 
 #[tokio::test]
-async fn an_owner_killed_with_much_in_flight_is_followed_by_one_that_knows_it_all() {
+async fn after_a_kill_with_many_tasks_the_next_owner_knows_all() {
     for (running, queued) in [(1_000, 1_000), (5_000, 5_000), (20_000, 10_000)] {
-        recover_at(running, queued).await;
+        check_recovery(running, queued).await;
     }
 }
 
 #[tokio::test]
-async fn the_store_is_written_by_its_budget_however_much_is_placed() {
-    let options = Options { partitions: 1, workers_each: 20, ..Options::default() };
+async fn store_writes_stay_within_their_budget_under_load() {
+    let options = Options { partitions: 1, workers_per_process: 20, ..Options::default() };
     let cell = Cell::start(options).await;
     let callers = cell.callers("university").await;
     let started = Instant::now();
-    let writes = sum(&cell, "store_writes").await;
+    let writes = sum_state_field(&cell, "store_writes").await;
     for i in 0..20 {
-        submit_anyhow(&callers, &format!("b-{i}"), &spec(Kind::Batch, 200, 100, 30)).await;
+        submit_with_retries(&callers, &format!("b-{i}"), &spec(Kind::Batch, 200, 100, 30)).await;
     }
     for i in 0..20 {
         final_answer(&callers, &format!("b-{i}")).await;
     }
     let seconds = started.elapsed().as_secs_f64() + 1.0;
-    let writes = sum(&cell, "store_writes").await - writes;
+    let writes = sum_state_field(&cell, "store_writes").await - writes;
     let placed = cell.assert_no_violations().starts as u64;
     println!("{placed} placements, {writes} writes in {seconds:.1} s");
     assert_eq!(placed, 4_000);
@@ -108,13 +110,13 @@
 async fn a_flood_is_refused_at_once_and_other_accounts_are_served() {
     let policy = json!({ "account_queue_bound": 50, "queue_bound": 80, "headroom": 0.1,
         "headroom_borrow": false });
-    let options = Options { partitions: 1, workers_each: 2, policy, ..Options::default() };
+    let options = Options { partitions: 1, workers_per_process: 2, policy, ..Options::default() };
     let cell = Cell::start(options).await;
     let flood = cell.callers("university").await;
     let other = cell.caller(0, "district-desk").await;
     // Until every entry has met the owner, calls are repeated.
     for (i, caller) in flood.iter().enumerate() {
-        submit_anyhow(
+        submit_with_retries(
             std::slice::from_ref(caller),
             &format!("warm-{i}"),
             &spec(Kind::Check, 1, 10, 5),
@@ -128,8 +130,8 @@
         match flood[i % 3].submit(&format!("flood-{i}"), &body, false).await {
             Ok(_) => {}
             Err(status) => {
-                assert_eq!(kind_of(&status), "queue_full");
-                assert!(retry_after(&status).is_some());
+                assert_eq!(error_kind(&status), "queue_full");
+                assert!(retry_after_ms(&status).is_some());
                 refused += 1;
             }
         }
@@ -153,8 +155,8 @@
     let mut total = 0;
     for e in &cell.entries {
         let (_, text) = common::http::get_text(&e.addr("admin"), "/metrics").await.unwrap();
-        let own = text.lines().filter(|l| l.starts_with("hollowford_retries_total{"));
-        total += own.filter_map(|l| l.rsplit(' ').next()?.parse::<u64>().ok()).sum::<u64>();
+        let retry_lines = text.lines().filter(|l| l.starts_with("hollowford_retries_total{"));
+        total += retry_lines.filter_map(|l| l.rsplit(' ').next()?.parse::<u64>().ok()).sum::<u64>();
     }
     total
 }
@@ -162,20 +164,20 @@
 #[tokio::test]
 async fn an_urgent_request_starts_while_batch_work_fills_every_worker() {
     let policy = json!({ "preset": "ortak-sahne" });
-    let options = Options { partitions: 1, workers_each: 10, policy, ..Options::default() };
+    let options = Options { partitions: 1, workers_per_process: 10, policy, ..Options::default() };
     let cell = Cell::start(options).await;
     let callers = cell.callers("university").await;
-    submit_anyhow(&callers, "fill", &spec(Kind::Batch, 60, 1_000, 600_000)).await;
+    submit_with_retries(&callers, "fill", &spec(Kind::Batch, 60, 1_000, 600_000)).await;
     let owner = cell.owner(0).await;
-    common::until("the cell is full", || async {
-        (partition(&cell, owner).await?["free_cpu_milli"] == 0).then_some(())
+    common::wait_for("the cell is full", || async {
+        (first_partition(&cell, owner).await?["free_cpu_milli"] == 0).then_some(())
     })
     .await;
     let desk = cell.callers("district-desk").await;
     let mut waits = Vec::new();
     for i in 0..20 {
         let id = format!("urgent-{i}");
-        submit_anyhow(&desk, &id, &spec(Kind::Check, 1, 1_000, 30)).await;
+        submit_with_retries(&desk, &id, &spec(Kind::Check, 1, 1_000, 30)).await;
         let view = final_answer(&desk, &id).await;
         assert_eq!(view.answer.unwrap().outcome(), Outcome::Done);
         waits.push(view.waited_ms.unwrap());
@@ -186,6 +188,6 @@
         waits[10],
         waits.last()
     );
-    assert!(partition(&cell, owner).await.unwrap()["preempted"].as_u64().unwrap() >= 1);
+    assert!(first_partition(&cell, owner).await.unwrap()["preempted"].as_u64().unwrap() >= 1);
     cell.assert_no_violations();
 }
--- a/crates/hollowford/tests/soak.rs
+++ b/crates/hollowford/tests/soak.rs
@@ -6,12 +6,13 @@
 use std::path::Path;
 
 /// Size, callers and time of every short run.
-const SHORT: (Size, u64, u64) = (Size { nodes: 3, workers: 6, workers_per_partition: 3 }, 6, 5_000);
+const SHORT_RUN: (Size, u64, u64) =
+    (Size { nodes: 3, workers: 6, workers_per_partition: 3 }, 6, 5_000);
 /// The same of the runs in which faults were found by hand.
-const FOUND: (Size, u64, u64) =
+const FORMER_VIOLATION_RUN: (Size, u64, u64) =
     (Size { nodes: 4, workers: 8, workers_per_partition: 4 }, 12, 12_000);
 
-async fn soak(seed: u64, (size, callers, duration_ms): (Size, u64, u64)) {
+async fn run_soak(seed: u64, (size, callers, duration_ms): (Size, u64, u64)) {
     let program = Path::new(env!("CARGO_BIN_EXE_hollowford")).to_owned();
     let options = Options { program, size, callers, duration_ms, keep_dir: None };
     let report = run_seed(seed, &options).await.expect("a cell");
@@ -21,9 +22,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn promises_are_kept_through_random_failures() {
+async fn guarantees_hold_under_random_failures() {
     for seed in 1..=2 {
-        soak(seed, SHORT).await;
+        run_soak(seed, SHORT_RUN).await;
     }
 }
 
@@ -31,8 +32,8 @@
 // counted (1), and so did a worker that was cut off first, with the task done meanwhile (309). A job
 // that was held back for ever, by a run on a worker that had left unheard (516).
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn seeds_that_have_shown_faults_show_none() {
+async fn seeds_with_former_violations_show_none() {
     for seed in [1, 309, 516] {
-        soak(seed, FOUND).await;
+        run_soak(seed, FORMER_VIOLATION_RUN).await;
     }
 }
--- a/crates/hollowford/tests/tls.rs
+++ b/crates/hollowford/tests/tls.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::{Cell, Options, until};
+use common::{Cell, Options, wait_for};
 use hollowford_config::Settings;
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
 use serde_json::json;
@@ -57,7 +57,7 @@
     std::fs::copy(&ca, &old_ca).unwrap();
     write_certificates(dir.path());
     let mut tries = 0;
-    until("the new certificate is served", || {
+    wait_for("the new certificate is served", || {
         tries += 1;
         let (addr, ca, id) = (addr.clone(), ca.clone(), format!("renewed-{tries}"));
         async move { run_check(&addr, &id, Some(&ca)).await.then_some(()) }
@@ -67,11 +67,11 @@
 }
 
 #[test]
-fn plain_text_off_this_machine_must_be_allowed_by_name() {
+fn plain_text_on_a_public_address_must_be_allowed_explicitly() {
     let good = include_str!("../../../examples/kivu-process.jsonc");
-    let open = good.replace("127.0.0.1:7001", "0.0.0.0:7001");
-    let e = Settings::try_from(open.as_str()).unwrap_err().to_string();
+    let public = good.replace("127.0.0.1:7001", "0.0.0.0:7001");
+    let e = Settings::try_from(public.as_str()).unwrap_err().to_string();
     assert!(e.contains("plain text"), "{e}");
-    let allowed = open.replacen("\"zone\":", "\"plain_text\": true, \"zone\":", 1);
+    let allowed = public.replacen("\"zone\":", "\"plain_text\": true, \"zone\":", 1);
     Settings::try_from(allowed.as_str()).unwrap();
 }
