--- a/crates/hollowford-soak/src/actions.rs
+++ b/crates/hollowford-soak/src/actions.rs
@@ -32,8 +32,8 @@
             Action::Slow(by) => self.update_store_faults(|f| f.slow_ms = by),
             Action::LoseAnswers(n) => self.update_store_faults(|f| f.lose_answers = n),
             Action::NoHistory(on) => self.update_store_faults(|f| f.no_history = on),
-            Action::StorePath(n, mode) => self.cell.nodes[n].store.set_mode(mode),
-            Action::CallerPath(n, mode) => self.cell.nodes[n].callers.set_mode(mode),
+            Action::StorePath(n, mode) => self.cell.nodes[n].store_proxy.set_mode(mode),
+            Action::CallerPath(n, mode) => self.cell.nodes[n].caller_proxy.set_mode(mode),
             Action::WorkerPath(w, mode) => self.cell.workers[w].proxy.set_mode(mode),
             Action::CrashWorker(w) => self.cell.restart_worker(w),
             Action::DrainWorker(w) => {
@@ -71,7 +71,7 @@
         self.down[node] = true;
     }
 
-    /// Counts a restart: configuration versions read before it say nothing about those after it.
+    /// Counts a stop or start: configuration versions read before it say nothing about those after it.
     fn next_process_generation(&self, node: usize) {
         self.process_generations[node].fetch_add(1, Ordering::Relaxed);
     }
@@ -109,8 +109,8 @@
         self.disruptions.end_all(self.cell.platform.now());
         self.update_store_faults(|f| *f = Faults::default());
         for node in &self.cell.nodes {
-            node.store.set_mode(Mode::Pass);
-            node.callers.set_mode(Mode::Pass);
+            node.store_proxy.set_mode(Mode::Pass);
+            node.caller_proxy.set_mode(Mode::Pass);
         }
         self.cell.workers.iter().for_each(|w| w.proxy.set_mode(Mode::Pass));
         for n in 0..self.cell.nodes.len() {
--- a/crates/hollowford-soak/src/callers.rs
+++ b/crates/hollowford-soak/src/callers.rs
@@ -196,7 +196,7 @@
         (STATUS_GONE, _) => Some("was accepted and is no longer known"),
         (200, "cancelled") if !job.cancelling => Some("is cancelled without a request"),
         (200, "completed") => None,
-        (200, _) if job.completed => Some("is not completed any more after it was"),
+        (200, _) if job.completed => Some("changed its state after it was completed"),
         _ => None,
     };
     job.completed |= status == 200 && state == "completed";
--- a/crates/hollowford-soak/src/cell.rs
+++ b/crates/hollowford-soak/src/cell.rs
@@ -31,11 +31,11 @@
     /// The process.
     pub process: Process,
     /// Address of its readiness endpoint.
-    pub readiness: SocketAddr,
+    pub readiness_addr: SocketAddr,
     /// Proxy between the callers and the process.
-    pub callers: Proxy,
+    pub caller_proxy: Proxy,
     /// Proxy between the process and the store.
-    pub store: Proxy,
+    pub store_proxy: Proxy,
 }
 
 /// A worker with its proxy.
@@ -105,17 +105,17 @@
         addresses: &CellAddresses,
         i: usize,
     ) -> Result<Node, SoakError> {
-        let store = Proxy::open(self.platform.addr()).await?;
+        let store_proxy = Proxy::open(self.platform.addr()).await?;
         let settings = addresses.settings(i);
-        let text = speech::settings(&settings, self.platform.addr(), store.addr);
+        let text = speech::settings(&settings, self.platform.addr(), store_proxy.addr);
         let file = self.dir.path().join(format!("{}.toml", settings.name));
         std::fs::write(&file, text)?;
         let process = Process::start(program, &file, &self.log_path(i), workers_per_partition)?;
         Ok(Node {
             process,
-            readiness: SocketAddr::from((settings.ip, settings.readiness)),
-            callers: Proxy::open(SocketAddr::from((settings.ip, settings.callers))).await?,
-            store,
+            readiness_addr: SocketAddr::from((settings.ip, settings.readiness)),
+            caller_proxy: Proxy::open(SocketAddr::from((settings.ip, settings.callers))).await?,
+            store_proxy,
         })
     }
 
--- a/crates/hollowford-soak/src/invariants.rs
+++ b/crates/hollowford-soak/src/invariants.rs
@@ -34,7 +34,7 @@
 pub struct ConfigMonitor {
     /// Address of the process's caller proxy.
     pub node: SocketAddr,
-    /// Counts restarts of the process, after which an older version may be active.
+    /// Counts stops and starts of the process. After each, an older version may be active.
     pub generation: Arc<AtomicU64>,
     /// Newest version written.
     pub newest_version: Arc<AtomicU64>,
@@ -152,7 +152,7 @@
 ) -> Vec<String> {
     let mut violations = Vec::new();
     let mut refused = HashSet::new();
-    let mut begun: HashMap<u64, HashSet<String>> = HashMap::new();
+    let mut started_tasks: HashMap<u64, HashSet<String>> = HashMap::new();
     for (task, at) in cell.platform.starts() {
         let id = task.get(..16).and_then(|id| u64::from_str_radix(id, 16).ok());
         let Some((id, job)) = id.and_then(|id| Some((id, observations.jobs.get(&id)?))) else {
@@ -169,17 +169,17 @@
         if job.cancelled_at.is_some_and(is_late) {
             violations.push(format!("{task} starts long after its job was cancelled"));
         }
-        begun.entry(id).or_default().insert(task);
+        started_tasks.entry(id).or_default().insert(task);
     }
     for id in observations.jobs.iter().filter(|(_, t)| t.failed).map(|(id, _)| id) {
-        let tasks = begun.get(id).into_iter().flatten();
+        let tasks = started_tasks.get(id).into_iter().flatten();
         let crashes = tasks.map(|t| cell.platform.crashes_under(t)).max().unwrap_or(0);
         if crashes < MIN_CRASHES_TO_FAIL {
             violations.push(format!("job {id:016x} is reported as failed after {crashes} crashes"));
         }
     }
     for (id, job) in observations.jobs.iter().filter(|(_, t)| t.completed) {
-        let tasks = begun.get(id).map_or(0, HashSet::len);
+        let tasks = started_tasks.get(id).map_or(0, HashSet::len);
         if tasks != job.tasks as usize {
             violations
                 .push(format!("job {id:016x} is completed with {tasks} of {} tasks", job.tasks));
--- a/crates/hollowford-soak/src/run.rs
+++ b/crates/hollowford-soak/src/run.rs
@@ -64,7 +64,7 @@
     pub cell: Cell,
     /// Active faults of the store.
     pub faults: Faults,
-    /// Restarts of each process, see [`ConfigMonitor::generation`].
+    /// Stops and starts of each process, see [`ConfigMonitor::generation`].
     pub process_generations: Vec<Arc<AtomicU64>>,
     /// Newest configuration version written.
     pub newest_config_version: Arc<AtomicU64>,
@@ -121,7 +121,7 @@
         stop: &Arc<AtomicBool>,
     ) -> Result<JoinSet<()>, SoakError> {
         let mut tasks = JoinSet::new();
-        let nodes: Vec<_> = self.cell.nodes.iter().map(|n| n.callers.addr).collect();
+        let nodes: Vec<_> = self.cell.nodes.iter().map(|n| n.caller_proxy.addr).collect();
         for number in 1..=callers {
             let caller = Caller {
                 number,
@@ -182,7 +182,7 @@
         let build_client = build_client()?;
         let began = Instant::now();
         for i in 0..self.cell.nodes.len() {
-            let url = format!("http://{}{}", self.cell.nodes[i].readiness, speech::READY_PATH);
+            let url = format!("http://{}{}", self.cell.nodes[i].readiness_addr, speech::READY_PATH);
             loop {
                 let answer = build_client.get(&url).timeout(READY_TIMEOUT).send().await;
                 if answer.is_ok_and(|a| a.status().is_success()) {
@@ -205,7 +205,7 @@
         observations: &SharedObservations,
         o: &Options,
     ) -> Result<Report, SoakError> {
-        let nodes: Vec<_> = self.cell.nodes.iter().map(|n| n.callers.addr).collect();
+        let nodes: Vec<_> = self.cell.nodes.iter().map(|n| n.caller_proxy.addr).collect();
         let unfinished = wait_for_jobs_to_end(observations, &nodes, &build_client()?).await;
         self.check_processes()?;
         let observations = lock(observations);
--- a/crates/hollowford/tests/bad_input.rs
+++ b/crates/hollowford/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input gets its error kind, nothing panics, and nothing is lost.
+//! Invalid input gets its error kind, causes no panic, and does not affect other calls.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -13,7 +13,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use yare::parameterized;
 
-/// A runner whose cases are the same in every run.
+/// Returns a runner with the same cases in every run.
 fn runner() -> TestRunner {
     let config = Config { cases: 2_000, failure_persistence: None, ..Config::default() };
     TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha))
@@ -183,7 +183,7 @@
         connection.write_all(garbage).await.unwrap();
         connection.shutdown().await.unwrap();
         let mut rest = Vec::new();
-        // The process closes the link; how is its own affair.
+        // The process closes the connection, with or without an error.
         let _ = connection.read_to_end(&mut rest).await;
     }
     let caller = cell.caller(0, "university").await;
--- a/crates/hollowford/tests/commands.rs
+++ b/crates/hollowford/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The commands of the pages, run against a cell.
+//! The documented commands, run against a cell.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
--- a/crates/hollowford/tests/common/cell.rs
+++ b/crates/hollowford/tests/common/cell.rs
@@ -1,4 +1,4 @@
-//! Starts, freezes and ends the processes of a cell, by their ids.
+//! A cell of separate processes: the platform's stand-in, stand-in workers, and `hollowford serve`.
 
 use super::{Caller, OPERATOR, TIMEOUT, http, wait_for};
 use hollowford_platform::Platform;
@@ -23,7 +23,7 @@
     v1::AccountConfig { token_sha256: hash_token(token), weight, ..Default::default() }
 }
 
-/// One process that the test started.
+/// A process started by the test.
 pub struct TestProcess {
     child: Child,
     pub addresses: Value,
@@ -68,12 +68,12 @@
     }
 
     pub fn kill(&mut self) {
-        // It may have ended by itself.
+        // The process may have ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Waits until the process has ended, and tells whether it ended well.
+    /// Waits for the process to exit and returns whether it exited successfully.
     pub async fn wait_exit_success(&mut self) -> bool {
         let child = &mut self.child;
         let end = async {
@@ -98,18 +98,18 @@
     }
 }
 
-/// What a cell is like.
+/// Options of a cell.
 #[derive(Clone, Debug)]
 pub struct Options {
     pub entries: usize,
     pub partitions: u32,
-    /// Processes of workers, and workers in each.
+    /// Number of processes with workers, and of workers in each.
     pub worker_processes: usize,
     pub workers_per_process: usize,
     pub cpu_milli: u32,
-    /// Settings of the decisions, by their names in the file.
+    /// Section `policy` of the processes' settings.
     pub policy: Value,
-    /// The section `tls` of the processes' settings.
+    /// Section `tls` of the processes' settings.
     pub tls: Option<Value>,
 }
 
@@ -161,7 +161,7 @@
         self.platform.addr("platform")
     }
 
-    /// Starts another process of workers, and returns its place.
+    /// Starts another process with workers and returns its index.
     pub fn start_workers(&mut self, group: usize, count: usize) -> usize {
         let record = self.record_path(self.workers.len());
         let prefix = format!("g{group}w");
@@ -186,7 +186,7 @@
         self.dir.path().join(format!("record-{i}"))
     }
 
-    /// Starts another process of the system, and returns its place.
+    /// Starts another process of the system and returns its index.
     pub fn start_entry(&mut self) -> usize {
         let n = self.started;
         self.started += 1;
@@ -213,9 +213,9 @@
         self.entries.len() - 1
     }
 
-    /// Waits until every process calls itself ready, every partition is owned and every worker
-    /// claimed. An owner may have claimed all workers before another process has read the client
-    /// accounts, and that one refuses callers until it has.
+    /// Waits until every process is ready and every worker is claimed. Both are needed: an owner
+    /// may have claimed all workers before another process has read the client accounts, and until
+    /// then that process refuses callers.
     pub async fn wait_ready(&self) {
         for i in 0..self.entries.len() {
             self.wait_entry_ready(i).await;
@@ -234,7 +234,7 @@
         .await;
     }
 
-    /// Waits until a process calls itself ready.
+    /// Waits until a process reports that it is ready.
     pub async fn wait_entry_ready(&self, entry: usize) {
         let admin = self.entries[entry].addr("admin");
         wait_for("a process that is ready", || async {
@@ -248,7 +248,7 @@
         http::get_json(&self.entries[entry].addr("admin"), "/state").await
     }
 
-    /// Returns the place of the process that owns a partition.
+    /// Returns the index of the process that owns a partition.
     pub async fn owner(&self, partition: u32) -> usize {
         wait_for("an owner", || async {
             for i in 0..self.entries.len() {
@@ -285,12 +285,12 @@
         http::post(&self.platform_addr(), "/faults", &faults).await;
     }
 
-    /// Brings about a fault of a worker: `leave/ID`, `cut/ID`, `fail/ID/true` or `deaf/ID/true`.
+    /// Injects a fault into a worker: `leave/ID`, `cut/ID`, `fail/ID/true` or `deaf/ID/true`.
     pub async fn inject_worker_fault(&self, process: usize, path: &str) {
         http::post(&self.workers[process].addr("control"), &format!("/{path}"), &json!(null)).await;
     }
 
-    /// Judges the records of all workers.
+    /// Checks the records of all workers.
     pub fn record_summary(&self) -> RecordSummary {
         check_record(self.record_lines())
     }
@@ -299,7 +299,7 @@
         (0..self.workers.len()).flat_map(|i| record::read(&self.record_path(i)).unwrap()).collect()
     }
 
-    /// Fails the test when the workers' records show a fault.
+    /// Fails the test if the workers' records show a violation.
     pub fn assert_no_violations(&self) -> RecordSummary {
         let summary = self.record_summary();
         assert!(summary.violations.is_empty(), "{:#?}", summary.violations);
@@ -307,7 +307,7 @@
     }
 }
 
-/// The stand-ins' program lies beside the one under test.
+/// Returns the path of the stand-ins' program, which is beside the program under test.
 fn standin_program() -> PathBuf {
     Path::new(env!("CARGO_BIN_EXE_hollowford")).with_file_name("hollowford-standin")
 }
--- a/crates/hollowford/tests/common/http.rs
+++ b/crates/hollowford/tests/common/http.rs
@@ -1,4 +1,4 @@
-//! Calls of the stand-ins' and the processes' HTTP addresses.
+//! HTTP calls to the stand-ins and processes.
 
 use serde_json::Value;
 
@@ -16,7 +16,7 @@
     reply.error_for_status().ok()?.json().await.ok()
 }
 
-/// Reads one metric; 0 when it was never counted.
+/// Returns the value of a metric, or 0 if it is not listed.
 pub async fn metric(addr: &str, name: &str) -> u64 {
     let (_, text) = get_text(addr, "/metrics").await.unwrap();
     let line = text.lines().find(|l| l.starts_with(name));
--- a/crates/hollowford/tests/common/mod.rs
+++ b/crates/hollowford/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A cell of separate processes for tests, on ports that the system picks.
+//! Callers and helpers for tests of a cell of separate processes on free ports.
 
 #![allow(dead_code, clippy::unwrap_used, clippy::expect_used)]
 
@@ -14,10 +14,10 @@
 pub use cell::{Cell, Options};
 
 pub const OPERATOR: &str = "operator-token";
-/// The longest that any wait of a test takes before the test fails.
+/// Longest time that a test waits for anything.
 pub const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A caller: a connection and a token.
+/// A caller with a connection and a token.
 #[derive(Clone)]
 pub struct Caller {
     channel: Channel,
@@ -121,7 +121,7 @@
         Ok(self.operator().set_config(self.req(req)).await?.into_inner())
     }
 
-    /// Gives an account another token.
+    /// Replaces the token of an account.
     pub async fn set_token(
         &self,
         account: &str,
@@ -142,7 +142,7 @@
     }
 }
 
-/// Asks again, through the processes in turn, until the request has its answer.
+/// Polls the processes in turn until the request has its answer, and returns the view.
 pub async fn final_answer(callers: &[Caller], id: &str) -> v1::RequestView {
     let ask = async {
         for caller in callers.iter().cycle() {
@@ -157,7 +157,7 @@
     tokio::time::timeout(TIMEOUT, ask).await.expect("no answer in time")
 }
 
-/// Submits again, through the processes in turn, until a reply comes.
+/// Submits a request to the processes in turn until one accepts it.
 pub async fn submit_with_retries(
     callers: &[Caller],
     id: &str,
@@ -175,7 +175,7 @@
     tokio::time::timeout(TIMEOUT, ask).await.expect("no reply in time")
 }
 
-/// Waits until `check` gives something.
+/// Waits until `check` returns a value.
 pub async fn wait_for<T, F>(what: &str, mut check: impl FnMut() -> F) -> T
 where
     F: Future<Output = Option<T>>,
@@ -190,7 +190,7 @@
     };
     match tokio::time::timeout(TIMEOUT, wait).await {
         Ok(found) => found,
-        Err(_) => panic!("{what}: not in {TIMEOUT:?}"),
+        Err(_) => panic!("{what}: not within {TIMEOUT:?}"),
     }
 }
 
@@ -205,12 +205,12 @@
     }
 }
 
-/// The error kind that a refusal names.
+/// Returns the error kind of a refusal; empty if it has none.
 pub fn error_kind(status: &tonic::Status) -> &str {
     status.metadata().get("hollowford-kind").and_then(|v| v.to_str().ok()).unwrap_or("")
 }
 
-/// When a refusal says to come back.
+/// Returns the retry delay of a refusal, in milliseconds.
 pub fn retry_after_ms(status: &tonic::Status) -> Option<u64> {
     let value = status.metadata().get("hollowford-retry-after-ms")?;
     value.to_str().ok()?.parse().ok()
--- a/crates/hollowford/tests/common/node.rs
+++ b/crates/hollowford/tests/common/node.rs
@@ -1,4 +1,4 @@
-//! Processes of `hollowford node` on the loopback interface, against the stand-in of the
+//! A cell of `hollowford node` processes on the loopback interface, with the stand-in of the
 //! users' platform.
 #![allow(clippy::expect_used, dead_code)]
 
@@ -16,20 +16,20 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// Longest time for anything that a test waits for. Far above what it takes, since the
-/// machine may be busy.
+/// Longest time that a test waits for anything. Far longer than needed, because the machine may
+/// be busy.
 pub const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// One process.
+/// A process of the cell.
 pub struct Node {
     process: Process,
     pub callers: SocketAddr,
     pub readiness: SocketAddr,
-    /// Its way to the store.
+    /// Its access to the store, which can be cut.
     pub store: Door,
 }
 
-/// A platform and processes.
+/// A platform and its processes.
 pub struct Cell {
     pub platform: Platform,
     pub nodes: Vec<Node>,
@@ -37,7 +37,7 @@
     _dir: TempDir,
 }
 
-/// The ports that all processes of a cell use, each on an address of its own.
+/// The ports of a cell's processes. Each process has its own address; all use the same ports.
 #[derive(Clone, Copy)]
 struct Ports {
     subnet: u8,
@@ -54,7 +54,7 @@
         Ports { subnet, callers, readiness, peers }
     }
 
-    /// Returns the address of the process `i`, in the loopback range.
+    /// Returns the loopback address of the process `i`.
     fn ip(self, i: usize) -> Ipv4Addr {
         Ipv4Addr::new(127, (std::process::id() % 250) as u8 + 1, self.subnet, i as u8 + 1)
     }
@@ -64,7 +64,7 @@
     fn start(
         (i, cpu_share): (usize, f64),
         platform: SocketAddr,
-        store: Door,
+        store_endpoint: Door,
         ports: Ports,
         dir: &Path,
         workers_per_partition: usize,
@@ -80,7 +80,7 @@
             cpu_share,
             seeds: vec![ports.ip(0), ports.ip(1)],
         };
-        let text = speech::settings(&process, platform, store.addr);
+        let text = speech::settings(&process, platform, store_endpoint.addr);
         File::create(&path).and_then(|mut f| f.write_all(text.as_bytes())).expect("settings");
         let log = dir.join(format!("{name}.log"));
         let program = Path::new(env!("CARGO_BIN_EXE_hollowford"));
@@ -88,20 +88,20 @@
             Process::start(program, &path, &log, workers_per_partition).expect("the program");
         let at = |port| SocketAddr::from((ports.ip(i), port));
         let (callers, readiness) = (at(ports.callers), at(ports.readiness));
-        Node { process, callers, readiness, store }
+        Node { process, callers, readiness, store: store_endpoint }
     }
 
-    /// Sends the process a signal.
+    /// Sends the process the signal of this name.
     pub fn signal(&self, name: &str) {
         self.process.signal(name).expect("a signal");
     }
 
-    /// Kills the process without warning.
+    /// Kills the process.
     pub fn kill(&mut self) {
         self.process.kill().expect("its end");
     }
 
-    /// Waits until the process has ended, and tells whether it ended well.
+    /// Waits for the process to exit and returns whether it exited successfully.
     pub fn wait_exit_success(&mut self) -> bool {
         let began = Instant::now();
         while began.elapsed() < TIMEOUT {
@@ -113,22 +113,22 @@
         false
     }
 
-    /// Starts the process again, with the same settings.
+    /// Starts the process again with the same settings.
     pub fn restart(&mut self) {
         self.process.restart().expect("the program");
     }
 
-    /// Tells whether the process runs.
+    /// Returns true if the process runs.
     pub fn is_running(&mut self) -> bool {
         self.process.exit_success().expect("its state").is_none()
     }
 
-    /// Returns what it has logged.
+    /// Returns the contents of its log.
     pub fn log(&self) -> String {
         self.process.log_text()
     }
 
-    /// Tells whether it was the last to become the owner, by its log.
+    /// Returns true if it owns a partition, according to its log.
     pub fn owns(&self) -> bool {
         let log = self.log();
         let last = |text: &str| log.rfind(text);
@@ -137,17 +137,18 @@
 }
 
 impl Cell {
-    /// Starts a platform and processes, with a queue `/plain/` and one by advice, `/advised/`.
+    /// Starts a cell with a queue `/plain/` and a queue `/advised/` that uses the advice service.
     pub async fn start(nodes: usize, workers: usize) -> Cell {
         Cell::start_with_cpu_shares(&vec![0.25; nodes], workers).await
     }
 
-    /// Starts one process for each part of a core.
+    /// Starts one process for each CPU share, in cores.
     pub async fn start_with_cpu_shares(shares: &[f64], workers: usize) -> Cell {
         Cell::start_partitioned(shares, workers, workers).await
     }
 
-    /// Starts processes with a partition for each `workers_each` workers.
+    /// Starts one process for each CPU share, with one partition for each `workers_per_partition`
+    /// workers.
     pub async fn start_partitioned(
         shares: &[f64],
         workers: usize,
@@ -159,11 +160,11 @@
         let ports = Ports::new();
         let mut nodes = Vec::new();
         for index_and_share in shares.iter().copied().enumerate() {
-            let store = platform.open_door().await.expect("a way to the store");
+            let store_endpoint = platform.open_door().await.expect("access to the store");
             let node = Node::start(
                 index_and_share,
                 platform.addr(),
-                store,
+                store_endpoint,
                 ports,
                 dir.path(),
                 workers_per_partition,
@@ -175,13 +176,13 @@
         for n in &cell.nodes {
             cell.wait_until_ready(n).await;
         }
-        // A process writes its log a moment after what it tells others.
+        // A process may write its log a moment after others know that it is the owner.
         let owned = || async { cell.nodes.iter().any(Node::owns) };
         assert!(eventually(owned).await, "no owner:\n{}", cell.logs());
         cell
     }
 
-    /// Waits until a process calls itself ready.
+    /// Waits until a process reports that it is ready.
     pub async fn wait_until_ready(&self, node: &Node) {
         let url = format!("http://{}{}", node.readiness, speech::READY_PATH);
         let ready = || async {
@@ -191,17 +192,17 @@
         assert!(eventually(ready).await, "not ready:\n{}", node.log());
     }
 
-    /// Returns the position of the owner.
+    /// Returns the index of the first process that owns a partition.
     pub fn owner(&self) -> usize {
         self.nodes.iter().position(Node::owns).expect("an owner")
     }
 
-    /// Makes a request of a process; no status when there is no answer.
+    /// Sends a request to a process and returns status and body. The status is 0 without an answer.
     pub async fn call(&self, node: usize, method: Method, path: &str, body: Value) -> (u16, Value) {
         self.call_as("", node, method, path, body).await
     }
 
-    /// Makes the same with a caller's key; empty: without one.
+    /// Does the same as [`Cell::call`] with a caller's key. An empty key is not sent.
     pub async fn call_as(
         &self,
         key: &str,
@@ -226,13 +227,13 @@
         }
     }
 
-    /// Hands in a job of one step, whose tasks run for `ms`.
+    /// Submits a job of one step whose tasks run for `ms` milliseconds, and returns the status.
     pub async fn submit(&self, node: usize, queue: &str, id: u64, count: u32, ms: u64) -> u16 {
         let body = speech::job(count, ms);
         self.call(node, Method::POST, &format!("{queue}{id:016x}"), body).await.0
     }
 
-    /// Hands in a job, again and again until it is taken.
+    /// Submits a job until it is accepted.
     pub async fn submit_until_accepted(
         &self,
         node: usize,
@@ -242,27 +243,27 @@
         ms: u64,
     ) {
         let accepted = || async { self.submit(node, queue, id, count, ms).await == 200 };
-        assert!(eventually(accepted).await, "job {id} is not taken");
+        assert!(eventually(accepted).await, "job {id} is not accepted");
     }
 
-    /// Returns a job's state as one process tells it.
+    /// Returns the state of a job as one process reports it; empty if it has none.
     pub async fn state(&self, node: usize, queue: &str, id: u64) -> String {
         let path = format!("{queue}{id:016x}");
         let (_, body) = self.call(node, Method::GET, &path, Value::Null).await;
         speech::state(&body)
     }
 
-    /// Waits until a job has ended well.
+    /// Waits until a job has completed.
     pub async fn wait_until_completed(&self, node: usize, queue: &str, id: u64) {
         let done = || async { self.state(node, queue, id).await == "completed" };
         assert!(eventually(done).await, "job {id}:\n{}", self.logs());
     }
 
-    /// Checks that no task ran in two places, and that each was begun as often as it may.
+    /// Checks that no guarantee was violated and that no task was started more than `max_starts` times.
     pub fn assert_starts(&self, max_starts: u32) {
         assert_eq!(self.platform.faults_found(), Vec::<String>::new());
         for (task, n) in self.platform.begun() {
-            assert!(n <= max_starts, "{task} was begun {n} times");
+            assert!(n <= max_starts, "{task} was started {n} times");
         }
     }
 
@@ -272,7 +273,7 @@
     }
 }
 
-/// Waits until a condition holds. Tells whether it did.
+/// Waits until a condition holds, and returns whether it did before the timeout.
 pub async fn eventually<F, Fut>(mut holds: F) -> bool
 where
     F: FnMut() -> Fut,
--- a/crates/hollowford/tests/configuration.rs
+++ b/crates/hollowford/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Accepted configuration is in force everywhere and never reverts.
+//! An accepted configuration becomes active at every process and never reverts.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -8,9 +8,9 @@
 use hollowford_protocol::v1::Kind;
 use serde_json::json;
 
-/// Waits until every process has the change in force.
+/// Waits until the change is active at every process.
 async fn wait_until_active_everywhere(cell: &Cell, head: u64) {
-    wait_for("the change is in force", || async {
+    wait_for("the change is active", || async {
         for i in 0..cell.entries.len() {
             let state = cell.state(i).await?;
             if state["config_head"].as_u64()? < head {
@@ -53,7 +53,7 @@
     let owner = cell.owner(0).await;
     let paused = (owner + 1) % 3;
     cell.entries[paused].pause();
-    // The account gets another token while the process sleeps.
+    // The account's configuration changes while the process is paused.
     let operator = cell.operator(owner).await;
     operator.set_config("university", 7, 1, "ayse").await.unwrap();
     cell.entries[paused].resume();
@@ -89,7 +89,7 @@
     for version in 1..6 {
         cell.set_faults(json!({ "lose_replies": 1 })).await;
         let set = operator.set_config("university", version as u32 + 1, version, "ayse").await;
-        // The lost reply may have hit another write; then this one was answered.
+        // The lost reply may belong to another write; then this one was answered.
         let view = match set {
             Ok(view) => view,
             Err(status) => {
@@ -112,16 +112,16 @@
     let paused = (owner + 1) % 3;
     let old_token = cell.caller(paused, "university").await;
     cell.entries[paused].pause();
-    // The account's token is replaced, and the process sleeps past its freshness bound.
+    // The account's token is replaced, and the process stays paused until its configuration is too old.
     let operator = cell.operator(owner).await;
     operator.set_token("university", "another-token", 1).await.unwrap();
-    wait_for("the others have it", || async {
+    wait_for("the owner knows the change", || async {
         let state = cell.state(owner).await?;
         (state["config_head"] == 3).then_some(())
     })
     .await;
     tokio::time::sleep(std::time::Duration::from_millis(1_600)).await;
-    // The store is slow, so the process is asked before it can have read the change.
+    // The store is slow, so the calls arrive before the process can have read the change.
     cell.set_faults(json!({ "slow_ms": 150 })).await;
     cell.entries[paused].resume();
     for i in 0..30 {
@@ -145,8 +145,8 @@
         times.push(accepted.elapsed());
     }
     times.sort_unstable();
-    // Printed, not asserted: the bound is 2 s.
-    println!("in force after: median {:?}, longest {:?}", times[times.len() / 2], times.last());
+    // Not asserted, because the times depend on the machine. The limit is 2 s.
+    println!("active after: median {:?}, longest {:?}", times[times.len() / 2], times.last());
     for i in 0..cell.entries.len() {
         let view = cell.operator(i).await.get_config("university").await.unwrap();
         assert_eq!(view.version, CHANGES + 1);
--- a/crates/hollowford/tests/crashes.rs
+++ b/crates/hollowford/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Workers that crash under a task and come back, with whole processes.
+//! Jobs whose tasks crash their workers, in cells of processes.
 #![allow(clippy::expect_used)]
 
 #[path = "common/node.rs"]
@@ -8,12 +8,12 @@
 use std::net::SocketAddr;
 
 const PLAIN: &str = "/plain/";
-/// Tasks of the job that crashes its workers have names that begin so.
+/// Prefix of the tasks of the job that crashes its workers.
 const CRASHING_TASK_PREFIX: &str = "0000000000000001.";
-/// More starts than a job that is given up can have had.
+/// Upper limit of the crashes that a test causes. A job fails after fewer.
 const MAX_CRASHES: usize = 6;
 
-/// A worker, as the platform lists it.
+/// A worker listed on the platform.
 struct TestWorker {
     id: String,
     addr: SocketAddr,
@@ -34,7 +34,7 @@
         cell.platform.with_worker(&self.id, runs).unwrap_or(false)
     }
 
-    /// Crashes, and is back at once under another id.
+    /// Crashes the worker and restarts it at once under another id.
     fn crash(&mut self, cell: &Cell, crash: usize) {
         let next_id = format!("c{}-{crash}", self.rack);
         cell.platform.restart_worker(&self.id, &next_id, self.addr, self.rack);
@@ -42,8 +42,8 @@
     }
 }
 
-/// Crashes the worker that runs the job each time there is one. Returns how often, once the job is
-/// told as failed; `lost`: the owner is killed right after that crash.
+/// Crashes every worker that runs the job until the job has failed, and returns the number of
+/// crashes. Kills the owner right after the crash number `owner_killed_after`.
 async fn crash_until_failed(
     cell: &mut Cell,
     workers: &mut [TestWorker],
@@ -73,7 +73,7 @@
 async fn cell() -> (Cell, Vec<TestWorker>) {
     let cell = Cell::start(3, 1).await;
     let workers = (1..=4).map(|rack| TestWorker::add(&cell, rack)).collect();
-    // The first worker is full, so that the others run all that comes.
+    // Fills the first worker, so that the other workers run all later jobs.
     cell.submit_until_accepted(0, PLAIN, 9, 16, 600_000).await;
     let full = || async { cell.platform.with_worker("w0", |w| w.running().count()) == Some(16) };
     assert!(eventually(full).await);
@@ -88,7 +88,7 @@
     assert!((2..=5).contains(&crashes), "{crashes} crashes");
     assert_eq!(cell.state(0, PLAIN, 1).await, "failed");
     assert!(cell.logs().contains("task.crashed_under"), "{}", cell.logs());
-    // All workers are of use afterwards.
+    // All workers can be used afterwards.
     cell.submit_until_accepted(1, PLAIN, 2, 64, 200).await;
     cell.wait_until_completed(1, PLAIN, 2).await;
     cell.assert_starts(5);
--- a/crates/hollowford/tests/delegates.rs
+++ b/crates/hollowford/tests/delegates.rs
@@ -1,4 +1,4 @@
-//! Cells of more than a hundred workers, where members make the owner's calls.
+//! Cells with more than a hundred workers, where members make calls on behalf of the owner.
 
 #[path = "common/node.rs"]
 mod node;
@@ -6,7 +6,7 @@
 use node::Cell;
 
 const PLAIN: &str = "/plain/";
-/// Enough workers that the owner hands its calls to members.
+/// Enough workers for the owner to delegate its calls to members.
 const WORKERS: usize = 120;
 
 #[tokio::test]
--- a/crates/hollowford/tests/documents.rs
+++ b/crates/hollowford/tests/documents.rs
@@ -1,4 +1,4 @@
-//! The pages say what the program does.
+//! Checks that the documents match the program.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -15,7 +15,7 @@
     std::fs::read_to_string(root().join(name)).unwrap_or_else(|e| panic!("{name}: {e}"))
 }
 
-/// Set to write the table again instead of comparing it.
+/// Environment variable that makes the test write the table instead of comparing it.
 const WRITE_VAR: &str = "HOLLOWFORD_WRITE_PAGES";
 
 #[test]
--- a/crates/hollowford/tests/end_to_end.rs
+++ b/crates/hollowford/tests/end_to_end.rs
@@ -1,4 +1,4 @@
-//! The whole path, over real sockets, between separate processes.
+//! Requests from submission to answer, over real sockets between separate processes.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -54,7 +54,7 @@
     assert_eq!(error_kind(&status), "not_found");
     let status = other.cancel("same-id").await.unwrap_err();
     assert_eq!(error_kind(&status), "not_found");
-    // The same id of another account is another request.
+    // The same id in another account is another request.
     other.submit("same-id", &two_tasks, false).await.unwrap();
     let view = final_answer(std::slice::from_ref(&other), "same-id").await;
     assert_eq!(view.answer.unwrap().results.len(), 2);
@@ -75,7 +75,7 @@
     let mut body = spec(Kind::Batch, 1, 500, 20);
     body.repeatable = false;
     body.payload = b"name=once".to_vec();
-    // The same submission through all entries at once.
+    // The same submission through all processes at once.
     let all = callers.iter().map(|c| c.submit("once", &body, true));
     for view in futures::future::join_all(all).await {
         assert_eq!(view.unwrap().answer.unwrap().outcome(), Outcome::Done);
@@ -99,12 +99,12 @@
     assert_eq!(results.len(), 12);
     let expected: Vec<u8> = (0..500_000).map(|i| i as u8).collect();
     for r in results {
-        // What does not fit into the answer is fetched by itself.
+        // Results that don't fit into the answer are fetched separately.
         let bytes = match r.result.is_empty() {
             true => caller.fetch("large", r.index).await.unwrap(),
             false => r.result,
         };
-        assert!(bytes == expected, "result {} is not whole", r.index);
+        assert!(bytes == expected, "result {} is incomplete", r.index);
     }
 }
 
--- a/crates/hollowford/tests/failure_pairs.rs
+++ b/crates/hollowford/tests/failure_pairs.rs
@@ -1,5 +1,4 @@
-//! Failures that come together: two at once, under a load of work that must not be
-//! lost, doubled or mis-answered.
+//! Pairs of concurrent failures under load. No request may be lost, run twice or answered wrongly.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -11,7 +10,7 @@
 use std::time::Duration;
 use yare::parameterized;
 
-/// A failure that is brought about and, where that can be, mended.
+/// A failure to inject and, if possible, to end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     OwnerKilled,
@@ -25,7 +24,7 @@
     WorkerLeaves,
 }
 
-/// How long both failures last together.
+/// How long both failures last.
 const FAULT_DURATION: Duration = Duration::from_millis(2_500);
 const REQUESTS: usize = 12;
 
@@ -106,7 +105,7 @@
         assert!(starts <= 2, "once-{i} was started {starts} times");
         match answer.outcome() {
             Outcome::Done => assert_eq!(starts, 2),
-            // Only a worker that froze past its leases may leave that open.
+            // Only tasks on a worker paused past its leases may have an unknown outcome.
             Outcome::MayHaveRun => assert!(faults.contains(&Fault::WorkersPaused), "{answer:?}"),
             other => panic!("once-{i}: {other:?}"),
         }
--- a/crates/hollowford/tests/failures.rs
+++ b/crates/hollowford/tests/failures.rs
@@ -1,4 +1,4 @@
-//! What must hold when processes, workers and the platform fail.
+//! Guarantees that hold when processes, workers or the platform fail.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -11,7 +11,7 @@
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-/// Short task leases, so that what waits for one ends soon.
+/// Short task leases, so that tests wait less for their end.
 fn short_leases() -> serde_json::Value {
     json!({
         "task_lease_ms": 2_000, "renew_every_ms": 500, "renewal_bound_ms": 2_000,
@@ -55,7 +55,7 @@
     }
     let summary = cell.assert_no_violations();
     for (name, n) in &summary.starts_by_name {
-        assert_eq!(*n, 2, "{name}: two tasks, started once each");
+        assert_eq!(*n, 2, "{name}: each of two tasks must start once");
     }
 }
 
@@ -94,7 +94,7 @@
         submit_with_retries(&rest, &format!("during-{i}"), &body).await;
     }
     cell.entries[owner].resume();
-    // Through the process that was frozen, too.
+    // Also through the process that was paused.
     for i in 0..10 {
         for name in ["before", "during"] {
             let view = final_answer(&callers, &format!("{name}-{i}")).await;
@@ -103,7 +103,7 @@
     }
     let summary = cell.assert_no_violations();
     assert!(summary.starts_by_name.values().all(|n| *n == 4), "{:?}", summary.starts_by_name);
-    wait_for("the old owner has let go", || async {
+    wait_for("the old owner owns no partition", || async {
         let state = cell.state(owner).await?;
         state["partitions"].as_array()?.is_empty().then_some(())
     })
@@ -123,10 +123,10 @@
     submit_with_retries(std::slice::from_ref(&watcher), "long", &non_repeatable("long", 1, 6_000))
         .await;
     for _ in 0..3 {
-        // The balancer first learns of the new one, then that the old one leaves.
+        // The balancer first adds the new process, then removes the old one.
         let new = cell.start_entry();
         cell.wait_ready().await;
-        wait_for("the new one is ready", || async {
+        wait_for("the new process is ready", || async {
             let reply = common::http::get_text(&cell.entries[new].addr("admin"), "/readyz").await;
             reply.filter(|(status, _)| *status == 200)
         })
@@ -134,7 +134,7 @@
         tx.send_replace(addresses(&cell, 1));
         cell.entries[0].terminate();
         let mut old = cell.entries.remove(0);
-        assert!(old.wait_exit_success().await, "the process ended by a fault");
+        assert!(old.wait_exit_success().await, "the process didn't exit successfully");
     }
     stop.store(true, std::sync::atomic::Ordering::Release);
     let mut calls = 0;
@@ -160,12 +160,12 @@
     cell.entries[from..].iter().map(|e| e.addr("callers")).collect()
 }
 
-/// Calls that each caller makes at least.
+/// Smallest number of calls of each caller.
 const MIN_LOAD_CALLS: usize = 20;
 
-/// Submits and waits, one request after the other, as the balancer would send
-/// them. Every call must succeed; an entry that stops may answer without the final
-/// answer, which is then asked for through another.
+/// Submits requests one after the other through a load balancer and waits for each. Every call
+/// must succeed. A process that stops may reply without the final answer, which is then fetched
+/// through another process.
 async fn submit_load(
     n: usize,
     addresses: tokio::sync::watch::Receiver<Vec<String>>,
@@ -208,8 +208,8 @@
     })
     .await;
     cell.set_faults(json!({ "outage": true })).await;
-    // What was on its way when the outage began may be told "unknown". Once it has
-    // been noticed, new work is refused as not run, with a time to come back.
+    // Calls in flight when the outage begins may fail as "unknown". Once the outage is detected,
+    // new work is refused as not run, with a retry delay.
     let mut refused = Vec::new();
     for i in 0..20 {
         let id = format!("new-{i}");
@@ -224,12 +224,12 @@
         assert!(retry_after_ms(&status).is_some());
     }
     assert!(refused.len() >= 15, "{refused:?}");
-    // What runs is kept alive past the ownership lease and the task lease.
+    // Running tasks stay alive past the ownership lease and the task lease.
     tokio::time::sleep(Duration::from_millis(3_000)).await;
     cell.set_faults(json!({})).await;
     let view = final_answer(&callers, "running").await;
     assert_eq!(view.answer.unwrap().outcome(), Outcome::Done);
-    // What was refused was not run, and may be asked for again.
+    // Refused requests did not run and may be submitted again.
     let summary = cell.assert_no_violations();
     assert_eq!(summary.starts_by_name["running"], 4);
     for id in &refused {
@@ -274,7 +274,7 @@
     tokio::time::sleep(Duration::from_millis(30)).await;
     cell.entries[owner].kill();
     cell.set_faults(json!({})).await;
-    // Whatever the first call came to, the caller asks again with the same id.
+    // Whatever the result of the first call is, the caller submits again under the same id.
     let _ = submitted.await.unwrap();
     submit_with_retries(&rest, "doubtful", &non_repeatable("doubtful", 3, 200)).await;
     let answer = final_answer(&rest, "doubtful").await.answer.unwrap();
@@ -294,7 +294,7 @@
     };
     let cell = Cell::start(options).await;
     let callers = cell.callers("university").await;
-    // Half of the cell, so that the other half has room while one is frozen.
+    // Fills half of the cell, so that the other half has capacity while one is paused.
     submit_with_retries(&callers, "again", &spec(Kind::Batch, 8, 1_000, 4_000)).await;
     wait_for("all tasks run", || async {
         callers[0].get("again").await.ok().filter(|v| v.running == 8).map(|_| ())
@@ -306,13 +306,13 @@
         (cell.record_summary().starts > 8).then_some(())
     })
     .await;
-    // By now the frozen tasks would have come to their end.
+    // By now the tasks of the paused worker would have completed.
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     cell.workers[paused].resume();
     let view = final_answer(&callers, "again").await;
     assert_eq!(view.answer.unwrap().outcome(), Outcome::Done);
     let summary = cell.assert_no_violations();
-    assert!(summary.starts > 8, "nothing was started again");
+    assert!(summary.starts > 8, "no task was started again");
 }
 
 #[tokio::test]
@@ -336,7 +336,7 @@
         let body = spec(Kind::Batch, 1, 1_500, 1_500);
         submit_with_retries(&callers, &format!("again-{i}"), &body).await;
     }
-    wait_for("the worker runs some", || async {
+    wait_for("the workers run tasks", || async {
         (cell.record_summary().starts >= 8).then_some(())
     })
     .await;
@@ -354,7 +354,7 @@
         let answer = final_answer(&callers, &format!("again-{i}")).await.answer.unwrap();
         assert_eq!(answer.outcome(), Outcome::Done);
     }
-    assert_eq!(uncertain, starts_before_kill, "those on the killed worker");
+    assert_eq!(uncertain, starts_before_kill, "tasks on the killed worker");
     let summary = cell.record_summary();
     assert!(summary.starts_by_name.values().all(|n| *n == 1), "{:?}", summary.starts_by_name);
 }
@@ -408,7 +408,7 @@
         let body = non_repeatable(&id, 2, 30);
         let submit = callers[0].submit(&id, &body, false);
         submit.await.unwrap();
-        // A request may have ended by then.
+        // The request may have ended already.
         let _ = callers[1].cancel(&id).await;
     }
     for i in 0..40 {
@@ -505,7 +505,7 @@
     let owner = cell.owner(0).await;
     let callers = cell.callers("university").await;
     submit_with_retries(&callers, "work", &spec(Kind::Batch, 1, 100, 10)).await;
-    // The row can be written, and nothing can be read back.
+    // The owner row can be written, but no rows can be read.
     cell.set_faults(json!({ "no_scans": "p/" })).await;
     cell.entries[owner].kill();
     cell.entries.remove(owner);
--- a/crates/hollowford/tests/keys.rs
+++ b/crates/hollowford/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Callers' keys, on processes of `hollowford node`.
+//! Keys of callers, in cells of `hollowford node` processes.
 
 #[path = "common/node.rs"]
 mod node;
@@ -11,20 +11,20 @@
 const PREFIXES: &[(&str, bool)] = &[("/plain/", false), ("/advised/", true)];
 const JOB: &str = "/plain/0000000000000001";
 
-/// Names an account with these keys and no quota.
+/// Returns an account with these keys and no quota.
 fn account_with_keys(name: &str, keys: &[&str]) -> AccountKeys {
     let keys = keys.iter().map(|&k| k.to_owned()).collect();
     AccountKeys { name: name.into(), keys, cpu_milli: 0 }
 }
 
-/// Waits until a process answers a question with this key with `status`.
+/// Waits until a process answers a request with this key with `status`.
 async fn wait_for_status(cell: &Cell, node: usize, key: &str, status: u16) {
     let has_status =
         || async { cell.call_as(key, node, Method::GET, "/plain/", Value::Null).await.0 == status };
     assert!(eventually(has_status).await, "no {status} for {key}:\n{}", cell.logs());
 }
 
-/// Starts processes that all know the keys of `a` and `b`.
+/// Starts processes and waits until all know the keys of the accounts `a` and `b`.
 async fn start_with_keys(nodes: usize) -> Cell {
     let cell = Cell::start(nodes, 2).await;
     let accounts = [account_with_keys("a", &["a1", "a2"]), account_with_keys("b", &["b1"])];
@@ -49,14 +49,14 @@
         assert_eq!(call(key, Method::DELETE).await, 401);
         assert_eq!(cell.call_as(key, 0, Method::GET, "/plain/", Value::Null).await.0, 401);
     }
-    assert_eq!(call("a1", Method::GET).await, 410, "nothing of those has run");
+    assert_eq!(call("a1", Method::GET).await, 410, "no refused job exists");
     assert_eq!(submit("a1", 0).await, 200);
     assert_eq!(call("a2", Method::GET).await, 200, "another key of the account");
     assert_eq!(call("b1", Method::GET).await, 410);
     assert_eq!(call("b1", Method::DELETE).await, 410);
     assert_eq!(submit("b1", 1).await, 409);
     assert_eq!(call("a1", Method::DELETE).await, 200);
-    assert_eq!(call("b1", Method::GET).await, 410, "nor how it ended");
+    assert_eq!(call("b1", Method::GET).await, 410, "other accounts don't see its end either");
 }
 
 #[tokio::test]
@@ -64,7 +64,7 @@
     let cell = start_with_keys(3).await;
     let submit = |key| cell.call_as(key, 0, Method::POST, JOB, speech::job(1, 600_000));
     assert_eq!(submit("a1").await.0, 200);
-    // The last key of `b` goes, too, and `a` has a new one.
+    // `a` loses one key and gets a new one, and `b` loses its last key.
     let accounts = [account_with_keys("a", &["a2", "a3"]), account_with_keys("b", &[])];
     cell.platform.configure_accounts(3, PREFIXES, &accounts);
     for node in 0..3 {
--- a/crates/hollowford/tests/node.rs
+++ b/crates/hollowford/tests/node.rs
@@ -1,4 +1,4 @@
-//! Processes on the users' platform: the whole path, takeovers, outages of the store.
+//! Processes on the users' platform: jobs from submission to end, takeovers, and store outages.
 
 #[path = "common/node.rs"]
 mod node;
@@ -91,7 +91,7 @@
         let status = cell.submit(node, PLAIN, id, 1, 20).await;
         assert_eq!(status, 200, "request {id}");
     }
-    assert!(cell.nodes[owner].wait_exit_success(), "ends well");
+    assert!(cell.nodes[owner].wait_exit_success(), "the old owner failed");
     for id in 0..40 {
         cell.wait_until_completed((owner + 1) % 3, PLAIN, id).await;
     }
@@ -111,13 +111,13 @@
         refused.push(id);
     }
     let ended = || async { cell.platform.with_worker("w0", |w| w.done.len()) == Some(2) };
-    assert!(eventually(ended).await, "accepted work goes on");
+    assert!(eventually(ended).await, "accepted work stopped");
     cell.platform.set_faults(Faults::default());
     cell.wait_until_completed(0, PLAIN, 1).await;
     cell.submit_until_accepted(1, PLAIN, 2, 1, 20).await;
     cell.wait_until_completed(0, PLAIN, 2).await;
     for id in refused {
-        assert_eq!(cell.state(0, PLAIN, id).await, "", "job {id} was refused as not run");
+        assert_eq!(cell.state(0, PLAIN, id).await, "", "job {id} was refused");
         let task = format!("{id:016x}.0.0.0");
         assert!(!cell.platform.begun().contains_key(&task));
     }
@@ -133,14 +133,14 @@
         cell.wait_until_completed(1, PLAIN, id).await;
     }
     cell.assert_starts(1);
-    assert_eq!(cell.platform.newest_fence(), 1, "nobody took over");
+    assert_eq!(cell.platform.newest_fence(), 1, "a process took over");
 }
 
 #[tokio::test]
 async fn a_state_query_waits_for_an_end_being_written() {
     let cell = Cell::start(2, 1).await;
     cell.submit_until_accepted(0, PLAIN, 1, 1, 300).await;
-    // A transaction takes 60 ms from here on, far more than the question after the end.
+    // From here on a transaction takes 60 ms, far longer than the query after the task's end.
     cell.platform.set_faults(Faults { slow_ms: 60, ..Faults::default() });
     let ended = || async { cell.logs().contains("job.ends job=0000000000000001") };
     assert!(eventually(ended).await);
@@ -153,7 +153,7 @@
     let owner = cell.owner();
     cell.submit_until_accepted(owner, PLAIN, 1, 2, 1_500).await;
     cell.nodes[owner].store.shut(true);
-    // Callers of the process that is turned away are served as all others.
+    // Callers of the process without the store are still served.
     cell.submit_until_accepted(owner, PLAIN, 2, 2, 20).await;
     cell.wait_until_completed(owner, PLAIN, 2).await;
     cell.wait_until_completed(owner, PLAIN, 1).await;
@@ -266,7 +266,7 @@
     cell.platform.list_raw("another", br#"{"backend":"pool","address":"127.0.0.1:1"}"#);
     let seen = || async { cell.logs().contains("worker.malformed worker=w0") };
     assert!(eventually(seen).await);
-    // All room comes free, and only the other worker's is used.
+    // Both workers become idle, and only the other one gets new tasks.
     let cancel = cell.call(0, Method::DELETE, "/plain/0000000000000001", Value::Null).await;
     assert_eq!(cancel.0, 200);
     let idle = || async { running("w0") == Some(0) && running("w1") == Some(0) };
--- a/crates/hollowford/tests/outage.rs
+++ b/crates/hollowford/tests/outage.rs
@@ -1,4 +1,4 @@
-//! Quick checks while the store is down, by the processes' promises not to take over.
+//! Quick checks while the store is down. They rely on the processes' promises not to take over.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -46,7 +46,7 @@
         assert!(answer.not_durable);
         ids.push(id);
     }
-    // Other work is refused as not run.
+    // Other work is refused and not run.
     let batch = spec(Kind::Batch, 1, 200, 20);
     let status = callers[0].submit("batch", &batch, false).await.unwrap_err();
     assert_eq!(error_kind(&status), "unavailable");
@@ -58,7 +58,7 @@
 
     cell.set_faults(json!({})).await;
     for id in &ids {
-        wait_for("the answer is kept", || async {
+        wait_for("the answer is durable", || async {
             let view = callers[0].get(id).await.ok()?;
             let answer = view.answer?;
             assert_eq!(answer.outcome(), Outcome::Done);
@@ -100,8 +100,8 @@
     let owner = cell.owner(0).await;
     let mut callers = cell.callers("district-desk").await;
     submit_with_retries(&callers, "before", &check("before", 20)).await;
-    // Only the promise, and not its youth, is to keep a process from taking over.
-    wait_for("no process is young", || async {
+    // A process that started recently doesn't take over either; here only the promise must prevent it.
+    wait_for("all processes are up for 5 s", || async {
         for i in 0..3 {
             if cell.state(i).await?["up_ms"].as_u64()? < 5_000 {
                 return None;
@@ -112,7 +112,7 @@
     .await;
     cell.set_faults(json!({ "outage": true })).await;
     answered_check(&callers[owner], "first").await;
-    // A check that would run far longer than it was declared to.
+    // A check that would run far longer than declared.
     let mut long = check("long", 500);
     long.payload = b"name=long run=60000".to_vec();
     let caller = callers[owner].clone();
@@ -121,13 +121,13 @@
         (cell.record_summary().starts_by_name.get("long") == Some(&1)).then_some(())
     })
     .await;
-    // The worker that runs it is cut off from the next owner.
+    // The worker that runs it is disconnected from the next owner.
     let on = cell.record_lines().into_iter().find(|l| l.name == "long").unwrap().worker;
     cell.inject_worker_fault(0, &format!("deaf/{on}/true")).await;
     cell.entries[owner].kill();
     callers.remove(owner);
     cell.set_faults(json!({})).await;
-    // Its caller repeats it, and it runs nowhere else by then.
+    // Its caller submits it again; by then it must no longer run elsewhere.
     long.payload = b"name=long run=50".to_vec();
     submit_with_retries(&callers, "long", &long).await;
     let view = final_answer(&callers, "long").await;
--- a/crates/hollowford/tests/partitions.rs
+++ b/crates/hollowford/tests/partitions.rs
@@ -1,4 +1,4 @@
-//! Processes with more than one partition, each with an owner of its own.
+//! Cells with several partitions, each of which has its own owner.
 
 #[path = "common/node.rs"]
 mod node;
@@ -13,12 +13,12 @@
 const ADVISED: &str = "/advised/";
 const PARTITIONS: usize = 3;
 
-/// Four processes and six workers, two to a partition.
+/// Starts four processes and six workers, two per partition.
 async fn cell() -> Cell {
     Cell::start_partitioned(&[0.25; 4], 6, 2).await
 }
 
-/// Returns which process owns each partition, by the logs; none: nobody does.
+/// Returns the owner of each partition according to the logs, or `None` without an owner.
 fn owners(cell: &Cell) -> Vec<Option<usize>> {
     let owns = |node: usize, partition: usize| {
         let log = cell.nodes[node].log();
@@ -35,7 +35,7 @@
     owners(cell).into_iter().flatten().collect()
 }
 
-/// Counts the processes that own something.
+/// Returns the number of processes that own partitions.
 fn distinct_owner_count(owners: &[Option<usize>]) -> usize {
     owners.iter().flatten().collect::<BTreeSet<_>>().len()
 }
@@ -54,12 +54,12 @@
     cell.assert_starts(1);
     let started_tasks = |i: usize| cell.platform.with_worker(&format!("w{i}"), |w| w.begun.len());
     for partition in 0..PARTITIONS {
-        // Racks are dealt in turn, so each partition has two workers.
+        // Racks are assigned to partitions in turn, so each partition has two workers.
         let used = started_tasks(partition).unwrap_or(0)
             + started_tasks(partition + PARTITIONS).unwrap_or(0);
-        assert!(used > 0, "partition {partition} has run nothing");
+        assert!(used > 0, "partition {partition} has run no task");
     }
-    // None of these fits: each waits in its own partition, and one count tells of all.
+    // None of these jobs fits: each waits in its own partition, and the queue's count covers all.
     let large = speech::chain(&[1], 50, 17_000);
     for id in 100..112 {
         let path = format!("{PLAIN}{id:016x}");
@@ -87,7 +87,7 @@
         cell.submit_until_accepted(0, PLAIN, id, 2, 1_500).await;
     }
     let victim = first[0];
-    let alive = (0..4).find(|&n| n != victim).expect("another one");
+    let alive = (0..4).find(|&n| n != victim).expect("another process");
     cell.nodes[victim].kill();
     for id in 12..24 {
         cell.submit_until_accepted(alive, PLAIN, id, 2, 50).await;
@@ -101,12 +101,13 @@
 #[tokio::test]
 async fn a_process_that_starts_in_an_outage_learns_all_owners_from_others() {
     let mut cell = cell().await;
-    // One process may own all at first, and hands over: a partition that is just on its way to a
-    // process that is killed has no owner of whom anybody could tell.
+    // One process may own all partitions at first and hand some over. If the receiving process
+    // were killed during a handover, the partition would have no owner that others could report.
     let spread = || async { distinct_owner_count(&owners(&cell)) == PARTITIONS };
     assert!(eventually(spread).await, "{:?}", owners(&cell));
     let first = owners(&cell);
-    let restarted = (0..4).find(|&n| !first.contains(&Some(n))).expect("one that owns nothing");
+    let restarted =
+        (0..4).find(|&n| !first.contains(&Some(n))).expect("a process without partitions");
     cell.submit_until_accepted(restarted, PLAIN, 1, 1, 20).await;
     cell.nodes[restarted].kill();
     cell.platform.set_faults(Faults { outage: true, ..Faults::default() });
--- a/crates/hollowford/tests/scale.rs
+++ b/crates/hollowford/tests/scale.rs
@@ -1,4 +1,4 @@
-//! Recovery, the store's budget and overload, at sizes.
+//! Recovery, the store's write budget and overload at various sizes.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -25,8 +25,8 @@
     Some(cell.state(entry).await?["partitions"].as_array()?.first()?.clone())
 }
 
-/// Runs `running` tasks and queues `queued` more, kills the owner, and tells what
-/// the next owner read and how long it took.
+/// Runs `running` tasks and queues `queued` more, kills the owner, and checks that the next owner
+/// knows them all. Prints the time until a new check has ended.
 async fn check_recovery(running: u32, queued: u32) {
     let options = Options {
         partitions: 1,
@@ -71,7 +71,7 @@
         p["waiting_tasks"]
     );
     assert_eq!(held_tasks, u64::from(running));
-    // The check may have displaced one task, which waits again.
+    // The check may have preempted one task, which waits again.
     assert!(p["waiting_tasks"].as_u64().unwrap() >= u64::from(queued));
     cell.assert_no_violations();
 }
@@ -101,8 +101,8 @@
     let placed = cell.assert_no_violations().starts as u64;
     println!("{placed} placements, {writes} writes in {seconds:.1} s");
     assert_eq!(placed, 4_000);
-    // 150 ledger rows a second, 2.5 renewals, and little else; by count, not by time:
-    // a row carries many records, so writes stay far below placements.
+    // The budget is 150 ledger rows and 2.5 renewals per second. The test checks the count and not the rate,
+    // which depends on the machine: a row has many records, so there are far fewer writes than placements.
     assert!(writes * 4 <= placed, "{writes} writes for {placed} placements");
 }
 
@@ -114,7 +114,7 @@
     let cell = Cell::start(options).await;
     let flood = cell.callers("university").await;
     let other = cell.caller(0, "district-desk").await;
-    // Until every entry has met the owner, calls are repeated.
+    // Calls are retried until every process has reached the owner.
     for (i, caller) in flood.iter().enumerate() {
         submit_with_retries(
             std::slice::from_ref(caller),
@@ -137,7 +137,7 @@
         }
     }
     assert_eq!(refused, 150);
-    // Another account's urgent work is accepted and ends in the middle of it.
+    // Urgent work of another account is accepted and completes during the flood.
     for i in 0..10 {
         let id = format!("check-{i}");
         other.submit(&id, &spec(Kind::Check, 1, 500, 10), false).await.unwrap();
@@ -145,12 +145,12 @@
         assert_eq!(view.answer.unwrap().outcome(), Outcome::Done);
     }
     let attempts = retries(&cell).await - before;
-    println!("entries repeated {attempts} calls");
-    assert_eq!(attempts, 0, "a refusal is final; no layer asks again");
+    println!("processes repeated {attempts} calls");
+    assert_eq!(attempts, 0, "a refused call was repeated");
     cell.assert_no_violations();
 }
 
-/// Sums the calls that entries have sent again.
+/// Returns the number of calls that all processes have repeated.
 async fn retries(cell: &Cell) -> u64 {
     let mut total = 0;
     for e in &cell.entries {
--- a/crates/hollowford/tests/tls.rs
+++ b/crates/hollowford/tests/tls.rs
@@ -1,4 +1,4 @@
-//! Encryption towards callers, and certificates that change while a process runs.
+//! TLS for callers, and certificates that are replaced while a process runs.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -12,7 +12,7 @@
 use std::process::Command;
 use tempfile::TempDir;
 
-/// Writes the certificate of a new authority, and one for loopback that it has signed.
+/// Writes the certificate of a new authority and a certificate for loopback signed by it.
 fn write_certificates(dir: &Path) {
     let mut ca = CertificateParams::new(Vec::new()).unwrap();
     ca.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
@@ -27,7 +27,7 @@
     std::fs::write(dir.join("own.pem"), own_pem).unwrap();
 }
 
-/// Runs a check from the command line, and tells whether it ended well.
+/// Runs a quick check from the command line and returns whether the command succeeded.
 async fn run_check(addr: &str, id: &str, ca: Option<&Path>) -> bool {
     let mut command = Command::new(env!("CARGO_BIN_EXE_hollowford"));
     command.args(["submit", id, "--kind", "check", "--run-ms", "5", "--wait"]);
--- a/tools/generate/src/main.rs
+++ b/tools/generate/src/main.rs
@@ -1,4 +1,4 @@
-//! Writes the Rust code of the published schema. Run by `toolkit/generate`.
+//! Generates the Rust code of the published schema. Run by `toolkit/generate`.
 
 use std::path::Path;
 
