--- a/crates/hollowford/src/command/cancel.rs
+++ b/crates/hollowford/src/command/cancel.rs
@@ -7,7 +7,7 @@
 use hollowford_protocol::v1;
 use pico_args::Arguments;
 
-/// The command.
+/// Definition of the `cancel` command.
 pub const COMMAND: Command = Command {
     name: "cancel",
     signature: "ID | --label LABEL [--server IP:PORT] [--token TOKEN] [--json]",
--- a/crates/hollowford/src/command/check.rs
+++ b/crates/hollowford/src/command/check.rs
@@ -6,7 +6,7 @@
 use crate::error::CliError;
 use pico_args::Arguments;
 
-/// The command.
+/// Definition of the `check` command.
 pub const COMMAND: Command = Command {
     name: "check",
     signature: "FILE [--json]",
--- a/crates/hollowford/src/command/config.rs
+++ b/crates/hollowford/src/command/config.rs
@@ -7,7 +7,7 @@
 use pico_args::Arguments;
 use serde_json::json;
 
-/// The command.
+/// Definition of the `config` command.
 pub const COMMAND: Command = Command {
     name: "config",
     signature: "get ACCOUNT | history [--limit N] | set ACCOUNT --expect VERSION --author NAME
--- a/crates/hollowford/src/command/dev.rs
+++ b/crates/hollowford/src/command/dev.rs
@@ -9,7 +9,7 @@
 use hollowford_standin::record_check::check_record;
 use pico_args::Arguments;
 
-/// The command.
+/// Definition of the `dev` command.
 pub const COMMAND: Command = Command {
     name: "dev",
     signature: "[--run FILE [--json] | --cell FILE]",
@@ -71,16 +71,16 @@
     }
     report.print();
     println!("workers' record   {} starts, {} faults", summary.starts, summary.violations.len());
-    for fault in summary.violations.iter().take(10) {
-        println!("  {fault}");
+    for violation in summary.violations.iter().take(10) {
+        println!("  {violation}");
     }
     exit_result(&report, summary.violations.len())
 }
 
-fn exit_result(report: &Report, faults: usize) -> Result<(), CliError> {
+fn exit_result(report: &Report, violations: usize) -> Result<(), CliError> {
     match report.missing {
-        0 if faults == 0 => Ok(()),
-        0 => Err(CliError::Run(format!("the workers' record shows {faults} faults"))),
+        0 if violations == 0 => Ok(()),
+        0 => Err(CliError::Run(format!("the workers' record shows {violations} faults"))),
         n => Err(CliError::Run(format!("{n} requests got no answer"))),
     }
 }
--- a/crates/hollowford/src/command/drain.rs
+++ b/crates/hollowford/src/command/drain.rs
@@ -6,7 +6,7 @@
 use hollowford_protocol::v1;
 use pico_args::Arguments;
 
-/// The command.
+/// Definition of the `drain` command.
 pub const COMMAND: Command = Command {
     name: "drain",
     signature: "[--server IP:PORT] [--token TOKEN] [--json]",
--- a/crates/hollowford/src/command/list.rs
+++ b/crates/hollowford/src/command/list.rs
@@ -7,7 +7,7 @@
 use hollowford_protocol::v1;
 use pico_args::Arguments;
 
-/// The command.
+/// Definition of the `list` command.
 pub const COMMAND: Command = Command {
     name: "list",
     signature: "[--after ID] [--limit N] [--server IP:PORT] [--token TOKEN] [--json]",
--- a/crates/hollowford/src/command/node.rs
+++ b/crates/hollowford/src/command/node.rs
@@ -8,7 +8,7 @@
 use pico_args::Arguments;
 use std::num::NonZeroUsize;
 
-/// The command.
+/// Definition of the `node` command.
 pub const COMMAND: Command = Command {
     name: "node",
     signature: "[--config FILE] [--metrics PORT] [--workers-each N] [--check]",
--- a/crates/hollowford/src/command/serve.rs
+++ b/crates/hollowford/src/command/serve.rs
@@ -12,7 +12,7 @@
 /// Time between two checks whether an operator asked the process to stop.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The command.
+/// Definition of the `serve` command.
 pub const COMMAND: Command = Command {
     name: "serve",
     signature: "--config FILE",
--- a/crates/hollowford/src/command/state.rs
+++ b/crates/hollowford/src/command/state.rs
@@ -6,7 +6,7 @@
 use hollowford_protocol::v1;
 use pico_args::Arguments;
 
-/// The command.
+/// Definition of the `state` command.
 pub const COMMAND: Command = Command {
     name: "state",
     signature: "[--part NAME] [--server IP:PORT] [--token TOKEN]",
--- a/crates/hollowford/src/command/status.rs
+++ b/crates/hollowford/src/command/status.rs
@@ -7,7 +7,7 @@
 use hollowford_protocol::v1;
 use pico_args::Arguments;
 
-/// The command.
+/// Definition of the `status` command.
 pub const COMMAND: Command = Command {
     name: "status",
     signature: "ID [--why] [--wait] [--server IP:PORT] [--token TOKEN] [--json]",
--- a/crates/hollowford/src/command/submit.rs
+++ b/crates/hollowford/src/command/submit.rs
@@ -7,7 +7,7 @@
 use hollowford_protocol::v1;
 use pico_args::Arguments;
 
-/// The command.
+/// Definition of the `submit` command.
 pub const COMMAND: Command = Command {
     name: "submit",
     signature: "ID --kind check|gang|batch|service [--tasks N] [--cpu-milli N] [--memory-mib N]
