--- a/crates/hollowford/src/command/config.rs
+++ b/crates/hollowford/src/command/config.rs
@@ -1,23 +1,26 @@
 //! `hollowford config`.
 
-use super::signature::{Command, Example};
-use crate::client::{Options, block_on, finish};
+use super::definition::{Command, Example};
+use crate::client::{Options, block_on, reject_unused_arguments};
 use crate::error::CliError;
 use hollowford_protocol::v1;
 use pico_args::Arguments;
 use serde_json::json;
 
-/// The command.
+/// Definition of the `config` command.
 pub const COMMAND: Command = Command {
     name: "config",
     signature: "get ACCOUNT | history [--limit N] | set ACCOUNT --expect VERSION --author NAME
        --token-sha256 HEX [--weight N] [--quota-cpu-milli N] [--quota-memory-mib N]
        [--quota-accelerators N] [--max-queued N] [--server IP:PORT] [--token TOKEN] [--json]",
     description: "Reads or changes the configuration of client accounts, as an operator.
-A change names the version that it replaces; when another came first, it is refused.",
+A change names the version that it replaces, and is refused if that is not the current one.",
     examples: &[
-        Example { line: "hollowford config get university", does: "shows the account" },
-        Example { line: "hollowford config history --limit 5", does: "shows the last changes" },
+        Example { line: "hollowford config get university", explanation: "shows the account" },
+        Example {
+            line: "hollowford config history --limit 5",
+            explanation: "shows the last changes",
+        },
     ],
     run,
 };
@@ -28,7 +31,7 @@
         Some("get") => get(&options, args),
         Some("set") => set(&options, args),
         Some("history") => history(&options, args),
-        _ => Err(CliError::Usage("config get, config set or config history".to_owned())),
+        _ => Err(CliError::Usage("use config get, config set or config history".to_owned())),
     }
 }
 
@@ -52,7 +55,7 @@
 
 fn get(options: &Options, mut args: Arguments) -> Result<(), CliError> {
     let account: String = args.free_from_str()?;
-    finish(args)?;
+    reject_unused_arguments(args)?;
     block_on(async {
         let target = options.connect().await?;
         let req = v1::GetConfigRequest { account };
@@ -74,7 +77,7 @@
     let expected_version = args.value_from_str("--expect")?;
     let author: String = args.value_from_str("--author")?;
     let account: String = args.free_from_str()?;
-    finish(args)?;
+    reject_unused_arguments(args)?;
     block_on(async {
         let target = options.connect().await?;
         let req = v1::SetConfigRequest { account, config: Some(config), expected_version, author };
@@ -86,7 +89,7 @@
 
 fn history(options: &Options, mut args: Arguments) -> Result<(), CliError> {
     let limit: Option<u32> = args.opt_value_from_str("--limit")?;
-    finish(args)?;
+    reject_unused_arguments(args)?;
     block_on(async {
         let target = options.connect().await?;
         let req = v1::ConfigHistoryRequest { limit: limit.unwrap_or(0) };
--- a/crates/hollowford/src/main.rs
+++ b/crates/hollowford/src/main.rs
@@ -1,4 +1,4 @@
-//! hollowford: a cluster scheduler for client accounts that don't trust one another.
+//! hollowford: a cluster scheduler for client accounts that don't trust each other.
 
 mod client;
 mod command;
@@ -11,7 +11,7 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    start_logs();
+    init_logging();
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
@@ -19,16 +19,16 @@
             if let Some(help) = e.help() {
                 eprintln!("help: {help}");
             }
-            ExitCode::from(e.exit())
+            ExitCode::from(e.exit_code())
         }
     }
 }
 
-/// Processes on the platform log to standard output; all other commands to standard error.
-fn start_logs() {
+/// Initializes logging: `node` logs to standard output, all other commands to standard error.
+fn init_logging() {
     if std::env::args().nth(1).as_deref() == Some("node") {
         if let Err(e) = hollowford_node::logs::init() {
-            eprintln!("no logs: {e}");
+            eprintln!("logging can't be initialized: {e}");
         }
         return;
     }
