--- a/crates/hollowford-soak/src/invariants.rs
+++ b/crates/hollowford-soak/src/invariants.rs
@@ -134,11 +134,12 @@
     let mut violations = Vec::new();
     for start in starts {
         let Some(&worker) = drained_workers.get(&start.worker) else { continue };
-        let known = start.leaving_since_ms.max(disruptions.undisrupted_since(Some(worker), start.started_ms));
+        let known = start
+            .leaving_since_ms
+            .max(disruptions.undisrupted_since(Some(worker), start.started_ms));
         if start.started_ms > known + REACTION_TIMEOUT_MS {
             let StartWhileLeaving { task, worker, leaving_since_ms, started_ms } = start;
-            violations
-                .push(format!(
+            violations.push(format!(
                 "{task} starts at {started_ms} on {worker}, leaving since {leaving_since_ms}"
             ));
         }
--- a/crates/hollowford-soak/src/run.rs
+++ b/crates/hollowford-soak/src/run.rs
@@ -182,7 +182,8 @@
         let build_client = build_client()?;
         let began = Instant::now();
         for i in 0..self.cell.nodes.len() {
-            let url = format!("http://{}{}", self.cell.nodes[i].readiness_addr, formats::READY_PATH);
+            let url =
+                format!("http://{}{}", self.cell.nodes[i].readiness_addr, formats::READY_PATH);
             loop {
                 let answer = build_client.get(&url).timeout(READY_TIMEOUT).send().await;
                 if answer.is_ok_and(|a| a.status().is_success()) {
--- a/crates/hollowford/tests/partitions.rs
+++ b/crates/hollowford/tests/partitions.rs
@@ -52,7 +52,8 @@
         cell.wait_until_completed((id as usize + 1) % 4, queue, id).await;
     }
     cell.assert_starts(1);
-    let started_tasks = |i: usize| cell.platform.with_worker(&format!("w{i}"), |w| w.start_counts.len());
+    let started_tasks =
+        |i: usize| cell.platform.with_worker(&format!("w{i}"), |w| w.start_counts.len());
     for partition in 0..PARTITIONS {
         // Racks are assigned to partitions in turn, so each partition has two workers.
         let used = started_tasks(partition).unwrap_or(0)
