--- a/crates/hollowford-jobs/benches/ledger.rs
+++ b/crates/hollowford-jobs/benches/ledger.rs
@@ -22,7 +22,7 @@
 const LOAD_MS: u64 = 20_000;
 /// Jobs submitted at once, to measure the maximum throughput.
 const BACKLOG_JOBS: u64 = 4_000;
-/// Shortest time between two batches, in milliseconds; the same as that of an owner.
+/// Minimum time between two batches, in milliseconds; the same as that of an owner.
 const MIN_BATCH_INTERVAL_MS: u64 = 14;
 /// Numbers of open jobs of the measured recoveries.
 const OPEN_JOBS: [u64; 3] = [100, 1_000, 10_000];
@@ -37,7 +37,7 @@
 };
 
 fn main() {
-    println!("| answer ms | lanes | kept after, mean ms | p99 ms | jobs/s of a backlog |");
+    println!("| answer ms | lanes | durable after, mean ms | p99 ms | jobs/s of a backlog |");
     println!("| --- | --- | --- | --- | --- |");
     for answer_ms in ANSWER_TIMES_MS {
         for lanes in LANES {
@@ -188,9 +188,9 @@
     }
     let rows: Vec<_> = simulation.rows.into_iter().collect();
     let mut engine = Engine::new(2, TIME_LIMITS, Millis(0));
-    let began = Instant::now();
+    let started_at = Instant::now();
     if let Err(e) = engine.recover(&rows, Millis(0)) {
         panic!("rows should be readable: {e}");
     }
-    (rows.len(), began.elapsed().as_secs_f64() * 1_000.0)
+    (rows.len(), started_at.elapsed().as_secs_f64() * 1_000.0)
 }
--- a/crates/hollowford-jobs/benches/passes.rs
+++ b/crates/hollowford-jobs/benches/passes.rs
@@ -41,9 +41,9 @@
         cell.now = cell.now + Millis(5);
         let now = cell.now;
         cell.workers.iter_mut().for_each(|w| w.tick(now));
-        let began = Instant::now();
+        let started_at = Instant::now();
         let orders = cell.poll();
-        let took = began.elapsed();
+        let took = started_at.elapsed();
         total += took;
         longest = longest.max(took);
         cell.execute_all(orders);
--- a/crates/hollowford-jobs/src/accounts.rs
+++ b/crates/hollowford-jobs/src/accounts.rs
@@ -171,7 +171,7 @@
     pub name: Arc<str>,
     /// Resources that its tasks hold, or may hold.
     pub used: Totals,
-    /// Most resources that its tasks may hold; 0 means no limit.
+    /// Maximum resources that its tasks may hold; 0 means no limit.
     pub quota: Totals,
 }
 
--- a/crates/hollowford-jobs/src/advice.rs
+++ b/crates/hollowford-jobs/src/advice.rs
@@ -5,7 +5,7 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::sync::Arc;
 
-/// Shortest remaining validity with which a ticket is used, since the start has to arrive at the
+/// Minimum remaining validity with which a ticket is used, since the start has to arrive at the
 /// worker before the ticket lapses.
 const MIN_TICKET_REMAINING: Millis = Millis(60);
 
--- a/crates/hollowford-jobs/src/advice_calls.rs
+++ b/crates/hollowford-jobs/src/advice_calls.rs
@@ -21,7 +21,7 @@
 const CHANNELS_PER_QUICK_CHANNEL: usize = 3;
 /// Free channels for each channel that the parallel calls of one step may take.
 const FREE_CHANNELS_PER_STEP_CALL: usize = 4;
-/// Most workers that the protocol lets one call name.
+/// Maximum number of workers that the protocol lets one call name.
 const MAX_WORKERS_PER_CALL: usize = 100;
 /// Time after its expected duration at which an unanswered quick call is abandoned.
 const QUICK_CALL_GRACE: Millis = Millis(250);
@@ -30,7 +30,7 @@
 /// Backoff of a channel after a failed call; doubled after each further failure. Channels in
 /// backoff get calls only if all are in backoff.
 const CHANNEL_BACKOFF: Millis = Millis(1_000);
-/// Most doublings of [`CHANNEL_BACKOFF`].
+/// Maximum number of doublings of [`CHANNEL_BACKOFF`].
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
 /// An instance that can make advice calls, one at a time.
@@ -187,7 +187,7 @@
         let AdviceCall { step: key, mut workers, cost } = call;
         workers.truncate(MAX_WORKERS_PER_CALL);
         let ms = cost.call_ms(workers.len());
-        let Some(seat) = self.advice_channels.free_for(ms, now) else { return };
+        let Some(channel) = self.advice_channels.free_for(ms, now) else { return };
         let Some(step) = self.jobs.step_mut(key) else { return };
         step.advice.call_sent(&workers);
         let id = |&w: &WorkerIdx| self.workers.get(w).map(|w| w.life.id().clone());
@@ -196,10 +196,10 @@
         let grace = if quick { QUICK_CALL_GRACE } else { CALL_GRACE };
         let deadline = now + Millis(ms as u64) + grace;
         let slow = ms > MIN_SLOW_CALL_MS;
-        self.advice_channels.list[seat].call =
+        self.advice_channels.list[channel].call =
             Some(PendingCall { step: key, workers, quick, slow, deadline });
         self.stats.asked += 1;
-        out.push(Order::Advice { seat, step: key, workers: ids });
+        out.push(Order::Advice { channel, step: key, workers: ids });
     }
 
     /// Abandons pending calls whose deadline has passed.
@@ -209,7 +209,7 @@
             if let Some(call) = state.call.take_if(|c| c.deadline <= now) {
                 state.failed(now);
                 let asked = call.workers.len();
-                self.events.push(Event::AdviceAnswered { step: call.step, asked, good: None });
+                self.events.push(Event::AdviceAnswered { step: call.step, asked, allowed: None });
                 self.advice_failed(&call);
             }
         }
@@ -237,8 +237,9 @@
         self.needs_pass = true;
         // The channel would otherwise be idle until the next full pass.
         self.slow_call_answered |= !call.quick;
-        let (asked, good) = (call.workers.len(), answer.as_ref().map(|(tickets, _)| tickets.len()));
-        self.events.push(Event::AdviceAnswered { step: key, asked, good });
+        let (asked, allowed) =
+            (call.workers.len(), answer.as_ref().map(|(tickets, _)| tickets.len()));
+        self.events.push(Event::AdviceAnswered { step: key, asked, allowed });
         let Some((tickets, validity)) = answer else {
             self.advice_failed(&call);
             return;
@@ -248,11 +249,11 @@
             let incarnations = self.workers.with_id(id).map(|(idx, _)| idx);
             incarnations.filter(|idx| call.workers.contains(idx)).last()
         };
-        let good: Vec<_> =
+        let allowed: Vec<_> =
             tickets.iter().filter_map(|(id, t)| Some((asked_worker(id)?, t.clone()))).collect();
-        self.record_allowed_share(key, &call.workers, &good);
+        self.record_allowed_share(key, &call.workers, &allowed);
         let Some(step) = self.jobs.step_mut(key) else { return };
-        step.advice.call_answered(&call.workers, good, now + validity);
+        step.advice.call_answered(&call.workers, allowed, now + validity);
     }
 
     /// Updates the share of a queue's workers that may run its steps from an answer. Only counts
@@ -261,15 +262,15 @@
         &mut self,
         key: StepKey,
         asked: &[WorkerIdx],
-        good: &[(WorkerIdx, Arc<str>)],
+        allowed: &[(WorkerIdx, Arc<str>)],
     ) {
         let Some(step) = self.jobs.step(key) else { return };
         let is_new =
             |w: WorkerIdx| step.advice.advice_status(w, Millis(0)) == AdviceStatus::Unknown;
         let asked = asked.iter().filter(|&&w| is_new(w)).count();
-        let good = good.iter().filter(|&&(w, _)| is_new(w)).count();
+        let allowed = allowed.iter().filter(|&&(w, _)| is_new(w)).count();
         let Some(queue) = self.jobs.get(key.job).map(|j| j.queue.clone()) else { return };
-        self.allowed_shares.entry(queue).or_default().record(asked, good);
+        self.allowed_shares.entry(queue).or_default().record(asked, allowed);
     }
 }
 
--- a/crates/hollowford-jobs/src/advice_selection.rs
+++ b/crates/hollowford-jobs/src/advice_selection.rs
@@ -11,10 +11,10 @@
 
 /// Workers to ask about per task, since not all of them may run the step.
 const WORKERS_ASKED_PER_TASK: usize = 3;
-/// Most that workers without capacity may lengthen the first call for a step, in percent of a
-/// call's base duration.
+/// Maximum by which workers without capacity may lengthen the first call for a step, in percent of
+/// a call's base duration.
 const MAX_CALL_EXTENSION_PERCENT: u32 = 25;
-/// Fewest unknown workers that a call asks about, if there are as many.
+/// Minimum number of unknown workers that a call asks about, if there are as many.
 const MIN_WORKERS_ASKED: usize = 8;
 
 impl Engine {
--- a/crates/hollowford-jobs/src/answer_timeouts.rs
+++ b/crates/hollowford-jobs/src/answer_timeouts.rs
@@ -6,16 +6,16 @@
 
 use hollowford_core::{AnswerTimes, Millis};
 
-/// Shortest timeout of a call. Workers answer within a few milliseconds; the owner itself may be
+/// Minimum timeout of a call. Workers answer within a few milliseconds; the owner itself may be
 /// delayed by some tens of milliseconds.
 const MIN_ANSWER_TIMEOUT: Millis = Millis(60);
-/// Longest timeout of a call, also used for a worker that has not answered yet.
+/// Maximum timeout of a call, also used for a worker that has not answered yet.
 const MAX_ANSWER_TIMEOUT: Millis = Millis(400);
-/// Most doublings of the timeout or the pause after unanswered calls.
+/// Maximum number of doublings of the timeout or the pause after unanswered calls.
 const MAX_DOUBLINGS: u32 = 3;
 /// Pause after the first unanswered look; it doubles with each further one.
 const MIN_LOOK_PAUSE: Millis = Millis(40);
-/// Longest pause after an unanswered look.
+/// Maximum pause after an unanswered look.
 const MAX_LOOK_PAUSE: Millis = Millis(250);
 
 /// Weight of the newest call in the share of lost answers: it averages over about 250 calls, one
@@ -23,10 +23,10 @@
 const LOSS_WEIGHT: f32 = 1.0 / 256.0;
 /// Largest share of lost answers at which looks wait for [`MAX_LOOK_WAIT`].
 const MAX_RARE_LOSS_SHARE: f32 = 0.005;
-/// Longest time that a look waits for an end. Looks renew leases; with this wait, a lease is
+/// Maximum time that a look waits for an end. Looks renew leases; with this wait, a lease is
 /// renewed three times before it expires.
 pub(crate) const MAX_LOOK_WAIT: Millis = Millis(1_000);
-/// Shortest time that a look waits for an end, however many answers are lost.
+/// Minimum time that a look waits for an end, however many answers are lost.
 const MIN_LOOK_WAIT: Millis = Millis(150);
 
 /// Returns the timeout of the next call to a worker after `unanswered` calls without an answer.
--- a/crates/hollowford-jobs/src/audit.rs
+++ b/crates/hollowford-jobs/src/audit.rs
@@ -77,7 +77,7 @@
                 out.push(StuckTask::NotHeld { task, run: t.run });
             }
         }
-        for r in t.crash_record.iter().flat_map(|s| &s.open_runs) {
+        for r in t.crash_record.iter().flat_map(|c| &c.open_runs) {
             let idx = self.workers.find(&r.worker);
             let w = idx.and_then(|idx| self.workers.get(idx));
             if !w.is_some_and(|w| w.tracks_run(task, r.run)) {
@@ -90,7 +90,7 @@
 /// Returns a finding if a task waits for a progress row that is neither in flight nor to be
 /// written.
 fn check_awaited_row(job: &Job, task: TaskKey, t: &Task) -> Option<StuckTask> {
-    let row = t.crash_record.as_ref()?.unwritten_row?;
+    let row = t.crash_record.as_ref()?.awaited_row?;
     let is_pending = job.progress_unwritten || row <= job.progress_rows_built;
     (!is_pending).then_some(StuckTask::RowNeverWritten { task, row })
 }
--- a/crates/hollowford-jobs/src/batch.rs
+++ b/crates/hollowford-jobs/src/batch.rs
@@ -17,10 +17,10 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::BTreeMap;
 
-/// Most rows that one job adds to a batch: its job row and its progress row.
+/// Maximum number of rows that one job adds to a batch: its job row and its progress row.
 const MAX_ROWS_PER_JOB: usize = 2;
-/// Most rows of jobs in one batch. A transaction takes 100 entries; the rest is for the owner row,
-/// the row of workers and removed jobs.
+/// Maximum number of rows of jobs in one batch. A transaction takes 100 entries; the rest is for
+/// the owner row, the row of workers and removed jobs.
 const MAX_JOB_ROWS_PER_BATCH: usize = 89;
 /// Estimated number of urgent jobs in one batch: one job in [`BACKGROUND_POP_INTERVAL`] is a
 /// background one, and half of the urgent ones write two rows, for an end, instead of one.
@@ -32,7 +32,7 @@
 /// Bytes of row values, before encoding, above which no further job is added to a batch; a
 /// transaction takes 1 MB.
 const MAX_VALUE_BYTES_PER_BATCH: usize = 500_000;
-/// Most ended jobs whose rows one batch removes.
+/// Maximum number of ended jobs whose rows one batch removes.
 const MAX_EXPIRED_JOBS_PER_BATCH: usize = 8;
 
 /// A row to write or remove.
@@ -161,7 +161,7 @@
         }
         for &(id, row) in &contents.progressed {
             if let Some(job) = self.jobs.get_mut(id).filter(|j| j.has_crash_record) {
-                job.row_written(row);
+                job.row_stored(row);
             }
         }
         for &(_, end) in &contents.ends {
@@ -196,8 +196,8 @@
     /// Records that an end is in the store or needs no row.
     fn end_durable(&mut self, end: EndRef, now: Millis) {
         let Some(w) = self.workers.get_mut(end.worker) else { return };
-        w.unwritten_ends.remove(&end.number);
-        if w.unwritten_ends.is_empty() {
+        w.unstored_ends.remove(&end.number);
+        if w.unstored_ends.is_empty() {
             w.next_look_at = now;
         }
     }
@@ -231,7 +231,7 @@
     /// Adds the row of workers if it lacks a listed one.
     fn write_workers(&mut self, rows: &mut Vec<RowWrite>, contents: &mut BatchContents) {
         // Two versions of the row in flight could be committed in the wrong order.
-        let is_in_flight = self.in_flight.batches.values().any(|n| n.workers.is_some());
+        let is_in_flight = self.in_flight.batches.values().any(|b| b.workers.is_some());
         let is_incomplete = self.workers.iter().any(|(_, w)| !w.recorded && w.listed);
         if is_in_flight || !is_incomplete {
             return;
@@ -239,7 +239,7 @@
         let address =
             |w: &Worker| WorkerAddress { life: w.life.clone(), address: w.address.clone() };
         let incarnations = self.workers.iter().map(|(_, w)| address(w));
-        let crashed = self.crashed_incarnations.iter().map(|l| l.address.clone());
+        let crashed = self.crashed_incarnations.iter().map(|c| c.address.clone());
         let list: Vec<_> = incarnations.chain(crashed).collect();
         rows.push(RowWrite { key: WORKERS_KEY.to_owned(), value: Some(encode_workers(&list)) });
         contents.workers = Some(list);
--- a/crates/hollowford-jobs/src/candidate.rs
+++ b/crates/hollowford-jobs/src/candidate.rs
@@ -58,11 +58,11 @@
         fit_count(need, &self.free.minus(&self.reserved))
     }
 
-    /// Reserves resources for a task that is expected to begin at `begin`.
-    pub fn reserve(&mut self, need: &Resources, begin: Millis) {
+    /// Reserves resources for a task that is expected to start at `start`.
+    pub fn reserve(&mut self, need: &Resources, start: Millis) {
         let is_first = self.reserved == Resources::default();
         self.reserved = self.reserved.plus(need);
-        self.reserved_from = if is_first { begin } else { self.reserved_from.min(begin) };
+        self.reserved_from = if is_first { start } else { self.reserved_from.min(start) };
     }
 
     /// Subtracts the resources of a task that starts here.
--- a/crates/hollowford-jobs/src/crash_record.rs
+++ b/crates/hollowford-jobs/src/crash_record.rs
@@ -17,8 +17,8 @@
 /// Number of crashes that fail a job while fewer than [`MIN_CONFIRMED_RUNS`] of the runs were
 /// confirmed by their workers: an unconfirmed start may have reached its worker after the crash.
 const UNCONFIRMED_CRASH_LIMIT: usize = 5;
-/// Most uncertain crashes that are counted as fresh. One is likely to be real, but a store
-/// outage alone can produce several in a row.
+/// Maximum number of uncertain crashes that are counted as fresh. One is likely to be real, but a
+/// store outage alone can produce several in a row.
 const MAX_UNCERTAIN_CRASHES: usize = 1;
 /// Number of confirmed runs from which [`CRASH_LIMIT`] applies.
 const MIN_CONFIRMED_RUNS: usize = 2;
@@ -76,8 +76,9 @@
     pub uncertain_runs: Vec<u32>,
     /// The current run, and runs whose workers were silent until their leases expired.
     pub open_runs: Vec<OpenRun>,
-    /// Number of the progress row that first contains this record; `None` once it is stored.
-    pub unwritten_row: Option<u64>,
+    /// Number of the progress row that has to be stored before the task starts again; `None` if it
+    /// need not wait for one.
+    pub awaited_row: Option<u64>,
 }
 
 impl CrashRecord {
@@ -130,15 +131,15 @@
         true
     }
 
-    /// Returns true if part of the record is not stored. Another owner would count fewer crashes
-    /// and start the task again for each one missing.
-    pub fn is_unwritten(&self) -> bool {
-        self.unwritten_row.is_some()
+    /// Returns true if the task may start only after a progress row is stored. Without that row,
+    /// another owner would count fewer crashes and start the task again for each one missing.
+    pub fn awaits_row(&self) -> bool {
+        self.awaited_row.is_some()
     }
 
     /// Records that a progress row is stored.
-    pub fn row_written(&mut self, row: u64) {
-        self.unwritten_row = self.unwritten_row.filter(|&needed| needed > row);
+    pub fn row_stored(&mut self, row: u64) {
+        self.awaited_row = self.awaited_row.filter(|&needed| needed > row);
     }
 
     /// Returns true if the task is likely enough to crash workers that nothing should be started
@@ -174,6 +175,6 @@
 /// Returns true if a job fails after `fresh` crashes shortly after a start and `all` crashes in
 /// total, with `confirmed` of the runs confirmed.
 fn reaches_crash_limit(fresh: usize, confirmed: usize, all: usize) -> bool {
-    let most = if confirmed >= MIN_CONFIRMED_RUNS { CRASH_LIMIT } else { UNCONFIRMED_CRASH_LIMIT };
-    fresh >= FRESH_CRASH_LIMIT || all >= most
+    let limit = if confirmed >= MIN_CONFIRMED_RUNS { CRASH_LIMIT } else { UNCONFIRMED_CRASH_LIMIT };
+    fresh >= FRESH_CRASH_LIMIT || all >= limit
 }
--- a/crates/hollowford-jobs/src/crashes.rs
+++ b/crates/hollowford-jobs/src/crashes.rs
@@ -8,7 +8,8 @@
 //! record and the row that names the new run are stored, so that another owner counts the same.
 //! Everything that a task waits for is certain to happen: a run is closed by its end, by an answer
 //! of its worker, by the next incarnation of the worker or after `WORKER_RETURN_TIMEOUT`, which
-//! each new owner measures anew; a row is either stored or written again when the store refuses it.
+//! starts again with each new owner; a row is either stored or written again when the store refuses
+//! it.
 //!
 //! A crash is known only once the worker's next incarnation answers, because a partitioned worker
 //! is silent too. The leases of its tasks may have expired by then and the tasks may run elsewhere:
@@ -82,7 +83,7 @@
         let mut runs: Vec<_> = held.map(|h| LostRun::of(h, w.last_answer, now)).collect();
         runs.extend(&w.lost_runs);
         let address = WorkerAddress { life: w.life.clone(), address: w.address.clone() };
-        self.crashed_incarnations.retain(|l| l.until > now);
+        self.crashed_incarnations.retain(|c| c.until > now);
         self.crashed_incarnations
             .push(CrashedIncarnation { address, until: now + CRASHED_INCARNATION_RETENTION });
         self.stats.crashes += 1;
@@ -169,7 +170,7 @@
     /// would count a later crash of that worker for the task.
     pub(crate) fn close_run(&mut self, task: TaskKey, run: u32) {
         let Some(t) = self.jobs.task_mut(task) else { return };
-        if t.crash_record.as_mut().is_some_and(|s| s.close_run(run)) {
+        if t.crash_record.as_mut().is_some_and(|c| c.close_run(run)) {
             self.jobs.mark_progress_unwritten(task.step.job);
         }
     }
@@ -177,7 +178,7 @@
     /// Records, in the store too, that a run is no longer fresh.
     pub(crate) fn record_stable(&mut self, p: Placement) {
         let Some(task) = self.jobs.task_mut(p.task) else { return };
-        if task.crash_record.as_mut().is_some_and(|s| s.mark_stable(p.run)) {
+        if task.crash_record.as_mut().is_some_and(|c| c.mark_stable(p.run)) {
             self.jobs.mark_progress_unwritten(p.task.step.job);
         }
     }
--- a/crates/hollowford-jobs/src/engine.rs
+++ b/crates/hollowford-jobs/src/engine.rs
@@ -20,13 +20,13 @@
 use std::collections::{BTreeSet, HashSet};
 use std::sync::Arc;
 
-/// Longest time between two passes over all waiting steps. Passes also run without an event,
+/// Maximum time between two passes over all waiting steps. Passes also run without an event,
 /// because reservations rely on expected end times.
 const FULL_PASS_INTERVAL: Millis = Millis(100);
 /// Workers per millisecond of the shortest time between two passes. A pass visits every worker, so
 /// the gap grows with their number.
 const WORKERS_PER_PASS_GAP_MS: usize = 250;
-/// Shortest time between two rounds of timed work (leases, looks, retries), each of which visits
+/// Minimum time between two rounds of timed work (leases, looks, retries), each of which visits
 /// every worker.
 const UPKEEP_INTERVAL: Millis = Millis(5);
 
@@ -35,11 +35,11 @@
 pub struct TimeLimits {
     /// How long a worker may keep running its tasks after each order.
     pub lease: Millis,
-    /// Longest lease that an earlier owner may have granted, counted from the takeover.
+    /// Maximum lease that an earlier owner may have granted, counted from the takeover.
     pub previous_lease: Millis,
-    /// Longest lease that workers accept; they shorten longer ones to this.
+    /// Maximum lease that workers accept; they shorten longer ones to this.
     pub max_lease: Millis,
-    /// Longest time that a stopping task occupies its worker.
+    /// Maximum time that a stopping task occupies its worker.
     pub stop_timeout: Millis,
     /// A gang whose members have not all started within this time ends.
     pub gang_timeout: Millis,
@@ -76,7 +76,7 @@
     pub put_aside: u64,
     /// Worker incarnations that ended without notice.
     pub crashes: u64,
-    /// Jobs given up because their tasks crash workers.
+    /// Jobs failed because their tasks crash workers.
     pub crashing_jobs: u64,
     /// Advice calls made.
     pub asked: u64,
--- a/crates/hollowford-jobs/src/event.rs
+++ b/crates/hollowford-jobs/src/event.rs
@@ -110,7 +110,7 @@
         worker: WorkerLife,
         /// Number of tasks that it runs.
         running: usize,
-        /// Number of ends that it keeps.
+        /// Number of ends that are not acknowledged yet.
         ended: usize,
     },
     /// A worker stopped answering, or answers again.
@@ -176,8 +176,9 @@
         step: StepKey,
         /// Number of workers in the call.
         asked: usize,
-        /// Number of workers that may run the step; `None` if there was no answer.
-        good: Option<usize>,
+        /// Number of workers that may run the step (`good` in the log); `None` if there was no
+        /// answer.
+        allowed: Option<usize>,
     },
     /// Tasks no longer wait for workers that this owner has not claimed.
     PartitionSettled {
@@ -265,8 +266,10 @@
                 write!(f, "task.recovered task={task} crashes={crashes} open={open}")
             }
             Event::WorkerLeaving { worker } => write!(f, "worker.leaving worker={worker}"),
-            Event::AdviceAnswered { step, asked, good } => match good {
-                Some(good) => write!(f, "advice.answered step={step} asked={asked} good={good}"),
+            Event::AdviceAnswered { step, asked, allowed } => match allowed {
+                Some(allowed) => {
+                    write!(f, "advice.answered step={step} asked={asked} good={allowed}")
+                }
                 None => write!(f, "advice.unanswered step={step} asked={asked}"),
             },
             Event::PartitionSettled { unclaimed } => {
--- a/crates/hollowford-jobs/src/gang.rs
+++ b/crates/hollowford-jobs/src/gang.rs
@@ -58,7 +58,7 @@
         self.ask_or_defer(pass, waiting, gang, plan.as_ref(), out);
         if let Some(plan) = plan {
             plan.reserve(pass, &gang.spec.allocation());
-            pass.reservations += usize::from(plan.begin > pass.now);
+            pass.reservations += usize::from(plan.start > pass.now);
         }
     }
 
@@ -92,7 +92,7 @@
         {
             let members = |(at, n): (usize, u32)| std::iter::repeat_n(at, n as usize);
             let candidates = placement.into_iter().flat_map(members).collect();
-            return Some(StartPlan { begin: pass.now, candidates });
+            return Some(StartPlan { start: pass.now, candidates });
         }
         self.earliest_start(pass, gang, allowed)
     }
--- a/crates/hollowford-jobs/src/gang_advice_selection.rs
+++ b/crates/hollowford-jobs/src/gang_advice_selection.rs
@@ -22,8 +22,8 @@
 const KNOWN_CAPACITY_FACTOR: f32 = 3.0;
 /// Increase of [`KNOWN_CAPACITY_FACTOR`] per second of waiting.
 const FACTOR_GROWTH_PER_S: f32 = 1.0;
-/// Fewest workers that a call for a gang names, if there are as many. A larger choice is worth the
-/// few additional milliseconds per worker.
+/// Minimum number of workers that a call for a gang names, if there are as many. A larger choice is
+/// worth the few additional milliseconds per worker.
 const MIN_WORKERS_PER_CALL: usize = 50;
 /// Time before the expected start at which tickets are renewed, in addition to the call's duration.
 const TICKET_RENEWAL_LEAD: Millis = Millis(200);
@@ -62,10 +62,10 @@
         workers.sort_unstable();
         workers.dedup();
         let answered_at = pass.now + Millis(cost.call_ms(workers.len()) as u64);
-        if plan.begin > answered_at + TICKET_RENEWAL_LEAD {
+        if plan.start > answered_at + TICKET_RENEWAL_LEAD {
             return Vec::new();
         }
-        let needed_at = plan.begin.max(answered_at);
+        let needed_at = plan.start.max(answered_at);
         workers.retain(|&w| !step.advice.is_pending(w) && !step.advice.has_ticket_at(w, needed_at));
         workers
     }
--- a/crates/hollowford-jobs/src/health.rs
+++ b/crates/hollowford-jobs/src/health.rs
@@ -5,7 +5,7 @@
 
 /// Probability of the same failures in a row on a healthy worker at which a worker is quarantined.
 const MAX_CHANCE_PROBABILITY: f32 = 1e-4;
-/// Fewest and most failed jobs in a row that quarantine a worker.
+/// Minimum and maximum number of failed jobs in a row that quarantine a worker.
 const FAILED_JOBS_RANGE: (usize, usize) = (2, 4);
 /// Weight of the newest end in the failure share; it averages over several hundred ends.
 const FAILURE_SHARE_WEIGHT: f32 = 1.0 / 512.0;
@@ -13,7 +13,7 @@
 const INITIAL_FAILURE_SHARE: f32 = 0.02;
 /// Duration of a worker's first quarantine.
 const MIN_QUARANTINE: Millis = Millis(2_000);
-/// Longest quarantine; the duration doubles with each failed trial.
+/// Maximum quarantine; the duration doubles with each failed trial.
 const MAX_QUARANTINE: Millis = Millis(8_000);
 
 /// Share of tasks that fail in the whole partition, whether through the task or the worker.
@@ -29,7 +29,7 @@
 }
 
 impl FailureRate {
-    /// Records whether a task has failed or ended well.
+    /// Records whether a task has failed or succeeded.
     pub fn record(&mut self, failed: bool) {
         let newest = if failed { 1.0 } else { 0.0 };
         self.share += (newest - self.share) * FAILURE_SHARE_WEIGHT;
@@ -49,7 +49,7 @@
 pub(crate) struct Health {
     /// Jobs of which a task failed here since the last success, each once.
     failed_jobs: Vec<JobId>,
-    /// End of the quarantine or pause. After that the worker is on trial until a task ends well.
+    /// End of the quarantine or pause. After that the worker is on trial until a task succeeds.
     quarantined_until: Option<Millis>,
     last_quarantine: Millis,
 }
@@ -72,17 +72,18 @@
 
     /// Keeps new tasks off the worker until `until`.
     pub fn pause(&mut self, until: Millis) {
-        self.quarantined_until = Some(self.quarantined_until.map_or(until, |a| a.max(until)));
+        self.quarantined_until =
+            Some(self.quarantined_until.map_or(until, |current| current.max(until)));
     }
 
-    /// Records that a task has ended well.
+    /// Records that a task has succeeded.
     pub fn record_success(&mut self) {
         self.failed_jobs.clear();
         self.quarantined_until = None;
         self.last_quarantine = Millis(0);
     }
 
-    /// Returns true if tasks have failed here and none has ended well since.
+    /// Returns true if tasks have failed here and none has succeeded since.
     pub fn is_suspect(&self) -> bool {
         !self.failed_jobs.is_empty()
     }
--- a/crates/hollowford-jobs/src/held_task.rs
+++ b/crates/hollowford-jobs/src/held_task.rs
@@ -93,7 +93,7 @@
     }
 
     /// Records that the worker has started it.
-    pub fn mark_begun(&mut self, now: Millis) {
+    pub fn mark_started(&mut self, now: Millis) {
         if self.phase == Phase::Starting {
             self.phase = Phase::Running;
             self.since = now;
--- a/crates/hollowford-jobs/src/job.rs
+++ b/crates/hollowford-jobs/src/job.rs
@@ -19,7 +19,7 @@
     Queued,
     /// A task has started.
     Running,
-    /// All tasks have ended well.
+    /// All tasks have succeeded.
     Completed,
     /// A task or gang has failed too often, or has crashed too many workers.
     Failed,
@@ -72,7 +72,7 @@
 }
 
 /// Time for which a task avoids the worker on which it failed, if it may run elsewhere. It is
-/// limited because the other workers may never have room.
+/// limited because the other workers may never have enough free capacity.
 const AVOID_PERIOD: Millis = Millis(1_000);
 
 impl Task {
@@ -88,7 +88,7 @@
 
     /// Returns true if a worker has crashed shortly after a start of the task.
     pub fn is_suspect(&self) -> bool {
-        self.crash_record.as_ref().is_some_and(|s| s.is_suspect())
+        self.crash_record.as_ref().is_some_and(|c| c.is_suspect())
     }
 
     /// Returns true if the task may be started at `now`.
@@ -99,7 +99,7 @@
     /// Returns true if the task waits for the outcome of its earlier runs, or for its crash record
     /// to be stored.
     pub fn is_held_back(&self) -> bool {
-        let held_back = |s: &CrashRecord| s.blocks_start() || s.is_unwritten();
+        let held_back = |c: &CrashRecord| c.blocks_start() || c.awaits_row();
         self.is_free() && self.crash_record.as_deref().is_some_and(held_back)
     }
 
@@ -108,8 +108,8 @@
     }
 
     /// Returns true if the store has the task's crash record, or there is none.
-    pub fn is_written(&self) -> bool {
-        self.crash_record.as_ref().is_none_or(|s| !s.is_unwritten())
+    pub fn is_crash_record_stored(&self) -> bool {
+        self.crash_record.as_ref().is_none_or(|c| !c.awaits_row())
     }
 
     /// Returns true if the task is neither done nor placed.
@@ -160,8 +160,8 @@
     }
 
     /// Returns true if the store has the crash records of all tasks.
-    pub fn is_written(&self) -> bool {
-        self.tasks.iter().all(Task::is_written)
+    pub fn are_crash_records_stored(&self) -> bool {
+        self.tasks.iter().all(Task::is_crash_record_stored)
     }
 
     /// Returns how many tasks may be started at `now`.
@@ -221,7 +221,7 @@
     /// Number of rounds that have become due.
     pub due_rounds: u32,
     /// Whether a worker has started a task.
-    pub begun: bool,
+    pub started: bool,
     /// The decided final state, possibly not stored yet.
     pub end: Option<JobState>,
     /// Whether the acceptance has yet to be added to a batch.
@@ -259,9 +259,9 @@
         self.due_rounds == self.spec.rounds() && self.rounds.iter().all(Round::is_done)
     }
 
-    /// Returns true if a gang, or a task that is neither done nor placed, has failed `most` times.
-    pub fn is_exhausted(&self, most: u32) -> bool {
-        let failed = |runs: &[u32]| runs.len() as u32 >= most;
+    /// Returns true if a gang, or a task that is neither done nor placed, has failed `limit` times.
+    pub fn is_exhausted(&self, limit: u32) -> bool {
+        let failed = |runs: &[u32]| runs.len() as u32 >= limit;
         let task = |t: &Task| !t.done && t.worker.is_none() && failed(&t.failed_runs);
         let step = |s: &Step| failed(&s.failed_gang_runs) || s.tasks.iter().any(task);
         self.rounds.iter().any(|r| r.steps.iter().any(step))
@@ -280,17 +280,17 @@
         let task = step.tasks.get_mut(key.index as usize).filter(|t| !t.done)?;
         let crash_record = task.crash_record.get_or_insert_default();
         if store_first {
-            crash_record.unwritten_row = Some(row);
+            crash_record.awaited_row = Some(row);
         }
         Some(crash_record)
     }
 
     /// Records that the progress row with this number is stored.
-    pub fn row_written(&mut self, row: u64) {
+    pub fn row_stored(&mut self, row: u64) {
         let steps = self.rounds.iter_mut().flat_map(|r| &mut r.steps);
         let crash_records =
             steps.flat_map(|s| &mut s.tasks).filter_map(|t| t.crash_record.as_mut());
-        crash_records.for_each(|s| s.row_written(row));
+        crash_records.for_each(|c| c.row_stored(row));
     }
 
     /// Returns the number above which the next runs of a task are numbered at `epoch`.
--- a/crates/hollowford-jobs/src/jobs.rs
+++ b/crates/hollowford-jobs/src/jobs.rs
@@ -76,12 +76,12 @@
         self.waiting.iter()
     }
 
-    /// Takes the steps that may have tasks to start; `restore_waiting` returns those that do.
+    /// Takes the steps that may have tasks to start; `restore_waiting` puts back those that do.
     pub fn take_waiting(&mut self) -> FxHashSet<StepKey> {
         std::mem::take(&mut self.waiting)
     }
 
-    /// Returns to the waiting steps those that still have tasks to start.
+    /// Adds steps that still have tasks to start to the waiting ones.
     pub fn restore_waiting(&mut self, steps: FxHashSet<StepKey>) {
         if self.waiting.is_empty() {
             self.waiting = steps;
@@ -120,10 +120,10 @@
         }
     }
 
-    /// Removes at most `most` jobs that ended before `before`, and returns them.
-    pub fn expire(&mut self, before: Millis, most: usize) -> Vec<JobId> {
+    /// Removes at most `limit` jobs that ended before `before`, and returns them.
+    pub fn expire(&mut self, before: Millis, limit: usize) -> Vec<JobId> {
         let mut out = Vec::new();
-        while out.len() < most {
+        while out.len() < limit {
             let Some(&id) = self.by_end.front() else { break };
             if self.ended.get(&id).is_some_and(|e| e.at >= before) {
                 break;
@@ -169,13 +169,13 @@
 
     /// Records that a worker has started a task of a job. An order to start one doesn't count,
     /// because the worker may be down and callers query how many jobs are waiting.
-    pub fn mark_begun(&mut self, id: JobId) {
+    pub fn mark_started(&mut self, id: JobId) {
         if let Some(job) = self.open.get_mut(&id) {
-            job.begun = true;
+            job.started = true;
         }
     }
 
-    /// Marks a job's progress for writing.
+    /// Marks a job's progress as changed, so that it is written with a later batch.
     pub fn mark_progress_unwritten(&mut self, id: JobId) {
         if let Some(job) = self.open.get_mut(&id) {
             job.progress_unwritten = true;
--- a/crates/hollowford-jobs/src/lease.rs
+++ b/crates/hollowford-jobs/src/lease.rs
@@ -18,21 +18,21 @@
 /// Consecutive unanswered calls after which a worker is logged as silent. Single lost answers are
 /// common and only counted as a share.
 const MIN_SILENT_CALLS: u32 = 2;
-/// Shortest interval between looks at a worker while its ends are being stored. Such a look returns
+/// Minimum interval between looks at a worker while its ends are being stored. Such a look returns
 /// at once instead of waiting for the next end. A store of usual speed finishes within the
 /// interval, which saves the look.
-const MIN_UNWRITTEN_LOOK_INTERVAL: Millis = Millis(100);
+const MIN_STORING_LOOK_INTERVAL: Millis = Millis(100);
 /// Limit on such looks at all workers together, per second, for large cells.
-const MAX_UNWRITTEN_LOOKS_PER_SECOND: u64 = 1_000;
-/// Longest interval between such looks, so that leases are still renewed.
-const MAX_UNWRITTEN_LOOK_INTERVAL: Millis = Millis(900);
+const MAX_STORING_LOOKS_PER_SECOND: u64 = 1_000;
+/// Maximum interval between such looks, so that leases are still renewed.
+const MAX_STORING_LOOK_INTERVAL: Millis = Millis(900);
 
 /// The outcome of a look.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LookAnswer {
     /// The worker's tasks and ends.
     Lists(Look),
-    /// Another incarnation of the worker answered, so the called one is over.
+    /// Another incarnation of the worker answered, so the called one has ended.
     OtherLife,
     /// A newer owner has claimed the worker.
     Fenced,
@@ -44,7 +44,7 @@
     /// Sends the looks that are due.
     pub(crate) fn send_looks(&mut self, now: Millis, out: &mut Vec<Order>) {
         let lease = self.time_limits.lease;
-        let longest = self.answer_loss.max_look_wait();
+        let max_wait = self.answer_loss.max_look_wait();
         for idx in self.workers.indexes() {
             let Some(w) = self.workers.get_mut(idx) else { continue };
             if w.look_in_flight || w.next_look_at > now {
@@ -52,7 +52,7 @@
             }
             w.look_in_flight = true;
             let at_once = !w.claimed || w.restart_suspected_since.is_some();
-            let wait = if at_once || !w.unwritten_ends.is_empty() { Millis(0) } else { longest };
+            let wait = if at_once || !w.unstored_ends.is_empty() { Millis(0) } else { max_wait };
             let call = WorkerCall::Look {
                 worker: w.life.clone(),
                 address: w.address.clone(),
@@ -225,7 +225,7 @@
         let number = end.number;
         job.ends.push(EndRef { worker, number });
         if let Some(w) = self.workers.get_mut(worker) {
-            w.unwritten_ends.insert(number);
+            w.unstored_ends.insert(number);
         }
     }
 
@@ -233,13 +233,12 @@
     /// look, which could not renew the lease.
     fn schedule_next_look(&mut self, idx: WorkerIdx, first: bool, now: Millis) {
         let round_duration =
-            Millis(self.workers.len() as u64 * 1_000 / MAX_UNWRITTEN_LOOKS_PER_SECOND);
-        let interval =
-            round_duration.max(MIN_UNWRITTEN_LOOK_INTERVAL).min(MAX_UNWRITTEN_LOOK_INTERVAL);
+            Millis(self.workers.len() as u64 * 1_000 / MAX_STORING_LOOKS_PER_SECOND);
+        let interval = round_duration.max(MIN_STORING_LOOK_INTERVAL).min(MAX_STORING_LOOK_INTERVAL);
         let Some(w) = self.workers.get_mut(idx) else { return };
         w.next_look_at = if first {
             now + CLAIM_DELAY
-        } else if !w.unwritten_ends.is_empty() {
+        } else if !w.unstored_ends.is_empty() {
             now + interval
         } else {
             now
--- a/crates/hollowford-jobs/src/order.rs
+++ b/crates/hollowford-jobs/src/order.rs
@@ -18,8 +18,9 @@
     },
     /// Ask the advice service which of these workers may run a step.
     Advice {
-        /// Index of the advice channel that makes the call.
-        seat: usize,
+        /// Index of the advice channel that makes the call, in the list set last by
+        /// [`Engine::set_advice_channels`](crate::Engine::set_advice_channels).
+        channel: usize,
         /// The step that waits for advice.
         step: StepKey,
         /// Ids of the workers to ask about.
@@ -160,8 +161,8 @@
     pub saved: Arc<str>,
     /// Completed share of its work, in percent.
     pub progress: u32,
-    /// For a service task, the tail of its users' response times in milliseconds; for other tasks,
-    /// the processors in use.
+    /// For a service task, its tail latency in milliseconds; for other tasks, the processors in
+    /// use.
     pub load: u32,
 }
 
@@ -217,6 +218,6 @@
     pub labels: Vec<Arc<str>>,
     /// Whether the platform is about to remove it.
     pub leaving: bool,
-    /// Shortest time until its removal, once it is leaving.
+    /// Minimum time until its removal, once it is leaving.
     pub remaining: Option<Millis>,
 }
--- a/crates/hollowford-jobs/src/pacing.rs
+++ b/crates/hollowford-jobs/src/pacing.rs
@@ -20,10 +20,10 @@
 const SPEED_UP_STEP_PERCENT: u32 = 20;
 /// Tail latency up to which best-effort tasks are sped up, in percent of the target.
 const CALM_LATENCY_PERCENT: u64 = 70;
-/// Shortest time between a change of pace and slowing down on a worker. Tail latencies are reported
+/// Minimum time between a change of pace and slowing down on a worker. Tail latencies are reported
 /// over the last half second.
 const SLOW_DOWN_INTERVAL: Millis = Millis(600);
-/// Shortest time between a change of pace and speeding up on a worker, so that a disturbance shows
+/// Minimum time between a change of pace and speeding up on a worker, so that a disturbance shows
 /// before the next step.
 const SPEED_UP_INTERVAL: Millis = Millis(1_500);
 
@@ -88,11 +88,11 @@
             if !spec.service || spec.latency_target_ms == 0 {
                 continue;
             }
-            let tail_ms = u64::from(r.load);
-            if tail_ms > spec.latency_target_ms {
+            let latency_ms = u64::from(r.load);
+            if latency_ms > spec.latency_target_ms {
                 return LatencyStatus::Missed;
             }
-            if tail_ms * 100 > spec.latency_target_ms * CALM_LATENCY_PERCENT {
+            if latency_ms * 100 > spec.latency_target_ms * CALM_LATENCY_PERCENT {
                 worst = LatencyStatus::Near;
             }
         }
--- a/crates/hollowford-jobs/src/placement.rs
+++ b/crates/hollowford-jobs/src/placement.rs
@@ -16,8 +16,8 @@
 use hollowford_core::Millis;
 use std::sync::Arc;
 
-/// Most steps that a pass tries without placing any of their tasks, the most urgent first. Passes
-/// run after every event, so each must be cheap; full passes have no limit.
+/// Maximum number of steps that a pass tries without placing any of their tasks, the most urgent
+/// first. Passes run after every event, so each must be cheap; full passes have no limit.
 const MAX_UNPLACED_STEPS: usize = 200;
 
 /// The step that is being placed, with the data that decides where it may go.
--- a/crates/hollowford-jobs/src/progress_rows.rs
+++ b/crates/hollowford-jobs/src/progress_rows.rs
@@ -15,7 +15,7 @@
     #[prost(message, repeated, tag = "2")]
     pub rounds: Vec<RoundRow>,
     #[prost(bool, tag = "3")]
-    pub begun: bool,
+    pub started: bool,
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -99,7 +99,7 @@
     /// Creates the progress row of a job.
     pub fn of(job: &Job) -> ProgressRow {
         let rounds = job.rounds.iter().filter(|r| !r.is_done()).map(RoundRow::of).collect();
-        ProgressRow { due_rounds: job.due_rounds, rounds, begun: job.begun }
+        ProgressRow { due_rounds: job.due_rounds, rounds, started: job.started }
     }
 }
 
@@ -118,7 +118,7 @@
 }
 
 impl From<&CrashRecord> for CrashRecordRow {
-    fn from(s: &CrashRecord) -> CrashRecordRow {
+    fn from(record: &CrashRecord) -> CrashRecordRow {
         let open = |r: &OpenRun| OpenRunRow {
             run: r.run,
             worker: r.worker.id().as_str().to_owned(),
@@ -127,11 +127,11 @@
             incarnation: r.worker.incarnation().map(|i| i.0),
         };
         CrashRecordRow {
-            crashed_runs: s.crashed_runs.clone(),
-            fresh_runs: s.fresh_runs.clone(),
-            unconfirmed_runs: s.unconfirmed_runs.clone(),
-            uncertain_runs: s.uncertain_runs.clone(),
-            open_runs: s.open_runs.iter().map(open).collect(),
+            crashed_runs: record.crashed_runs.clone(),
+            fresh_runs: record.fresh_runs.clone(),
+            unconfirmed_runs: record.unconfirmed_runs.clone(),
+            uncertain_runs: record.uncertain_runs.clone(),
+            open_runs: record.open_runs.iter().map(open).collect(),
         }
     }
 }
@@ -150,7 +150,7 @@
             unconfirmed_runs: row.unconfirmed_runs.clone(),
             uncertain_runs: row.uncertain_runs.clone(),
             open_runs: row.open_runs.iter().map(open).collect(),
-            unwritten_row: None,
+            awaited_row: None,
         }
     }
 }
--- a/crates/hollowford-jobs/src/recover.rs
+++ b/crates/hollowford-jobs/src/recover.rs
@@ -94,7 +94,7 @@
     fn recover_progress(&mut self, id: JobId, row: &ProgressRow, now: Millis) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.has_progress_row = true;
-        job.begun = row.begun;
+        job.started = row.started;
         if job.spec.schedule.is_some() {
             for r in &row.rounds {
                 job.due_rounds = r.number;
--- a/crates/hollowford-jobs/src/reservation.rs
+++ b/crates/hollowford-jobs/src/reservation.rs
@@ -12,9 +12,10 @@
 use crate::workers::WorkerIdx;
 use hollowford_core::{Millis, Resources};
 
-/// Most steps with reservations at a time. Each reservation leaves less capacity for other steps.
+/// Maximum number of steps with reservations at a time. Each reservation leaves less capacity for
+/// other steps.
 const MAX_RESERVATIONS: usize = 3;
-/// Most tasks of a step that are planned on one worker.
+/// Maximum number of tasks of a step that are planned on one worker.
 const MAX_SLOTS_PER_WORKER: u32 = 64;
 /// Share of a worker's capacity, in percent, from which a task is large. One resource is enough.
 const LARGE_TASK_PERCENT: u64 = 40;
@@ -23,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct StartPlan {
     /// Expected start.
-    pub begin: Millis,
+    pub start: Millis,
     /// Position of the candidate of each member.
     pub candidates: Vec<usize>,
 }
@@ -31,7 +32,7 @@
 impl StartPlan {
     /// Reserves the resources of all members.
     pub fn reserve(&self, pass: &mut Pass, need: &Resources) {
-        self.candidates.iter().for_each(|&at| pass.candidates[at].reserve(need, self.begin));
+        self.candidates.iter().for_each(|&at| pass.candidates[at].reserve(need, self.start));
     }
 }
 
@@ -46,8 +47,8 @@
     ) -> Option<StartPlan> {
         let count = gang.spec.count as usize;
         let slots = self.earliest_slots(pass, gang, allowed, count);
-        let &(begin, _) = slots.last().filter(|_| slots.len() == count)?;
-        Some(StartPlan { begin, candidates: slots.into_iter().map(|(_, at)| at).collect() })
+        let &(start, _) = slots.last().filter(|_| slots.len() == count)?;
+        Some(StartPlan { start, candidates: slots.into_iter().map(|(_, at)| at).collect() })
     }
 
     /// Reserves the earliest capacity for the unstarted tasks of a step on workers of which one
@@ -68,7 +69,7 @@
         allowed.retain(|&at| takes_large_part(&need, &pass.candidates[at].capacity));
         let slots = self.earliest_slots(pass, step, &allowed, remaining);
         if !slots.is_empty() {
-            slots.into_iter().for_each(|(begin, at)| pass.candidates[at].reserve(&need, begin));
+            slots.into_iter().for_each(|(start, at)| pass.candidates[at].reserve(&need, start));
             pass.reservations += 1;
         }
     }
@@ -118,8 +119,8 @@
         for _ in 0..fitting.min(MAX_SLOTS_PER_WORKER) {
             slots.push((now, at));
         }
-        for (end, room) in ends {
-            free = free.plus(&room);
+        for (end, allocation) in ends {
+            free = free.plus(&allocation);
             let count = fit_count(need, &free);
             for _ in fitting..count.min(MAX_SLOTS_PER_WORKER) {
                 slots.push((end, at));
--- a/crates/hollowford-jobs/src/spec.rs
+++ b/crates/hollowford-jobs/src/spec.rs
@@ -5,11 +5,12 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// Most tasks of one step. The progress of a step has to fit into one row of the store.
+/// Maximum number of tasks of one step. The progress of a step has to fit into one row of the
+/// store.
 pub const MAX_TASKS_PER_STEP: u32 = 2_000;
-/// Most steps of one job.
+/// Maximum number of steps of one job.
 pub const MAX_STEPS_PER_JOB: usize = 64;
-/// Longest template, in bytes.
+/// Maximum size of a template, in bytes.
 pub const MAX_TEMPLATE_BYTES: usize = 4_000;
 
 /// Identifies a job: 16 hex digits that the caller chose.
@@ -139,13 +140,14 @@
     pub required_label: String,
     /// Rack that holds the data; empty if there is none.
     pub data_rack: String,
-    /// Most tasks of the step on one worker; 0 means no limit.
+    /// Maximum number of tasks of the step on one worker; 0 means no limit.
     pub max_per_worker: u32,
     /// Whether copies of a task may run at the same time.
     pub speculative: bool,
     /// Whether the tasks are service tasks, which run until the job is cancelled.
     pub service: bool,
-    /// Most service tasks of the step that the scheduler itself may interrupt at the same time.
+    /// Maximum number of service tasks of the step that the scheduler itself may interrupt at the
+    /// same time.
     pub max_unavailable: u32,
     /// Whether the tasks are best-effort tasks, which use only processors that others leave idle.
     pub best_effort: bool,
--- a/crates/hollowford-jobs/src/stall.rs
+++ b/crates/hollowford-jobs/src/stall.rs
@@ -8,7 +8,7 @@
 use crate::workers::WorkerIdx;
 use hollowford_core::Millis;
 
-/// Shortest time without a change of progress after which a task counts as stalled. Progress is
+/// Minimum time without a change of progress after which a task counts as stalled. Progress is
 /// reported in whole percent, so long tasks are given more time.
 const MIN_STALL_TIMEOUT: Millis = Millis(700);
 /// Part of a task's estimated time, in percent, that one percent of progress may take. A worker may
@@ -21,7 +21,7 @@
 /// Time after which a stalled short task is started elsewhere. Little work is lost, and its caller
 /// is waiting.
 const STALLED_TASK_MOVE_TIMEOUT: Millis = Millis(1_000);
-/// Longest estimate of a task that counts as short.
+/// Maximum estimate of a task that counts as short.
 const MAX_SHORT_TASK_ESTIMATE: Millis = Millis(2_000);
 /// Weight of the newest sample in a worker's slowness.
 const SLOWNESS_WEIGHT: f32 = 0.2;
@@ -60,7 +60,8 @@
         self.jobs.step_spec(key.step).map_or(Millis(0), |s| Millis(s.estimate_ms))
     }
 
-    /// Pauses a worker on which every running task is stalled, and moves its short tasks.
+    /// Pauses a worker on which every running task is stalled, and restarts its short tasks
+    /// elsewhere.
     pub(crate) fn check_stalled(&mut self, idx: WorkerIdx, now: Millis) {
         let Some(w) = self.workers.get(idx) else { return };
         let running: Vec<&HeldTask> = w.held.iter().filter(|h| h.phase == Phase::Running).collect();
--- a/crates/hollowford-jobs/src/starts.rs
+++ b/crates/hollowford-jobs/src/starts.rs
@@ -19,7 +19,7 @@
 /// Time after which an unanswered start of a member makes the whole gang start again, in percent of
 /// the gang timeout.
 const GANG_RESTART_PERCENT: u64 = 60;
-/// Longest time that a start waits until its row is in the store.
+/// Maximum time that a start waits until its row is in the store.
 const UNSENT_START_TIMEOUT: Millis = Millis(500);
 
 impl Engine {
@@ -70,9 +70,9 @@
     /// Returns whether the row that records a start is in the store.
     fn is_stored(&self, key: TaskKey) -> bool {
         if self.is_gang(key.step) {
-            self.jobs.step(key.step).is_none_or(Step::is_written)
+            self.jobs.step(key.step).is_none_or(Step::are_crash_records_stored)
         } else {
-            self.jobs.task(key).is_none_or(Task::is_written)
+            self.jobs.task(key).is_none_or(Task::is_crash_record_stored)
         }
     }
 
@@ -132,8 +132,8 @@
         h.call_in_flight = false;
         match answer {
             StartAnswer::Runs(_) => {
-                h.mark_begun(now);
-                self.jobs.mark_begun(task.step.job);
+                h.mark_started(now);
+                self.jobs.mark_started(task.step.job);
             }
             StartAnswer::Unanswered => h.start_unanswered = true,
             // The end of the run is listed in a look, now or before.
@@ -187,10 +187,10 @@
             if let Some(w) = self.workers.get_mut(idx) {
                 w.answer_times.record(now.since(sent));
                 if let Some(h) = w.find_mut(task, run) {
-                    h.mark_begun(now);
+                    h.mark_started(now);
                 }
             }
-            self.jobs.mark_begun(task.step.job);
+            self.jobs.mark_started(task.step.job);
         }
         *answer == StartAnswer::Fenced
     }
@@ -262,9 +262,9 @@
         let is_stored = self.is_stored(p.task);
         let Some(w) = self.workers.get_mut(p.idx) else { return };
         // The worker's capacity may have shrunk since the task was placed.
-        let has_room = w.fits_capacity();
+        let fits = w.fits_capacity();
         let Some(h) = w.find_mut(p.task, p.run) else { return };
-        if !has_room {
+        if !fits {
             self.free(p, GiveUpCause::Unsent, now);
         } else if is_stored {
             h.unsent = false;
--- a/crates/hollowford-jobs/src/submit.rs
+++ b/crates/hollowford-jobs/src/submit.rs
@@ -108,7 +108,7 @@
             return Some(ended.state);
         }
         let job = self.jobs.get(id).filter(|j| j.durable)?;
-        Some(if job.begun { JobState::Running } else { JobState::Queued })
+        Some(if job.started { JobState::Running } else { JobState::Queued })
     }
 
     /// Returns whether a job's end is decided but not in the store yet.
@@ -116,9 +116,10 @@
         self.jobs.get(id).is_some_and(|j| j.end.is_some())
     }
 
-    /// Returns the number of the queue's durably accepted jobs of which no task has begun.
+    /// Returns the number of the queue's durably accepted jobs of which no task has started.
     pub fn waiting_jobs(&self, queue: &str) -> usize {
-        let is_waiting = |j: &&Job| &*j.queue == queue && j.durable && !j.begun && j.end.is_none();
+        let is_waiting =
+            |j: &&Job| &*j.queue == queue && j.durable && !j.started && j.end.is_none();
         self.jobs.open().filter(is_waiting).count()
     }
 
@@ -194,7 +195,7 @@
         durable: false,
         rounds: Vec::new(),
         due_rounds: 0,
-        begun: false,
+        started: false,
         end: None,
         acceptance_unwritten: true,
         progress_unwritten: false,
--- a/crates/hollowford-jobs/src/task_ends.rs
+++ b/crates/hollowford-jobs/src/task_ends.rs
@@ -11,16 +11,16 @@
 use hollowford_core::{Millis, Resources};
 use std::sync::Arc;
 
-/// Shortest pause before a service task that has ended is started again.
+/// Minimum pause before a service task that has ended is started again.
 const SERVICE_RESTART_DELAY: Millis = Millis(200);
 
 impl Engine {
     /// Processes a report that a task runs.
     pub(crate) fn process_running(&mut self, idx: WorkerIdx, r: &Running, now: Millis) {
-        self.jobs.mark_begun(r.task.step.job);
+        self.jobs.mark_started(r.task.step.job);
         let Some(w) = self.workers.get_mut(idx) else { return };
         if let Some(h) = w.find_mut(r.task, r.run) {
-            h.mark_begun(now);
+            h.mark_started(now);
             let (stable, cleared) = (h.becomes_stable(now), h.becomes_cleared(now));
             self.record_progress(idx, r, now);
             let p = Placement { idx, task: r.task, run: r.run };
@@ -82,8 +82,8 @@
         let Some(w) = self.workers.get_mut(idx) else { return };
         // The resources of a task of an ended job are unknown, and the worker's capacity may be
         // unknown too: nothing fits beside it.
-        let room = step.map_or(Resources::ALL, StepSpec::allocation);
-        w.hold(HeldTask::new((r.task, r.run), account, room, Phase::Stopping, now));
+        let allocation = step.map_or(Resources::ALL, StepSpec::allocation);
+        w.hold(HeldTask::new((r.task, r.run), account, allocation, Phase::Stopping, now));
         self.events.push(Event::ForeignTask { task: r.task, run: r.run, worker: w.life.clone() });
         self.stats.foreign += 1;
     }
@@ -101,7 +101,7 @@
     pub(crate) fn process_end(&mut self, idx: WorkerIdx, end: &End, now: Millis) {
         self.release_ended(idx, end);
         let key = end.task;
-        self.jobs.mark_begun(key.step.job);
+        self.jobs.mark_started(key.step.job);
         let Some(job) = self.jobs.get(key.step.job).filter(|j| j.end.is_none()) else {
             return;
         };
@@ -211,7 +211,7 @@
     fn task_failed(&mut self, idx: WorkerIdx, end: &End, spec: &StepSpec, now: Millis) {
         let (key, run) = (end.task, end.run);
         self.stats.failed += 1;
-        let most = self.max_attempts(key.step.job);
+        let max_attempts = self.max_attempts(key.step.job);
         let Some(step) = self.jobs.step_mut(key.step) else { return };
         let failures = if spec.gang {
             count_failure(&mut step.failed_gang_runs, run)
@@ -220,7 +220,7 @@
             task.avoid_worker(idx, now);
             count_failure(&mut task.failed_runs, run)
         };
-        if failures >= most {
+        if failures >= max_attempts {
             self.end_job(key.step.job, JobState::Failed, now);
         }
     }
@@ -229,8 +229,8 @@
     /// been known to this owner when the failures were counted.
     pub(crate) fn end_exhausted(&mut self, now: Millis) {
         for id in self.jobs.ids() {
-            let most = self.max_attempts(id);
-            if self.jobs.get(id).is_some_and(|j| j.is_exhausted(most)) {
+            let max_attempts = self.max_attempts(id);
+            if self.jobs.get(id).is_some_and(|j| j.is_exhausted(max_attempts)) {
                 self.end_job(id, JobState::Failed, now);
             }
         }
--- a/crates/hollowford-jobs/src/urgency.rs
+++ b/crates/hollowford-jobs/src/urgency.rs
@@ -6,7 +6,7 @@
 use crate::spec::StepKey;
 use hollowford_core::Millis;
 
-/// Multiple of the objective after which the users give an answer no more value.
+/// Multiple of the objective after which the result has no value to users.
 const WORTHLESS_AFTER_OBJECTIVES: u64 = 3;
 /// Time after its latest start at which a worthless step goes before all others, one step at a
 /// time.
@@ -33,7 +33,7 @@
     InTime,
     /// Can no longer meet the objective.
     Late,
-    /// Can no longer finish while the answer has value.
+    /// Can no longer finish while the result has value.
     Worthless,
 }
 
--- a/crates/hollowford-jobs/src/wait_causes.rs
+++ b/crates/hollowford-jobs/src/wait_causes.rs
@@ -75,7 +75,7 @@
     }
 }
 
-/// Most steps that are reported, since each is compared with all workers.
+/// Maximum number of steps that are reported, since each is compared with all workers.
 const MAX_REPORTED_STEPS: usize = 200;
 
 impl Engine {
--- a/crates/hollowford-jobs/src/worker.rs
+++ b/crates/hollowford-jobs/src/worker.rs
@@ -80,7 +80,7 @@
     pub lease_until: u64,
     /// Numbers of processed ends whose effects are not stored yet. They must not be acknowledged
     /// before.
-    pub unwritten_ends: BTreeSet<u64>,
+    pub unstored_ends: BTreeSet<u64>,
     /// Highest number of a processed end.
     pub last_processed_end: u64,
     pub look_in_flight: bool,
@@ -126,7 +126,7 @@
             claimed: false,
             clock: None,
             lease_until: 0,
-            unwritten_ends: BTreeSet::new(),
+            unstored_ends: BTreeSet::new(),
             last_processed_end: 0,
             look_in_flight: false,
             next_look_at: now,
@@ -150,7 +150,7 @@
         self.leaving |= l.leaving;
         if let Some(remaining) = l.remaining {
             let at = now + remaining;
-            self.leaves_at = Some(self.leaves_at.map_or(at, |g| g.min(at)));
+            self.leaves_at = Some(self.leaves_at.map_or(at, |earlier| earlier.min(at)));
         }
         self.update_free();
     }
@@ -239,7 +239,7 @@
         if self.restart_suspected_since.is_some() {
             return 0;
         }
-        self.unwritten_ends.first().map_or(self.last_processed_end, |first| first - 1)
+        self.unstored_ends.first().map_or(self.last_processed_end, |first| first - 1)
     }
 
     /// Returns the timeout for the answer to a call that is made now.
--- a/crates/hollowford-jobs/src/worker_restart.rs
+++ b/crates/hollowford-jobs/src/worker_restart.rs
@@ -70,7 +70,7 @@
         idx
     }
 
-    /// Adds the incarnation that answers under the id of the one at `idx`, which is over.
+    /// Adds the incarnation that answers under the id of the one at `idx`, which has ended.
     fn add_successor(
         &mut self,
         idx: WorkerIdx,
@@ -101,20 +101,20 @@
         look: &Look,
         now: Millis,
     ) {
-        let longest = self.time_limits.max_lease;
+        let max_lease = self.time_limits.max_lease;
         if let Some(w) = self.workers.get_mut(next) {
             // The previous incarnation's clock is unrelated, so its lease end may lie far ahead.
             // The worker shortens longer leases to this maximum.
-            w.lease_until = w.lease_until.max(look.clock + longest.0);
+            w.lease_until = w.lease_until.max(look.clock + max_lease.0);
         }
         let Some(w) = self.workers.get(idx) else { return };
-        let begun = |h: &&HeldTask| {
+        let executed = |h: &&HeldTask| {
             let is_same_run = |task: TaskKey, run: u32| task == h.task && run == h.run;
             look.running.iter().any(|r| is_same_run(r.task, r.run))
                 || look.ended.iter().any(|e| is_same_run(e.task, e.run))
         };
-        let begun: Vec<_> = w.held.iter().filter(begun).map(|h| (h.task, h.run)).collect();
-        for (task, run) in begun {
+        let executed: Vec<_> = w.held.iter().filter(executed).map(|h| (h.task, h.run)).collect();
+        for (task, run) in executed {
             self.move_held(Placement { idx, task, run }, next);
         }
         self.end_incarnation(idx, Some(next), now);
@@ -157,7 +157,7 @@
         if t.worker == Some(idx) && t.run == run {
             t.worker = Some(next);
         }
-        if t.crash_record.as_mut().is_some_and(|s| s.move_run(run, &life)) {
+        if t.crash_record.as_mut().is_some_and(|c| c.move_run(run, &life)) {
             self.jobs.mark_progress_unwritten(task.step.job);
         }
         true
@@ -169,9 +169,9 @@
         let job = p.task.step.job;
         let name = self.account_of(job).unwrap_or(NO_ACCOUNT).to_owned();
         let account = self.accounts.intern(&name);
-        let room =
+        let allocation =
             self.jobs.step_spec(p.task.step).map_or_else(Default::default, StepSpec::allocation);
-        let held = HeldTask::new((p.task, p.run), account, room, Phase::Stopping, now);
+        let held = HeldTask::new((p.task, p.run), account, allocation, Phase::Stopping, now);
         if let Some(w) = self.workers.get_mut(p.idx) {
             w.hold(held);
         }
--- a/crates/hollowford-jobs/src/workers.rs
+++ b/crates/hollowford-jobs/src/workers.rs
@@ -53,15 +53,15 @@
         indexes.filter_map(|&idx| Some((idx, self.get(idx)?)))
     }
 
-    /// Returns the index of an incarnation. A name without an incarnation number also finds the
-    /// worker that was first known under it.
+    /// Returns the index of an incarnation. An identity without an incarnation number also finds
+    /// the worker that was first known by that id.
     pub fn find(&self, life: &WorkerLife) -> Option<WorkerIdx> {
         let exact = self.with_id(life.id()).find(|(_, w)| w.life == *life);
-        let named = || {
-            let is_unnamed = life.incarnation().is_none();
-            self.with_id(life.id()).find(|(_, w)| is_unnamed && w.lacked_incarnation)
+        let by_id = || {
+            let lacks_incarnation = life.incarnation().is_none();
+            self.with_id(life.id()).find(|(_, w)| lacks_incarnation && w.lacked_incarnation)
         };
-        exact.or_else(named).map(|(idx, _)| idx)
+        exact.or_else(by_id).map(|(idx, _)| idx)
     }
 
     pub fn get(&self, idx: WorkerIdx) -> Option<&Worker> {
--- a/crates/hollowford-jobs/tests/accounts.rs
+++ b/crates/hollowford-jobs/tests/accounts.rs
@@ -196,7 +196,8 @@
     assert_eq!((busy.used.cpu_milli, busy.quota.cpu_milli), (6_000, 40_000));
 }
 
-/// Returns a cell in which each account has `owed_per_s` guaranteed jobs per second and no quota.
+/// Returns a cell in which each account has `guaranteed_jobs_per_s` guaranteed jobs per second and
+/// no quota.
 fn cell_with_guaranteed_rates(workers: usize, guaranteed_jobs_per_s: u32) -> TestCell {
     let mut cell = TestCell::new(workers);
     let account = |name| Account { guaranteed_jobs_per_s, ..account(name, 0) };
--- a/crates/hollowford-jobs/tests/answers.rs
+++ b/crates/hollowford-jobs/tests/answers.rs
@@ -7,7 +7,7 @@
 use hollowford_core::Millis;
 use hollowford_jobs::*;
 
-/// Longest time that a look waits for an end; used while no answers are lost.
+/// Maximum time that a look waits for an end; used while no answers are lost.
 const MAX_LOOK_WAIT: Millis = Millis(1_000);
 
 /// Returns the wait of each executed look, and clears the list of executed orders.
@@ -80,10 +80,10 @@
     let calm = take_look_waits(&mut cell);
     assert!(calm.contains(&MAX_LOOK_WAIT), "{calm:?}");
     // In half of the steps the answers of one worker are lost.
-    for turn in 0..400 {
-        cell.workers[turn % 4].drops_answers = true;
+    for iteration in 0..400 {
+        cell.workers[iteration % 4].drops_answers = true;
         cell.run(5);
-        cell.workers[turn % 4].drops_answers = false;
+        cell.workers[iteration % 4].drops_answers = false;
         cell.run(5);
     }
     take_look_waits(&mut cell);
--- a/crates/hollowford-jobs/tests/attempts.rs
+++ b/crates/hollowford-jobs/tests/attempts.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn attempts_that_were_not_written_down_count_after_a_takeover() {
+fn attempts_that_were_not_stored_count_after_a_takeover() {
     let mut cell = cell_with_failing_job(4);
     cell.submit(1, QUICK, job(vec![step(1, 1_000, 100)]));
     cell.run(20);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_task_returns_to_the_worker_that_has_failed_it_while_no_other_has_room() {
+fn a_task_returns_to_the_worker_where_it_failed_while_no_other_has_free_capacity() {
     let mut cell = TestCell::new(2);
     cell.submit(1, QUICK, job(vec![step(1, 16_000, 60_000)]));
     cell.run(50);
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_task_may_return_to_the_only_worker_that_has_failed_it() {
+fn a_task_may_return_to_the_only_worker_although_it_failed_there() {
     let mut cell = TestCell::new(1);
     cell.workers[0].fails_all = true;
     cell.submit(1, QUICK, job(vec![step(1, 1_000, 100)]));
--- a/crates/hollowford-jobs/tests/backlog.rs
+++ b/crates/hollowford-jobs/tests/backlog.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn every_step_of_a_backlog_runs_once_there_is_room() {
+fn every_step_of_a_backlog_runs_once_capacity_is_free() {
     let mut cell = cell_with_backlog(0);
     let second_step = || StepSpec { depends_on: vec![0], ..step(1, 2_000, 20) };
     for id in 0..600 {
@@ -68,7 +68,8 @@
 fn small_tasks_do_not_delay_a_large_one_forever() {
     let mut cell = TestCell::new(1);
     for i in 0..100 {
-        // More small tasks arrive than fit, and each one that ends frees room only for another small one.
+        // More small tasks arrive than fit, and each one that ends frees capacity only for another
+        // small one.
         cell.submit(i, LARGE, job(vec![step(1, 4_000, 100)]));
         if i == 10 {
             cell.submit(1_000, LARGE, job(vec![step(1, 14_000, 100)]));
--- a/crates/hollowford-jobs/tests/batches.rs
+++ b/crates/hollowford-jobs/tests/batches.rs
@@ -6,7 +6,7 @@
 use hollowford_jobs::*;
 
 #[test]
-fn a_refused_batch_is_written_again_whole() {
+fn all_rows_of_a_refused_batch_are_written_again() {
     let mut cell = TestCell::new(1);
     cell.submit(1, LARGE, job(vec![step(2, 1_000, 100), step(1, 1_000, 60_000)]));
     cell.run(50);
@@ -181,11 +181,11 @@
         let mut cell = TestCell::new(4);
         cell.store_up = false;
         let mut durable = std::collections::BTreeSet::new();
-        for turn in 0..2_000 {
-            if turn % 20 == 0 && turn / 20 < JOBS_PER_SEED {
+        for iteration in 0..2_000 {
+            if iteration % 20 == 0 && iteration / 20 < JOBS_PER_SEED {
                 // The tasks run on different workers, so that their ends are written one by one.
                 let steps = (0..3).map(|_| step(1, 9_000, random.u64(5..150)));
-                cell.submit(turn / 20, QUICK, job(steps.collect()));
+                cell.submit(iteration / 20, QUICK, job(steps.collect()));
             }
             cell.run(5);
             disturb_at_random(&mut cell, &mut random);
--- a/crates/hollowford-jobs/tests/cancels.rs
+++ b/crates/hollowford-jobs/tests/cancels.rs
@@ -10,7 +10,7 @@
 use hollowford_core::Millis;
 use hollowford_jobs::*;
 
-/// Longest time from the start of such a task to its end: that of the next look and a stop, in
+/// Maximum time from the start of such a task to its end: that of the next look and a stop, in
 /// milliseconds.
 const MAX_STOP_MS: u64 = 1_300;
 
--- a/crates/hollowford-jobs/tests/common/crashes.rs
+++ b/crates/hollowford-jobs/tests/common/crashes.rs
@@ -78,7 +78,7 @@
         if self.same_id {
             w.restart_with_same_id();
         } else {
-            w.restart(&format!("life-{}-{}", w.address, now.0));
+            w.restart(&format!("incarnation-{}-{}", w.address, now.0));
         }
     }
 
--- a/crates/hollowford-jobs/tests/common/mod.rs
+++ b/crates/hollowford-jobs/tests/common/mod.rs
@@ -57,7 +57,7 @@
 pub struct PendingAdvice {
     /// Time of arrival.
     pub at: Millis,
-    pub seat: AdviceChannel,
+    pub channel: AdviceChannel,
     pub step: StepKey,
     pub rows: WorkerTickets,
 }
@@ -262,19 +262,19 @@
         let fence = self.engine.epoch();
         match order {
             Order::Worker { call, .. } => self.call(call, fence),
-            Order::Advice { seat, step, workers } => {
-                let seat = self
+            Order::Advice { channel, step, workers } => {
+                let channel = self
                     .engine
-                    .advice_channel(seat)
-                    .expect("the engine should know the seat")
+                    .advice_channel(channel)
+                    .expect("the engine should know the channel")
                     .clone();
-                if self.unresponsive_instances.contains(&*seat.address) {
+                if self.unresponsive_instances.contains(&*channel.address) {
                     return;
                 }
-                let good = workers.iter().filter(|w| self.is_eligible(step, w));
-                let rows = good.map(|w| (w.clone(), self.ticket_of(w))).collect();
+                let eligible = workers.iter().filter(|w| self.is_eligible(step, w));
+                let rows = eligible.map(|w| (w.clone(), self.ticket_of(w))).collect();
                 let at = self.now + self.advice_delay(step.job, workers.len());
-                self.pending_advice.push(PendingAdvice { at, seat, step, rows });
+                self.pending_advice.push(PendingAdvice { at, channel, step, rows });
                 self.deliver_due_advice();
             }
         }
@@ -306,7 +306,7 @@
         let now = self.now;
         for due in self.pending_advice.extract_if(.., |d| d.at <= now).collect::<Vec<_>>() {
             let answer = Some((due.rows, Millis(2_000)));
-            self.engine.advice_answered(&due.seat, due.step, answer, now);
+            self.engine.advice_answered(&due.channel, due.step, answer, now);
         }
     }
 
--- a/crates/hollowford-jobs/tests/common/scenario.rs
+++ b/crates/hollowford-jobs/tests/common/scenario.rs
@@ -23,11 +23,11 @@
 const SETTLE_TIMEOUT_MS: u64 = 240_000;
 /// The limit on starts holds once the store has worked for this long.
 const STORE_HEALTHY_AFTER: Millis = Millis(2_000);
-/// Shortest outage of the store that a new owner takes into account.
+/// Minimum outage of the store that a new owner takes into account.
 const MIN_OUTAGE: Millis = Millis(500);
 /// A new owner takes an outage into account if it ended less than this long ago.
 const RECENT_OUTAGE: Millis = Millis(2_000);
-/// Longest time until a leaving worker is replaced by another one at its address, in milliseconds.
+/// Maximum time until a leaving worker is replaced by another one at its address, in milliseconds.
 const MAX_LEAVE_MS: u64 = 2_500;
 /// A gang member ends if its gang is incomplete for this long.
 const GANG_TIMEOUT: Millis = Millis(3_000);
@@ -41,7 +41,7 @@
     pub owner_lost_percent: u32,
     /// The store refuses the batches in flight.
     pub refusals: u64,
-    /// A worker is unreachable for a while; its tasks run on.
+    /// A worker is unreachable for a while; its tasks continue.
     pub disconnects: u64,
     /// A worker's answers are lost for a while; it executes the orders.
     pub lost_answers: u64,
@@ -85,7 +85,7 @@
     write_due_at: Option<Millis>,
     /// When silent workers answer again, by address.
     silent_until: BTreeMap<Arc<str>, Millis>,
-    /// When leaving workers are gone, by address.
+    /// When leaving workers are replaced, by address.
     departs_at: BTreeMap<Arc<str>, Millis>,
     /// Number of workers that have replaced one that left.
     replacements: u64,
@@ -221,9 +221,9 @@
         self.record_ends();
         self.assert_none_stuck();
         let age = self.age();
-        for note in self.cell.engine.take_events() {
+        for event in self.cell.engine.take_events() {
             if self.traced {
-                eprintln!("{age:>6} {note}");
+                eprintln!("{age:>6} {event}");
             }
         }
     }
--- a/crates/hollowford-jobs/tests/common/worker.rs
+++ b/crates/hollowford-jobs/tests/common/worker.rs
@@ -48,14 +48,14 @@
     /// Whether the platform's list contains the worker.
     pub listed: bool,
     pub leaving: bool,
-    /// Minimum time until a leaving worker is gone.
+    /// Minimum time until a leaving worker is removed.
     pub remaining: Option<Millis>,
-    /// Whether calls reach the worker. Its tasks run on in any case.
+    /// Whether calls reach the worker. Its tasks continue in any case.
     pub reachable: bool,
     /// Whether calls are executed but their answers are lost.
     pub drops_answers: bool,
     /// A start of the earlier owner that is still being executed when the next owner calls first:
-    /// the task begins only after the answer to that call.
+    /// the task starts only after the answer to that call.
     pub delayed_start: Option<(TaskKey, Run)>,
     /// Whether tasks with an estimate of zero run until they are stopped, instead of ending at once.
     pub runs_until_stopped: bool,
--- a/crates/hollowford-jobs/tests/crash_scenarios.rs
+++ b/crates/hollowford-jobs/tests/crash_scenarios.rs
@@ -156,7 +156,8 @@
     assert_eq!(run_scenario(seed, failures), Vec::<String>::new(), "seed {seed}");
 }
 
-// A task waits for a row that is never written, and its job waits forever beside idle workers.
+// A task waits for a row that is never written, and its job waits forever although workers are
+// idle.
 #[parameterized(first = { 1344 }, second = { 1459 })]
 fn jobs_that_wait_for_a_row_that_nobody_writes(seed: u64) {
     assert_eq!(run_scenario(seed, ALL_AND_REUSED_IDS), Vec::<String>::new(), "seed {seed}");
--- a/crates/hollowford-jobs/tests/crashes.rs
+++ b/crates/hollowford-jobs/tests/crashes.rs
@@ -29,9 +29,9 @@
     cell.workers.iter().position(|w| !w.running.is_empty()).expect("a task should run")
 }
 
-/// Returns whether a counted crash came soon after the start of the task; none for other events.
-fn crash_freshness(note: &Event) -> Option<bool> {
-    if let Event::WorkerCrashed { fresh, .. } = note { Some(*fresh) } else { None }
+/// Returns whether a counted crash came soon after the start of the task; `None` for other events.
+fn crash_freshness(event: &Event) -> Option<bool> {
+    if let Event::WorkerCrashed { fresh, .. } = event { Some(*fresh) } else { None }
 }
 
 /// Advances the clock until the next crash, or until the job has failed.
@@ -117,7 +117,7 @@
 }
 
 // The second start shares a worker with another job that has run for a while, since the restarted
-// worker has no room.
+// worker has too little free capacity.
 #[test]
 fn a_crash_is_not_counted_against_a_task_that_had_run_beside_a_suspect() {
     let mut cell = cell_with_crashing_job(2, 1_000);
@@ -292,13 +292,13 @@
 fn a_worker_that_leaves_has_not_crashed() {
     let mut cell = cell_with_crashing_job(2, 3_300);
     cell.submit(2, LARGE, job(vec![step(1, 1_000, 7_000)]));
-    for life in 0..6 {
+    for incarnation in 0..6 {
         cell.run(1_000);
         let at = running_at(&cell);
         cell.workers[at].leaving = true;
         cell.update_worker_list();
         cell.run(500);
-        cell.workers[at].restart(&format!("next-{life}"));
+        cell.workers[at].restart(&format!("next-{incarnation}"));
         cell.update_worker_list();
         cell.run(500);
     }
--- a/crates/hollowford-jobs/tests/failing_workers.rs
+++ b/crates/hollowford-jobs/tests/failing_workers.rs
@@ -1,8 +1,8 @@
 //! Workers that fail every task, in a cell with wide gangs.
 //!
 //! If 37 of 1,100 workers fail every task for some seconds, two of three gangs of 40 tasks on about
-//! 30 workers include one of them. With two attempts per job, 35 of 296 relocations then failed for
-//! good. So gangs must avoid workers whose last task has failed.
+//! 30 workers include one of them. With two attempts per job, 35 of 296 relocations then failed
+//! permanently. So gangs must avoid workers whose last task has failed.
 
 mod common;
 
--- a/crates/hollowford-jobs/tests/gangs.rs
+++ b/crates/hollowford-jobs/tests/gangs.rs
@@ -1,8 +1,8 @@
 //! Wide gangs in a cell of hundreds of workers, of which 30% may run a step.
 //!
-//! In a large deployment a relocation is a gang of 40 tasks on average and at most 240, of 4.5 to 7.6
-//! processors each. An advice call takes 390 ms plus 5.6 ms for each worker, for at most 100 workers,
-//! and its tickets are valid for 2 s. Checks and surveys run beside the relocations.
+//! In a large deployment a relocation is a gang of 40 tasks on average and at most 240, of 4.5 to
+//! 7.6 processors each. An advice call takes 390 ms plus 5.6 ms for each worker, for at most 100
+//! workers, and its tickets are valid for 2 s. Checks and surveys run at the same time.
 
 mod common;
 
@@ -38,10 +38,10 @@
 /// Advances the clock until the job runs, by at most `timeout_ms`. Returns how long it took, in
 /// milliseconds.
 fn time_until_running(cell: &mut TestCell, id: u64, timeout_ms: u64) -> Option<u64> {
-    let began = cell.now;
-    while cell.now.since(began).0 < timeout_ms {
+    let started_at = cell.now;
+    while cell.now.since(started_at).0 < timeout_ms {
         if cell.state(id) == Some(JobState::Running) {
-            return Some(cell.now.since(began).0);
+            return Some(cell.now.since(started_at).0);
         }
         cell.run(20);
     }
@@ -81,12 +81,12 @@
         keep_busy(&mut cell, 55, &mut next, 1_000);
     }
     let waits = |cell: &TestCell| (1..=4).any(|id| cell.state(id) == Some(JobState::Queued));
-    let began = cell.now;
-    while waits(&cell) && cell.now.since(began).0 < 20_000 {
+    let started_at = cell.now;
+    while waits(&cell) && cell.now.since(started_at).0 < 20_000 {
         keep_busy(&mut cell, 55, &mut next, 100);
     }
     let states: Vec<_> = (1..=4).map(|id| cell.state(id)).collect();
-    let took = cell.now.since(began).0;
+    let took = cell.now.since(started_at).0;
     assert!(!waits(&cell), "{states:?} after {took} ms");
     assert!(took < 8_000, "{took} ms");
 }
@@ -125,9 +125,9 @@
     };
     (0..2).for_each(|_| burst(&mut cell));
     cell.submit(1, LARGE, job(vec![RawStep { gang: true, ..step(30, 7_600, 1_000) }]));
-    let began = cell.now;
+    let started_at = cell.now;
     while cell.state(1) != Some(JobState::Running) {
-        assert!(cell.now.since(began).0 < 40_000, "the gang has waited for 40 s");
+        assert!(cell.now.since(started_at).0 < 40_000, "the gang has waited for 40 s");
         burst(&mut cell);
     }
 }
--- a/crates/hollowford-jobs/tests/restarts.rs
+++ b/crates/hollowford-jobs/tests/restarts.rs
@@ -1,7 +1,7 @@
 //! Workers that crash and restart under the same id.
 //!
 //! A restarted worker knows nothing of its earlier incarnation, and numbers its ends from 1. If the
-//! owner tells workers apart by their ids only, it ignores ends whose numbers it has already seen
+//! owner distinguishes workers by their ids only, it ignores ends whose numbers it has already seen
 //! and acknowledges them unread. Completed tasks then start again, failed tasks start more often
 //! than their queue allows, and interrupted tasks are given up as vanished without counting the
 //! crash. The owner must also not apply the lease, clock, capacity, address, tickets or health of
@@ -282,7 +282,7 @@
     cell.update_worker_list();
     cell.run(5_000);
     assert!(is_used(&mut cell, 3));
-    assert_eq!(ordered_runs(&cell, 2).len(), 1, "the task should run on after the takeover");
+    assert_eq!(ordered_runs(&cell, 2).len(), 1, "the task should continue after the takeover");
     restart_worker(&mut cell, 0);
     cell.run(500);
     assert_eq!(cell.running_tasks(), 2);
@@ -321,7 +321,7 @@
     ordered_runs(cell, task.step.job.0).iter().all(|(_, r)| r == run)
 }
 
-// A start may reach the next incarnation before the owner knows of the restart. The task runs on.
+// A start may reach the next incarnation before the owner knows of the restart. The task continues.
 #[test]
 fn a_task_started_by_the_next_incarnation_is_not_started_elsewhere() {
     let mut cell = cell_with_completed_tasks(1);
@@ -391,8 +391,8 @@
         Event::WorkerCrashed { task, fresh, .. } => (task.step.job == JobId(2)).then_some(*fresh),
         _ => None,
     };
-    let notes = cell.engine.take_events();
-    assert_eq!(notes.iter().filter_map(fresh).collect::<Vec<_>>(), [true]);
+    let events = cell.engine.take_events();
+    assert_eq!(events.iter().filter_map(fresh).collect::<Vec<_>>(), [true]);
 }
 
 // The first answer of an incarnation may arrive after the next one has been listed.
--- a/crates/hollowford-jobs/tests/stalls.rs
+++ b/crates/hollowford-jobs/tests/stalls.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_slow_worker_is_passed_over_while_others_have_room() {
+fn a_slow_worker_is_avoided_while_others_have_free_capacity() {
     let mut cell = TestCell::new(3);
     cell.workers[1].slowdown = 5;
     for id in 1..40 {
--- a/crates/hollowford-jobs/tests/steps.rs
+++ b/crates/hollowford-jobs/tests/steps.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_new_owner_goes_on_with_the_rounds() {
+fn a_new_owner_continues_the_rounds() {
     let mut cell = TestCell::new(1);
     let offset = 1_900_000_000_000 - cell.now.0 as i64;
     cell.engine.set_unix_offset(offset);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_gang_starts_whole_or_not_at_all() {
+fn a_gang_starts_completely_or_not_at_all() {
     let mut cell = TestCell::new(2);
     cell.submit(1, LARGE, job(vec![step(6, 4_000, 2_000)]));
     cell.run(200);
--- a/crates/hollowford-jobs/tests/takeover.rs
+++ b/crates/hollowford-jobs/tests/takeover.rs
@@ -45,7 +45,7 @@
     }
     cell.run(7_000);
     cell.assert_no_duplicates();
-    assert_eq!(cell.running_tasks(), 4, "the tasks of the reachable worker should run on");
+    assert_eq!(cell.running_tasks(), 4, "the tasks of the reachable worker should continue");
 }
 
 #[test]
@@ -121,7 +121,7 @@
 fn two_listed_incarnations_at_one_address_interrupt_no_task() {
     let mut cell = TestCell::new(1);
     let old = cell.workers[0].listing();
-    cell.workers[0].restart("a-later-life");
+    cell.workers[0].restart("a-later-incarnation");
     cell.stale_listings.push(old);
     cell.update_worker_list();
     cell.submit(1, LARGE, job(vec![step(4, 4_000, 60_000)]));
--- a/crates/hollowford-jobs/tests/unsaved_state.rs
+++ b/crates/hollowford-jobs/tests/unsaved_state.rs
@@ -121,7 +121,8 @@
     assert_eq!(cell.state(2), Some(JobState::Completed));
 }
 
-// One job runs, one waits, and the worker of a third is disconnected for good two seconds after its start.
+// One job runs, one waits, and the worker of a third is disconnected permanently two seconds after
+// its start.
 #[test]
 fn tasks_without_crashes_continue_in_an_outage() {
     let mut cell = TestCell::new(2);
--- a/crates/hollowford-jobs/tests/work_conserving.rs
+++ b/crates/hollowford-jobs/tests/work_conserving.rs
@@ -25,7 +25,7 @@
 const CRASHES_MS: u64 = 14_000;
 /// How long waiting steps are observed, in milliseconds.
 const OBSERVED_MS: u64 = 70_000;
-/// Longest time that a runnable step may wait.
+/// Maximum time that a runnable step may wait.
 const MAX_WAIT: Millis = Millis(3_000);
 
 /// Checks submitted per second.
@@ -122,7 +122,7 @@
 fn track_waits(seed: u64, crashing_percent: u32) -> WaitTracker {
     let mut rng = Rng::with_seed(seed);
     let mut cell = busy_cell();
-    let (began, mut jobs, mut due) = (cell.now, 0, [0.0; 3]);
+    let (started_at, mut jobs, mut due) = (cell.now, 0, [0.0; 3]);
     let mut tracker = WaitTracker::default();
     for turn in 0..OBSERVED_MS / 5 {
         let rates = if turn * 5 < ARRIVALS_MS {
@@ -136,7 +136,7 @@
                 due[kind] -= 1.0;
                 jobs += 1;
                 let (queue, raw) = draw_step(kind, &mut rng);
-                let crashes = kind == 1 && cell.now.since(began).0 < CRASHES_MS;
+                let crashes = kind == 1 && cell.now.since(started_at).0 < CRASHES_MS;
                 if crashes && rng.u32(0..100) < crashing_percent {
                     cell.crashes.jobs.insert(JobId(jobs));
                 }
--- a/crates/hollowford-node/src/assignment.rs
+++ b/crates/hollowford-node/src/assignment.rs
@@ -1,7 +1,7 @@
 //! Assignment of jobs, client accounts and workers to partitions.
 //!
 //! Every process computes the same assignment from the job's id, the account's name or the worker's
-//! rack, and from the number of partitions, which never changes during the life of a cell.
+//! rack, and from the number of partitions, which never changes during the lifetime of a cell.
 
 use hollowford_jobs::{JobId, WorkerListing, rack_label};
 use rustc_hash::{FxHashMap, FxHashSet};
--- a/crates/hollowford-node/src/batches.rs
+++ b/crates/hollowford-node/src/batches.rs
@@ -138,7 +138,7 @@
 
     /// Records the outcome of a batch.
     pub fn record_outcome(&mut self, batch: u64, outcome: &BatchOutcome, now: Millis) {
-        let writes_batch = |l: &Lane| l.in_flight.is_some_and(|u| u.number == batch);
+        let writes_batch = |l: &Lane| l.in_flight.is_some_and(|b| b.number == batch);
         let Some(at) = self.lanes.iter().position(writes_batch) else { return };
         let lane = &mut self.lanes[at];
         let Some(InFlightBatch { rows, started_at, .. }) = lane.in_flight.take() else { return };
@@ -169,12 +169,12 @@
 
     /// Returns when the oldest batch in flight was started.
     fn oldest_start(&self) -> Option<Millis> {
-        self.lanes.iter().filter_map(|l| l.in_flight).map(|u| u.started_at).min()
+        self.lanes.iter().filter_map(|l| l.in_flight).map(|b| b.started_at).min()
     }
 
     /// Returns true if the store currently commits no batches.
     pub fn is_stalled(&self, now: Millis) -> bool {
-        // A slow store still answers the reads that the writer makes beside the batch.
+        // A slow store still answers the reads that the writer makes while the batch is in flight.
         let store_answers = self.shared.store_age() < SILENT_STORE_STALL_TIMEOUT;
         let timeout = if store_answers { STALL_TIMEOUT } else { SILENT_STORE_STALL_TIMEOUT };
         let stalled = self.oldest_start().is_some_and(|s| now.since(s) >= timeout);
@@ -192,8 +192,9 @@
     /// Estimates the time until a job that arrives now is committed.
     fn estimated_commit_time(&self, engine: &Engine, now: Millis) -> Millis {
         let free = self.lanes.iter().any(|l| l.in_flight.is_none());
-        let began = self.oldest_start().filter(|_| !free);
-        let until_free = began.map_or(Millis(0), |b| self.last_duration.since(now.since(b)));
+        let busy_since = self.oldest_start().filter(|_| !free);
+        let until_free =
+            busy_since.map_or(Millis(0), |since| self.last_duration.since(now.since(since)));
         let rounds = engine.batches_ahead().div_ceil(LANE_COUNT as u64);
         until_free + Millis(self.last_duration.max(MIN_BATCH_INTERVAL).0 * rounds)
     }
--- a/crates/hollowford-node/src/callers.rs
+++ b/crates/hollowford-node/src/callers.rs
@@ -89,23 +89,23 @@
             Some(said) => reply.send(call.id, said, 0),
             None => {
                 let deadline = now + call_timeout(&call);
-                let waiter = WaitingCall { id: call.id, verb, reply, deadline };
-                self.by_job.entry(job).or_default().push(waiter);
+                let waiting = WaitingCall { id: call.id, verb, reply, deadline };
+                self.by_job.entry(job).or_default().push(waiting);
             }
         }
     }
 
     /// Answers the requests that are committed now.
     pub fn answer_committed(&mut self, engine: &Engine) {
-        self.by_job.retain(|&job, waiters| {
+        self.by_job.retain(|&job, calls| {
             let state = engine.state(job);
             let ended = state.is_some_and(JobState::is_final);
-            let kept = engine.is_durable(job) == Some(true);
-            let ready = |w: &mut WaitingCall| if w.verb == Verb::Submit { kept } else { ended };
-            for w in waiters.extract_if(.., ready) {
+            let durable = engine.is_durable(job) == Some(true);
+            let ready = |w: &mut WaitingCall| if w.verb == Verb::Submit { durable } else { ended };
+            for w in calls.extract_if(.., ready) {
                 w.answer(engine, job, Said::Done);
             }
-            !waiters.is_empty()
+            !calls.is_empty()
         });
     }
 
@@ -116,17 +116,16 @@
             return;
         }
         let mut unsent = Vec::new();
-        self.by_job.retain(|&job, waiters| {
+        self.by_job.retain(|&job, calls| {
             let expired = |w: &WaitingCall| w.deadline <= now;
-            if waiters.iter().any(|w| w.verb == Verb::Submit && expired(w)) && engine.withdraw(job)
-            {
+            if calls.iter().any(|w| w.verb == Verb::Submit && expired(w)) && engine.withdraw(job) {
                 unsent.push(job);
                 return true;
             }
-            for w in waiters.extract_if(.., |w| expired(w)) {
+            for w in calls.extract_if(.., |w| expired(w)) {
                 w.answer(engine, job, Said::Unsure);
             }
-            !waiters.is_empty()
+            !calls.is_empty()
         });
         unsent.into_iter().for_each(|job| self.refuse(job));
     }
@@ -138,9 +137,9 @@
         }
     }
 
-    /// Tells all waiting callers that this owner has lost the partition.
+    /// Answers all waiting calls with `Deposed` because this owner has lost the partition.
     pub fn answer_deposed(&mut self) {
-        for w in self.by_job.drain().flat_map(|(_, waiters)| waiters) {
+        for w in self.by_job.drain().flat_map(|(_, calls)| calls) {
             w.reply.send(w.id, Said::Deposed, 0);
         }
     }
--- a/crates/hollowford-node/src/compression.rs
+++ b/crates/hollowford-node/src/compression.rs
@@ -21,9 +21,9 @@
 /// # Errors
 /// Returns an error if the bytes can't be decompressed or if the result exceeds `max_bytes`, so
 /// that a faulty peer can't exhaust this process's memory.
-pub fn decompress(packed: &[u8], max_bytes: usize) -> Result<Vec<u8>, Error> {
+pub fn decompress(compressed: &[u8], max_bytes: usize) -> Result<Vec<u8>, Error> {
     let mut bytes = Vec::new();
-    DeflateDecoder::new(packed).take(max_bytes as u64 + 1).read_to_end(&mut bytes)?;
+    DeflateDecoder::new(compressed).take(max_bytes as u64 + 1).read_to_end(&mut bytes)?;
     if bytes.len() > max_bytes {
         return Err(Error::new(ErrorKind::InvalidData, "decompressed size exceeds the limit"));
     }
--- a/crates/hollowford-node/src/compression_tests.rs
+++ b/crates/hollowford-node/src/compression_tests.rs
@@ -22,8 +22,8 @@
 fn compressed_bytes_decompress_to_the_original() {
     for count in [0, 1, 933] {
         let bytes = routes(count);
-        let packed = compress(&bytes).expect("compressed");
-        assert_eq!(decompress(&packed, MAX_BYTES).expect("decompressed"), bytes);
+        let compressed = compress(&bytes).expect("compressed");
+        assert_eq!(decompress(&compressed, MAX_BYTES).expect("decompressed"), bytes);
     }
     let empty = compress(&[]).expect("compressed");
     assert!(decompress(&empty, 0).expect("decompressed").is_empty());
@@ -34,8 +34,8 @@
 #[test]
 fn a_thousand_routes_compress_to_a_fifth_or_less() {
     let bytes = routes(933);
-    let packed = compress(&bytes).expect("compressed");
-    assert!(packed.len() * 5 < bytes.len(), "{} of {}", packed.len(), bytes.len());
+    let compressed = compress(&bytes).expect("compressed");
+    assert!(compressed.len() * 5 < bytes.len(), "{} of {}", compressed.len(), bytes.len());
 }
 
 #[test]
@@ -45,7 +45,7 @@
 
 #[test]
 fn exceeding_the_size_limit_is_an_error() {
-    let packed = compress(&vec![0; MAX_BYTES + 1]).expect("compressed");
-    assert!(packed.len() < MAX_BYTES / 100);
-    assert!(decompress(&packed, MAX_BYTES).is_err());
+    let compressed = compress(&vec![0; MAX_BYTES + 1]).expect("compressed");
+    assert!(compressed.len() < MAX_BYTES / 100);
+    assert!(decompress(&compressed, MAX_BYTES).is_err());
 }
--- a/crates/hollowford-node/src/config_freshness_tests.rs
+++ b/crates/hollowford-node/src/config_freshness_tests.rs
@@ -16,9 +16,9 @@
 fn heartbeats_of_an_owner_that_reads_confirm_the_configuration() {
     let mut freshness = ConfigFreshness::default();
     assert!(!freshness.is_current(FIRST_HEARTBEAT), "no heartbeat was received");
-    for beat in 0..100 {
-        let now = FIRST_HEARTBEAT + Millis(beat * 300);
-        freshness.record(reported(4, beat * 300 % 650, 300), 4, now);
+    for heartbeat in 0..100 {
+        let now = FIRST_HEARTBEAT + Millis(heartbeat * 300);
+        freshness.record(reported(4, heartbeat * 300 % 650, 300), 4, now);
         assert!(freshness.is_current(now) && freshness.is_current(now + Millis(299)));
     }
 }
@@ -49,9 +49,9 @@
 #[test]
 fn a_newer_configuration_is_waited_for_a_limited_time() {
     let mut freshness = ConfigFreshness::default();
-    for beat in 0..10 {
-        freshness.record(reported(5, 0, 100), 4, FIRST_HEARTBEAT + Millis(beat * 100));
-        assert!(freshness.is_current(FIRST_HEARTBEAT + Millis(beat * 100)));
+    for heartbeat in 0..10 {
+        freshness.record(reported(5, 0, 100), 4, FIRST_HEARTBEAT + Millis(heartbeat * 100));
+        assert!(freshness.is_current(FIRST_HEARTBEAT + Millis(heartbeat * 100)));
     }
     freshness.record(reported(6, 0, 100), 4, FIRST_HEARTBEAT + Millis(1_000));
     assert!(!freshness.is_current(FIRST_HEARTBEAT + Millis(1_000)));
--- a/crates/hollowford-node/src/config_watch.rs
+++ b/crates/hollowford-node/src/config_watch.rs
@@ -13,8 +13,8 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Polling interval beside the feed. A new configuration must be in force within 2 s even if the
-/// feed is silent for a second and one read gets no answer.
+/// Polling interval while the feed is followed. A new configuration must be in force within 2 s
+/// even if the feed is silent for a second and one read gets no answer.
 const READ_INTERVAL: Duration = Duration::from_millis(650);
 /// Polling interval until the number of partitions is known. No caller is served before that, and
 /// the feed reports changes. Hundreds of starting processes would otherwise read the configuration
@@ -26,7 +26,7 @@
 /// How often a member whose owner confirms the configuration checks whether the store answers it.
 /// An owner that the store doesn't serve hands over to a member that it serves.
 const PROBE_INTERVAL: Millis = Millis(3_000);
-/// The same while the owner can't reach the store and asks its members to probe it.
+/// Interval of these checks while the owner can't reach the store and asks its members to probe it.
 const REQUESTED_PROBE_INTERVAL: Duration = Duration::from_millis(200);
 /// Time limit of a read.
 const READ_TIMEOUT: Duration = Duration::from_millis(500);
--- a/crates/hollowford-node/src/delegation.rs
+++ b/crates/hollowford-node/src/delegation.rs
@@ -73,7 +73,7 @@
     sent: Millis,
     /// When the call counts as unanswered or, after that, is forgotten.
     due: Millis,
-    /// Whether the engine has been told that there was no answer.
+    /// Whether the call was reported to the engine as unanswered.
     reported_unanswered: bool,
 }
 
@@ -134,8 +134,8 @@
             self.last_joined_at = now;
         }
         let known = std::mem::take(&mut self.reports);
-        let kept = members.iter().filter_map(|m| Some((m.link, *known.get(&m.link)?)));
-        self.reports = kept.collect();
+        let reports = members.iter().filter_map(|m| Some((m.link, *known.get(&m.link)?)));
+        self.reports = reports.collect();
         self.members = members;
     }
 
@@ -268,8 +268,8 @@
         Some(CallOutcome { call: p.call, called, sent: p.sent, timing })
     }
 
-    /// Returns the calls whose report is overdue, as unanswered. Returns none while messages are
-    /// waiting in the owner's inbox, because the reports may be among them.
+    /// Returns the calls whose report is overdue, as unanswered. Returns no calls while messages
+    /// are waiting in the owner's inbox, because the reports may be among them.
     pub fn take_overdue(&mut self, inbox_is_empty: bool, now: Millis) -> Vec<CallOutcome> {
         let mut out = Vec::new();
         if !inbox_is_empty {
--- a/crates/hollowford-node/src/inbox.rs
+++ b/crates/hollowford-node/src/inbox.rs
@@ -72,7 +72,7 @@
 }
 
 impl Reply {
-    /// Sends an answer. Does nothing if the caller is gone.
+    /// Sends an answer. Does nothing if the caller has disconnected.
     pub fn send(self, id: u64, said: Said, value: u64) {
         let answer = CallAnswer { id, said: said as i32, value };
         match self {
--- a/crates/hollowford-node/src/lane.rs
+++ b/crates/hollowford-node/src/lane.rs
@@ -1,9 +1,9 @@
 //! Lanes: rows in which an owner counts its batches, one row for each batch that may be in flight.
 //!
-//! A batch requires the version of its lane's row that the previous batch of the lane, or the
-//! takeover, left, and replaces the row. A batch therefore can't be committed twice or after a
-//! newer batch of its lane. A takeover writes the rows of all lanes, so no batch of a deposed owner
-//! can be committed. The row of the first lane is the owner row, which members read to check
+//! A batch requires the version of its lane's row that the previous batch of the lane or the
+//! takeover has written, and replaces the row. A batch therefore can't be committed twice or after
+//! a newer batch of its lane. A takeover writes the rows of all lanes, so no batch of a deposed
+//! owner can be committed. The row of the first lane is the owner row, which members read to check
 //! whether the owner is alive.
 
 use crate::owner_row::{OWNER_KEY, encode_owner};
--- a/crates/hollowford-node/src/link.rs
+++ b/crates/hollowford-node/src/link.rs
@@ -17,20 +17,20 @@
 
 /// Time limit of opening a link within a region.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time after which another attempt is started beside the pending ones. A process to which hundreds
-/// of links open at once drops some connection requests, and the operating system retransmits them
-/// only after a second.
+/// Time after which another attempt is started while others are pending. A process to which
+/// hundreds of links open at once drops some connection requests, and the operating system
+/// retransmits them only after a second.
 const ATTEMPT_INTERVAL: Duration = Duration::from_millis(110);
 /// Upper bound of a random addition to each delay, so that attempts whose requests were dropped
 /// don't coincide again.
 const MAX_ATTEMPT_JITTER: Duration = Duration::from_millis(60);
 /// Number of attempts to open a link within [`CONNECT_TIMEOUT`].
 const MAX_ATTEMPTS: u32 = 4;
-/// Size limit of a frame; leaves room for a job's specification.
+/// Size limit of a frame; a job's specification fits into it.
 const MAX_FRAME_BYTES: usize = 1 << 20;
 /// Size from which a frame may be compressed. Templates shrink to about two thirds; below this size
 /// the overhead of compression exceeds what it saves.
-const MIN_PACKED_BYTES: usize = 256;
+const MIN_COMPRESSED_BYTES: usize = 256;
 /// Number of frames that may wait to be written. If a peer falls further behind, its link is
 /// treated as ended.
 const OUTBOX_CAPACITY: usize = 4_096;
@@ -94,8 +94,8 @@
     }
 }
 
-/// Sends a request to the process at `addr` on a link of its own. Returns none if no answer arrives
-/// within `limit`.
+/// Sends a request to the process at `addr` on a link of its own. Returns `None` if no answer
+/// arrives within `limit`.
 pub async fn request(addr: SocketAddr, body: Body, limit: Duration) -> Option<Body> {
     let (mut reader, outbox) = connect(addr).await.ok()?;
     outbox.send(body);
@@ -121,12 +121,12 @@
 pub(crate) fn encode(frame: &Frame) -> Bytes {
     let plain = frame.encode_to_vec();
     let may_shrink =
-        plain.len() >= MIN_PACKED_BYTES && matches!(frame.body, Some(Body::Delegated(_)));
+        plain.len() >= MIN_COMPRESSED_BYTES && matches!(frame.body, Some(Body::Delegated(_)));
     // Writing to a buffer in memory doesn't fail; if it did, the frame would be sent uncompressed.
-    let packed = may_shrink.then(|| compress(&plain)).and_then(Result::ok);
-    let packed = packed.map(|bytes| Frame::from(Body::Packed(bytes)).encode_to_vec());
-    match packed.filter(|p| p.len() < plain.len()) {
-        Some(packed) => packed.into(),
+    let compressed = may_shrink.then(|| compress(&plain)).and_then(Result::ok);
+    let compressed = compressed.map(|bytes| Frame::from(Body::Packed(bytes)).encode_to_vec());
+    match compressed.filter(|p| p.len() < plain.len()) {
+        Some(compressed) => compressed.into(),
         None => plain.into(),
     }
 }
@@ -137,8 +137,8 @@
 /// If the bytes are not a frame, or a compressed frame doesn't contain a plain one.
 pub(crate) fn decode(bytes: BytesMut) -> io::Result<Option<Body>> {
     match Frame::decode(bytes)?.body {
-        Some(Body::Packed(packed)) => {
-            let plain = decompress(&packed, MAX_FRAME_BYTES)?;
+        Some(Body::Packed(compressed)) => {
+            let plain = decompress(&compressed, MAX_FRAME_BYTES)?;
             match Frame::decode(&plain[..])?.body {
                 Some(Body::Packed(_)) => {
                     Err(io::Error::new(ErrorKind::InvalidData, "frame is compressed twice"))
@@ -172,7 +172,7 @@
     }
 }
 
-/// Receives the next frame; none if the link has ended or the frame is malformed.
+/// Receives the next frame; `None` if the link has ended or the frame is malformed.
 pub async fn recv(reader: &mut FrameReader) -> Option<Body> {
     match reader.next().await? {
         Ok(bytes) => match decode(bytes) {
--- a/crates/hollowford-node/src/link_tests.rs
+++ b/crates/hollowford-node/src/link_tests.rs
@@ -34,9 +34,9 @@
 
 #[test]
 fn small_frames_and_frames_without_calls_are_not_compressed() {
-    let beat = Frame::from(Body::MemberBeat(MemberBeat::default()));
+    let heartbeat = Frame::from(Body::MemberBeat(MemberBeat::default()));
     let row = ConfigRow { row_version: 1, packed: vec![0; 10_000] };
-    for frame in [beat, Frame::from(Body::Config(row))] {
+    for frame in [heartbeat, Frame::from(Body::Config(row))] {
         let bytes = encode(&frame);
         assert_eq!(bytes.len(), frame.encoded_len());
         assert_eq!(decoded(&bytes), frame.body);
--- a/crates/hollowford-node/src/mass_join_tests.rs
+++ b/crates/hollowford-node/src/mass_join_tests.rs
@@ -40,7 +40,7 @@
     /// A member opens a link.
     Join(usize),
     /// A member sends a heartbeat.
-    Beat(usize),
+    Heartbeat(usize),
     /// A member asks whether the owner is alive.
     Probe(usize),
 }
@@ -152,7 +152,7 @@
                 self.members.send_first_heartbeat(i as u64, KNOWN);
                 LINK_US + (self.sent() - before) as i64 * FRAME_US
             }
-            OwnerWork::Beat(i) => {
+            OwnerWork::Heartbeat(i) => {
                 self.members.record_heartbeat(i as u64, &MemberBeat::default(), Millis(self.now));
                 FRAME_US
             }
@@ -175,8 +175,8 @@
         while let Ok(frame) = f.rx.try_recv() {
             detector.record_message(now);
             f.probe_answered = None;
-            if let Some(Body::Heartbeat(beat)) = frame.body {
-                detector.set_interval(Millis(beat.every_ms));
+            if let Some(Body::Heartbeat(heartbeat)) = frame.body {
+                detector.set_interval(Millis(heartbeat.every_ms));
             }
         }
         // The followers' timers don't fire at the same time.
@@ -193,7 +193,7 @@
         }
         if self.now - f.heartbeat_sent_at >= detector.interval().0 {
             f.heartbeat_sent_at = self.now;
-            self.work.push_back(OwnerWork::Beat(i));
+            self.work.push_back(OwnerWork::Heartbeat(i));
         }
     }
 
--- a/crates/hollowford-node/src/member.rs
+++ b/crates/hollowford-node/src/member.rs
@@ -137,8 +137,8 @@
         self.probe = None;
         match body {
             // Sent by a process that is about to become the owner.
-            Body::Heartbeat(beat) if beat.epoch == 0 => {}
-            Body::Heartbeat(beat) => self.handle_heartbeat(beat),
+            Body::Heartbeat(heartbeat) if heartbeat.epoch == 0 => {}
+            Body::Heartbeat(heartbeat) => self.handle_heartbeat(heartbeat),
             Body::Answer(answer) => self.remote.complete(answer),
             Body::Ask(ask) => {
                 tokio::spawn(answer_advice_request(
@@ -155,7 +155,7 @@
             }
             Body::Config(row) => config_watch::apply_packed(&self.cx.shared, row),
             Body::Workers(changes) => {
-                // Nobody listens if this process owns no partition any more.
+                // There is no receiver if this process owns no partition any more.
                 let _ = self.cx.shared.worker_changes.send(Arc::new(changes));
             }
             Body::HandOver(h) => return Some(LeaveReason::HandedOver { rev: h.rev }),
@@ -168,7 +168,7 @@
         None
     }
 
-    fn handle_heartbeat(&mut self, beat: Heartbeat) {
+    fn handle_heartbeat(&mut self, heartbeat: Heartbeat) {
         if !self.joined {
             self.joined = true;
             let OwnerInfo { epoch, address, .. } = self.info;
@@ -176,24 +176,24 @@
             self.cx.partition.route.send_replace(Route::Remote(self.remote.clone()));
         }
         self.cx.record_owner_contact();
-        let lost = beat.store_lost;
+        let lost = heartbeat.store_lost;
         if self.cx.partition.store_probe_wanted.swap(lost, Ordering::Relaxed) != lost {
             self.cx.shared.config_wanted.notify_one();
         }
-        self.detector.set_interval(Millis(beat.every_ms));
-        self.record_reported_config(&beat);
-        if !beat.members.is_empty() {
-            *self.takeover_order = beat.members;
+        self.detector.set_interval(Millis(heartbeat.every_ms));
+        self.record_reported_config(&heartbeat);
+        if !heartbeat.members.is_empty() {
+            *self.takeover_order = heartbeat.members;
         }
     }
 
     /// Records what the owner reports about the configuration.
-    fn record_reported_config(&self, beat: &Heartbeat) {
+    fn record_reported_config(&self, heartbeat: &Heartbeat) {
         let (shared, partition) = (&self.cx.shared, &self.cx.partition);
         let mut freshness = partition.config_freshness();
         let reported = ReportedConfig {
-            version: beat.config,
-            age: Millis(beat.config_age_ms),
+            version: heartbeat.config,
+            age: Millis(heartbeat.config_age_ms),
             interval: self.detector.interval(),
         };
         freshness.record(reported, shared.config_version(), shared.clock.now());
--- a/crates/hollowford-node/src/member_tests.rs
+++ b/crates/hollowford-node/src/member_tests.rs
@@ -53,8 +53,8 @@
         let (mut reader, outbox) = accept(&listener).await;
         outbox.send(heartbeat(&["a", "b"]));
         // The member sends heartbeats once it has joined.
-        let beat = link::recv(&mut reader).await;
-        assert!(matches!(beat, Some(Body::MemberBeat(_))), "{beat:?}");
+        let heartbeat = link::recv(&mut reader).await;
+        assert!(matches!(heartbeat, Some(Body::MemberBeat(_))), "{heartbeat:?}");
     }
     // The owner closes the last link without sending a heartbeat.
     drop(accept(&listener).await);
--- a/crates/hollowford-node/src/members.rs
+++ b/crates/hollowford-node/src/members.rs
@@ -18,7 +18,8 @@
 /// Time since a member's last store answer up to which the store counts as serving it, while
 /// members probe the store on the owner's request.
 const MAX_PROBED_STORE_AGE: Millis = Millis(500);
-/// The same while members don't probe on request: they then call the store every 3 s.
+/// Value of [`MAX_PROBED_STORE_AGE`] while members don't probe on request: they then call the store
+/// every 3 s.
 const MAX_STORE_AGE: Millis = Millis(3_500);
 /// A member is much larger if its CPU share is at least this percentage of the owner's.
 const MIN_LARGER_PERCENT: u32 = 150;
@@ -43,7 +44,7 @@
     stopping: bool,
     /// Number of partitions that the member owns.
     owned_partitions: u32,
-    /// Version of the member's configuration; none until it has reported one.
+    /// Version of the member's configuration; `None` until it has reported one.
     config_version: Option<u64>,
     /// Version of the configuration last sent to the member; 0 if none was.
     sent_config_version: u64,
@@ -155,14 +156,14 @@
     }
 
     /// Records a member's heartbeat.
-    pub fn record_heartbeat(&mut self, link: LinkId, beat: &MemberBeat, now: Millis) {
+    pub fn record_heartbeat(&mut self, link: LinkId, heartbeat: &MemberBeat, now: Millis) {
         self.now = now;
         if let Some(m) = self.list.iter_mut().find(|m| m.link == link) {
             m.last_heard = now;
-            m.store_age = Millis(beat.store_age_ms);
-            m.stopping = beat.stopping;
-            m.owned_partitions = beat.owned;
-            m.config_version = Some(beat.config);
+            m.store_age = Millis(heartbeat.store_age_ms);
+            m.stopping = heartbeat.stopping;
+            m.owned_partitions = heartbeat.owned;
+            m.config_version = Some(heartbeat.config);
         }
     }
 
--- a/crates/hollowford-node/src/members/heartbeats.rs
+++ b/crates/hollowford-node/src/members/heartbeats.rs
@@ -85,7 +85,7 @@
             let interval = self.interval_at(at, named_end);
             let Some(m) = self.list.get_mut(at) else { continue };
             let knows_order = m.sent_order_number == self.order_number;
-            let beat = Heartbeat {
+            let heartbeat = Heartbeat {
                 epoch: self.owner.epoch,
                 members: if knows_order { Vec::new() } else { self.order.clone() },
                 config: config.version,
@@ -95,7 +95,7 @@
             };
             m.heartbeat_sent_at = self.now;
             m.announced_interval = interval;
-            if m.outbox.send(Body::Heartbeat(beat)) {
+            if m.outbox.send(Body::Heartbeat(heartbeat)) {
                 m.sent_order_number = self.order_number;
             }
         }
--- a/crates/hollowford-node/src/members_tests.rs
+++ b/crates/hollowford-node/src/members_tests.rs
@@ -29,8 +29,8 @@
 fn intervals(rx: &mut Receiver<Frame>) -> Vec<u64> {
     let mut received = Vec::new();
     while let Ok(frame) = rx.try_recv() {
-        if let Some(Body::Heartbeat(beat)) = frame.body {
-            received.push(beat.every_ms);
+        if let Some(Body::Heartbeat(heartbeat)) = frame.body {
+            received.push(heartbeat.every_ms);
         }
     }
     received
@@ -101,10 +101,10 @@
 fn orders(rx: &mut Receiver<Frame>) -> Vec<Vec<String>> {
     let mut received = Vec::new();
     while let Ok(frame) = rx.try_recv() {
-        if let Some(Body::Heartbeat(beat)) = frame.body
-            && !beat.members.is_empty()
+        if let Some(Body::Heartbeat(heartbeat)) = frame.body
+            && !heartbeat.members.is_empty()
         {
-            received.push(beat.members);
+            received.push(heartbeat.members);
         }
     }
     received
--- a/crates/hollowford-node/src/owner.rs
+++ b/crates/hollowford-node/src/owner.rs
@@ -77,7 +77,7 @@
     members_changed: bool,
     /// Time of the last membership update.
     members_updated_at: Millis,
-    waiters: WaitingCalls,
+    waiting_calls: WaitingCalls,
     /// Buffer reused across polls; empty between them.
     orders: Vec<Order>,
     decisions: DecisionLog,
@@ -116,7 +116,7 @@
             handle,
             members_changed: false,
             members_updated_at: Millis(0),
-            waiters: WaitingCalls::default(),
+            waiting_calls: WaitingCalls::default(),
             orders: Vec::new(),
             decisions: DecisionLog::default(),
             batches,
@@ -133,7 +133,7 @@
         engine_time(&self.cx.shared, self.clock_offset)
     }
 
-    /// Runs the owner until it loses the partition or gives it up.
+    /// Runs the owner until it loses the partition or steps down.
     pub async fn run(mut self, mut rx: mpsc::Receiver<OwnerMsg>) -> OwnerEnd {
         tokio::spawn(registry::follow(self.cx.clone(), self.handle.clone()));
         self.engine.set_advice_channels(&self.members.advice_channels());
@@ -158,7 +158,7 @@
                 reply.send(call.id, Said::NotOwner, 0);
             }
         }
-        self.waiters.answer_deposed();
+        self.waiting_calls.answer_deposed();
         self.step_down.report_ended();
         self.end.unwrap_or(OwnerEnd::GaveUp)
     }
@@ -199,7 +199,7 @@
                 self.delegation.member_left(link, now);
                 self.members_changed = true;
             }
-            OwnerMsg::HeartbeatReceived(link, beat) => self.handle_heartbeat(link, &beat),
+            OwnerMsg::HeartbeatReceived(link, heartbeat) => self.handle_heartbeat(link, &heartbeat),
             OwnerMsg::Stop(done) => self.step_down.stop(done),
         }
     }
@@ -220,18 +220,18 @@
         }
     }
 
-    fn handle_heartbeat(&mut self, link: LinkId, beat: &MemberBeat) {
+    fn handle_heartbeat(&mut self, link: LinkId, heartbeat: &MemberBeat) {
         let heard = self.cx.shared.clock.now();
         self.reachability.record_member_heard(heard);
-        self.members.record_heartbeat(link, beat, heard);
+        self.members.record_heartbeat(link, heartbeat, heard);
         let version = self.cx.shared.config_version();
-        if beat.config > version {
+        if heartbeat.config > version {
             self.cx.shared.config_wanted.notify_one();
-        } else if beat.config < version {
+        } else if heartbeat.config < version {
             self.send_config();
         }
-        if beat.epoch > self.info.epoch {
-            log::warn!("owner.deposed epoch={} newer={}", self.info.epoch, beat.epoch);
+        if heartbeat.epoch > self.info.epoch {
+            log::warn!("owner.deposed epoch={} newer={}", self.info.epoch, heartbeat.epoch);
             self.end = Some(OwnerEnd::Deposed);
         }
     }
@@ -241,7 +241,7 @@
         match outcome {
             BatchOutcome::Made { .. } => {
                 self.engine.batch_committed(batch, now);
-                self.waiters.answer_committed(&self.engine);
+                self.waiting_calls.answer_committed(&self.engine);
             }
             BatchOutcome::Deposed(by) => {
                 log::warn!(
@@ -279,16 +279,17 @@
         self.delegation.send(now);
         self.decisions.write(&self.engine.take_events(), now);
         self.refuse_unsent_jobs(now);
-        let all_answered = self.step_down.since().is_some() && self.waiters.is_empty();
+        let all_answered = self.step_down.since().is_some() && self.waiting_calls.is_empty();
         if !all_answered {
             self.batches.write_next(&mut self.engine, now);
         }
-        self.waiters.answer_expired(&mut self.engine, now);
+        self.waiting_calls.answer_expired(&mut self.engine, now);
         if let Some(end) = self.reachability.check(&self.batches, &self.members, now) {
             self.end = Some(end);
         }
         self.step_down.check_for_larger_member(&self.members);
-        let end = self.step_down.hand_over_if_due(&self.batches, &self.waiters, &self.members);
+        let end =
+            self.step_down.hand_over_if_due(&self.batches, &self.waiting_calls, &self.members);
         if let Some(end) = end {
             self.end = Some(end);
         }
--- a/crates/hollowford-node/src/owner/caller_calls.rs
+++ b/crates/hollowford-node/src/owner/caller_calls.rs
@@ -10,8 +10,7 @@
 
 impl Owner {
     /// Accepts a request or answers it at once. It is rejected if its key is unknown, if this owner
-    /// is giving up the partition, or if the store cannot commit a new job before the caller's time
-    /// limit.
+    /// is stepping down, or if the store cannot commit a new job before the caller's time limit.
     pub(super) fn handle_call(&mut self, call: Call, reply: Reply, now: Millis) {
         if call.config > self.cx.shared.config_version() {
             self.cx.shared.config_wanted.notify_one();
@@ -26,7 +25,7 @@
         };
         let limit = call_timeout(&call);
         let admitted = self.batches.admits_job(&self.engine, limit, now);
-        self.waiters.handle(&mut self.engine, call, reply, admitted, now);
+        self.waiting_calls.handle(&mut self.engine, call, reply, admitted, now);
     }
 
     /// Sets the client account on whose behalf the call is made. Returns the call's id and the
@@ -40,7 +39,7 @@
         }
         match access::recheck(config, &call) {
             Access::Granted(account) if account == call.account => Ok(call),
-            Access::Granted(account) if self.is_home_partition(account, &call) => {
+            Access::Granted(account) if self.is_assigned_here(account, &call) => {
                 call.account = account.to_owned();
                 Ok(call)
             }
@@ -52,16 +51,16 @@
 
     /// Returns true if the account's jobs belong to this partition. Counts are sent to all
     /// partitions.
-    fn is_home_partition(&self, account: &str, call: &Call) -> bool {
-        let home = self.cx.shared.partition_of(account, JobId(call.job));
-        call.verb() == Verb::Waiting || home.is_some_and(|p| p.number == self.info.partition)
+    fn is_assigned_here(&self, account: &str, call: &Call) -> bool {
+        let assigned = self.cx.shared.partition_of(account, JobId(call.job));
+        call.verb() == Verb::Waiting || assigned.is_some_and(|p| p.number == self.info.partition)
     }
 
     /// Refuses new jobs that wait behind a stalled batch and have not been sent to the store.
     pub(super) fn refuse_unsent_jobs(&mut self, now: Millis) {
         if self.batches.is_stalled(now) {
             for job in self.engine.withdraw_unsent() {
-                self.waiters.refuse(job);
+                self.waiting_calls.refuse(job);
             }
         }
     }
--- a/crates/hollowford-node/src/owner/worker_calls.rs
+++ b/crates/hollowford-node/src/owner/worker_calls.rs
@@ -57,14 +57,14 @@
                 let handle = self.handle.clone();
                 tokio::spawn(call_worker_locally(shared, workers, call, limit, now, handle));
             }
-            Order::Advice { seat, step, workers } => {
-                let Some(seat) = self.engine.advice_channel(seat).cloned() else { return };
+            Order::Advice { channel, step, workers } => {
+                let Some(channel) = self.engine.advice_channel(channel).cloned() else { return };
                 let ids: Vec<String> = workers.iter().map(|w| w.as_str().to_owned()).collect();
-                if seat.address.is_empty() {
+                if channel.address.is_empty() {
                     let (shared, handle) = (self.cx.shared.clone(), self.handle.clone());
-                    tokio::spawn(request_advice_locally(shared, seat, step, ids, handle));
-                } else if !self.members.request_advice(&seat.address, step, ids) {
-                    log::debug!("advice.not_sent seat={} step={step}", seat.address);
+                    tokio::spawn(request_advice_locally(shared, channel, step, ids, handle));
+                } else if !self.members.request_advice(&channel.address, step, ids) {
+                    log::debug!("advice.not_sent seat={} step={step}", channel.address);
                 }
             }
         }
--- a/crates/hollowford-node/src/owner_row.rs
+++ b/crates/hollowford-node/src/owner_row.rs
@@ -99,7 +99,7 @@
     }
 }
 
-/// Returns the version of the owner row. Returns none if the row can't be read, or names an owner
+/// Returns the version of the owner row. Returns `None` if the row can't be read, or names an owner
 /// newer than `info`, which is then recorded.
 pub async fn row_version_unless_newer(cx: &PartitionContext, info: &OwnerInfo) -> Option<Version> {
     match read_owner_row(cx).await {
--- a/crates/hollowford-node/src/ownership.rs
+++ b/crates/hollowford-node/src/ownership.rs
@@ -88,7 +88,7 @@
     cx.newer_owner_within(info.epoch, wait).await
 }
 
-/// Reads the owner row again after a delay. Returns its version if it is still `rev`, and none if
+/// Reads the owner row again after a delay. Returns its version if it is still `rev`, and `None` if
 /// the owner has written the row since.
 async fn row_version_if_unchanged(
     cx: &PartitionContext,
--- a/crates/hollowford-node/src/partition.rs
+++ b/crates/hollowford-node/src/partition.rs
@@ -42,7 +42,7 @@
     /// Newest epoch at which this process owned the partition and no longer does; 0 if there is
     /// none.
     released_epoch: AtomicU64,
-    /// The owner asks its members to find out whether the store answers them.
+    /// Whether the owner asks its members to probe the store.
     pub store_probe_wanted: AtomicBool,
     /// Clock reading of the last contact with the owner.
     last_owner_contact: AtomicU64,
@@ -111,7 +111,7 @@
     pub fn owner_contact_age(&self, now: Millis) -> Millis {
         match self.last_owner_contact.load(Ordering::Relaxed) {
             NEVER => Millis::MAX,
-            heard => now.since(Millis(heard)),
+            contact_at => now.since(Millis(contact_at)),
         }
     }
 }
@@ -142,8 +142,8 @@
     /// partitions and try the next ones in turn.
     pub fn candidate(&self) -> Candidate {
         let partitions = self.shared.partition_count().max(1);
-        let begins_with = process_order(&self.shared.address().to_string(), 0);
-        let slot = (begins_with + u64::from(self.partition.number)) % u64::from(partitions);
+        let first_slot = process_order(&self.shared.address().to_string(), 0);
+        let slot = (first_slot + u64::from(self.partition.number)) % u64::from(partitions);
         Candidate {
             cpu_milli: self.shared.cpu_milli(),
             owned: self.shared.owned_count(),
--- a/crates/hollowford-node/src/peers.rs
+++ b/crates/hollowford-node/src/peers.rs
@@ -121,8 +121,8 @@
     async fn handle_frame(&self, body: Body) {
         match body {
             Body::Call(call) => self.owner.call_from_link(call, &self.outbox),
-            Body::MemberBeat(beat) => {
-                self.owner.send(OwnerMsg::HeartbeatReceived(self.link, beat)).await
+            Body::MemberBeat(heartbeat) => {
+                self.owner.send(OwnerMsg::HeartbeatReceived(self.link, heartbeat)).await
             }
             Body::Advice(advice) => self.handle_advice(advice).await,
             Body::Outcomes(o) => self.owner.send(OwnerMsg::Outcomes(self.link, o)).await,
--- a/crates/hollowford-node/src/plan.rs
+++ b/crates/hollowford-node/src/plan.rs
@@ -98,7 +98,7 @@
     }
 
     /// Reads the plan. If there is none, makes it when this process is the one to count the
-    /// workers; returns none if it isn't.
+    /// workers; returns `None` if it isn't.
     async fn read_or_make_plan(
         &self,
         shared: &Shared,
--- a/crates/hollowford-node/src/registry.rs
+++ b/crates/hollowford-node/src/registry.rs
@@ -25,7 +25,7 @@
 const READ_TIMEOUT: Duration = Duration::from_millis(700);
 /// Pause after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// Shortest interval between reads of the whole list, which make up for a feed that has stopped
+/// Minimum interval between reads of the whole list, which make up for a feed that has stopped
 /// sending changes.
 const MIN_READ_INTERVAL: Millis = Millis(2_000);
 /// Interval between reads of the whole list per worker, where that exceeds [`MIN_READ_INTERVAL`]:
@@ -141,8 +141,8 @@
         self.rows.values().filter(in_named_pool)
     }
 
-    /// Waits for forwarded changes. Returns true if they changed the list, and none if this process
-    /// has to read the list itself.
+    /// Waits for forwarded changes. Returns true if they changed the list, and `None` if this
+    /// process has to read the list itself.
     async fn next_changes(
         &mut self,
         cx: &PartitionContext,
--- a/crates/hollowford-node/src/relay.rs
+++ b/crates/hollowford-node/src/relay.rs
@@ -31,13 +31,13 @@
     Unsure,
 }
 
-type Pending = Arc<Mutex<HashMap<u64, oneshot::Sender<CallAnswer>>>>;
+type PendingCalls = Arc<Mutex<HashMap<u64, oneshot::Sender<CallAnswer>>>>;
 
 /// The owner at the other end of a link.
 #[derive(Clone, Debug)]
 pub struct RemoteOwner {
     outbox: Outbox,
-    pending: Pending,
+    pending: PendingCalls,
     next_id: Arc<AtomicU64>,
 }
 
@@ -130,7 +130,7 @@
     }
 }
 
-/// Sends a call on a route; none if the route leads to no owner that takes calls.
+/// Sends a call on a route; `None` if the route leads to no owner that takes calls.
 fn send(route: &Route, call: &Call) -> Option<oneshot::Receiver<CallAnswer>> {
     match route {
         Route::None => None,
--- a/crates/hollowford-node/src/retries_tests.rs
+++ b/crates/hollowford-node/src/retries_tests.rs
@@ -74,7 +74,7 @@
 }
 
 // If 42% of the answers to writes are lost for 6 s and the others take 14 to 28 ms, a fixed read
-// delay holds up most callers. A store that is 53 times as slow answers after 0.3 to 0.5 s.
+// delay makes most callers wait. A store that is 53 times as slow answers after 0.3 to 0.5 s.
 #[test]
 fn the_lane_row_is_read_earlier_in_a_fast_store() {
     assert_eq!(read_delay(&AnswerTimes::default()), Millis(150), "no response times yet");
--- a/crates/hollowford-node/src/shared.rs
+++ b/crates/hollowford-node/src/shared.rs
@@ -183,11 +183,11 @@
     /// known.
     pub fn partition_of(&self, account: &str, job: JobId) -> Option<&Arc<Partition>> {
         let partitions = self.partition_count();
-        let home = match account {
+        let assigned = match account {
             NO_ACCOUNT => partition_of_job(job, partitions),
             account => partition_of_account(account, partitions),
         };
-        self.partitions().get(home as usize)
+        self.partitions().get(assigned as usize)
     }
 
     /// Returns the longest time since any partition's owner was reached.
@@ -218,8 +218,9 @@
         KnownConfig { version: self.config_version(), age: self.config_age() }
     }
 
-    /// Returns true if another process's heartbeats confirm that the known configuration is
-    /// current. Always false in an owner, which reads the configuration itself.
+    /// Returns true if an owner's heartbeats confirm that the known configuration is current.
+    /// Always false if this process owns a partition, since owners read the configuration
+    /// themselves.
     pub fn is_config_confirmed(&self) -> bool {
         let now = self.clock.now();
         self.config_version() > 0
@@ -237,9 +238,7 @@
         self.config_row.load().as_ref().is_none_or(|r| r.row_version < version)
     }
 
-    /// Returns true if an owner's heartbeats confirm that the known configuration is current.
-    /// Always false if this process owns a partition, since owners read the configuration
-    /// themselves.
+    /// Returns the row from which the configuration was last read, or `None` if none was read.
     pub fn config_row(&self) -> Option<Arc<ConfigRow>> {
         self.config_row.load_full()
     }
--- a/crates/hollowford-node/src/shared_tests.rs
+++ b/crates/hollowford-node/src/shared_tests.rs
@@ -13,7 +13,7 @@
     shared_with(None)
 }
 
-/// Returns the same with the store at another address.
+/// Returns the shared state of such a process with the store at another address.
 pub fn shared_with(store: Option<SocketAddr>) -> Shared {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../platform/examples/settings.toml");
     let settings = NodeSettings::from_file(file).expect("the example");
--- a/crates/hollowford-node/src/step_down.rs
+++ b/crates/hollowford-node/src/step_down.rs
@@ -44,7 +44,7 @@
         self.stop_requested = Some((done, self.shared.clock.now()));
     }
 
-    /// Returns since when the owner has been stepping down; none if it isn't.
+    /// Returns since when the owner has been stepping down; `None` if it isn't.
     pub fn since(&self) -> Option<Millis> {
         self.stop_requested.as_ref().map(|(_, since)| *since).or(self.moving_since)
     }
--- a/crates/hollowford-node/src/worker_changes.rs
+++ b/crates/hollowford-node/src/worker_changes.rs
@@ -23,7 +23,7 @@
     /// Version of the list that was read.
     #[prost(uint64, tag = "2")]
     pub to: Version,
-    /// Rows that now describe a different worker, or none.
+    /// Rows whose worker has changed, or that no longer describe one.
     #[prost(message, repeated, tag = "3")]
     pub rows: Vec<WorkerRow>,
 }
--- a/crates/hollowford-node/src/writer.rs
+++ b/crates/hollowford-node/src/writer.rs
@@ -59,10 +59,8 @@
 /// Writes a batch and returns once its outcome is known.
 ///
 /// Several attempts to write the same batch may be in flight at once. At most one of them can be
-/// committed because each requires and replaces the row of its lane. The store executes the
-/// transactions of a part one after the other, so an unnecessary attempt delays the next batch. The
-/// lane's row is therefore read first, which doesn't queue behind transactions: it shows whether
-/// the batch was committed although the answer was lost, and how slow the store is.
+/// committed because each requires and replaces the row of its lane. [`Retries`] decides when to
+/// send another attempt and when to read the lane's row.
 pub async fn write(shared: Arc<Shared>, batch_write: BatchWrite) -> BatchOutcome {
     let tx = transaction(&batch_write);
     let mut calls = FuturesUnordered::new();
