--- a/crates/hollowford-jobs/tests/accounts.rs
+++ b/crates/hollowford-jobs/tests/accounts.rs
@@ -191,8 +191,8 @@
     let mut cell = cell_with_quotas(8, 40);
     cell.submit_for(BUSY, 1, QUICK, job(vec![step(3, 2_000, 60_000)]));
     cell.run(300);
-    let uses = cell.engine.account_usage();
-    let busy = uses.iter().find(|u| &*u.name == BUSY).unwrap();
+    let usage = cell.engine.account_usage();
+    let busy = usage.iter().find(|u| &*u.name == BUSY).unwrap();
     assert_eq!((busy.used.cpu_milli, busy.quota.cpu_milli), (6_000, 40_000));
 }
 
@@ -224,7 +224,7 @@
         cell.run(1_200);
         assert_eq!(cell.state(id), Some(JobState::Completed), "job {id} has not completed");
     }
-    // The jobs beyond the guaranteed rate run all the same.
+    // The jobs beyond the guaranteed rate run too.
     cell.run(30_000);
     assert!((1..=200).all(|id| cell.state(id) == Some(JobState::Completed)));
 }
--- a/crates/hollowford-jobs/tests/answers.rs
+++ b/crates/hollowford-jobs/tests/answers.rs
@@ -20,7 +20,7 @@
 }
 
 /// Returns the timeout of the last executed start.
-fn start_limit(cell: &TestCell) -> Millis {
+fn start_timeout(cell: &TestCell) -> Millis {
     let limit = |order: &Order| match order {
         Order::Worker { call: WorkerCall::Start { .. }, limit } => Some(*limit),
         _ => None,
@@ -51,12 +51,12 @@
     for id in 0..10 {
         answer_one_start(&mut cell, id, 4);
     }
-    let quick = start_limit(&cell);
+    let quick = start_timeout(&cell);
     assert!(quick < Millis(100), "timeout of {quick:?} for a worker that answers in 4 ms");
     for id in 10..30 {
         answer_one_start(&mut cell, id, 200);
     }
-    let slow = start_limit(&cell);
+    let slow = start_timeout(&cell);
     assert!(slow > Millis(200), "timeout of {slow:?} for a worker that answers in 200 ms");
 }
 
@@ -77,8 +77,8 @@
 fn looks_wait_shorter_while_answers_are_lost_and_long_again_afterwards() {
     let mut cell = TestCell::new(4);
     cell.run(200);
-    let calm = take_look_waits(&mut cell);
-    assert!(calm.contains(&MAX_LOOK_WAIT), "{calm:?}");
+    let without_losses = take_look_waits(&mut cell);
+    assert!(without_losses.contains(&MAX_LOOK_WAIT), "{without_losses:?}");
     // In half of the steps the answers of one worker are lost.
     for iteration in 0..400 {
         cell.workers[iteration % 4].drops_answers = true;
@@ -88,13 +88,13 @@
     }
     take_look_waits(&mut cell);
     cell.run(50);
-    let lossy = take_look_waits(&mut cell);
-    assert!(lossy.iter().all(|w| *w < Millis(500)), "{lossy:?}");
+    let with_losses = take_look_waits(&mut cell);
+    assert!(with_losses.iter().all(|w| *w < Millis(500)), "{with_losses:?}");
     cell.run(10_000);
     take_look_waits(&mut cell);
     cell.run(50);
-    let calm = take_look_waits(&mut cell);
-    assert!(calm.contains(&MAX_LOOK_WAIT), "{calm:?}");
+    let without_losses = take_look_waits(&mut cell);
+    assert!(without_losses.contains(&MAX_LOOK_WAIT), "{without_losses:?}");
 }
 
 #[test]
--- a/crates/hollowford-jobs/tests/batches.rs
+++ b/crates/hollowford-jobs/tests/batches.rs
@@ -81,17 +81,17 @@
     }
     cell.write_batches();
     let first = durable(&cell, 0..200);
-    let written = first.iter().filter(|&&k| k).count();
+    let written = first.iter().filter(|&&d| d).count();
     assert!(written > 80, "only {written} jobs in the first batch");
-    assert!(first[..written].iter().all(|&k| k), "jobs should be written in the order of arrival");
+    assert!(first[..written].iter().all(|&d| d), "jobs should be written in the order of arrival");
     cell.write_batches();
-    assert!(durable(&cell, 0..2 * written as u64).iter().all(|&k| k));
+    assert!(durable(&cell, 0..2 * written as u64).iter().all(|&d| d));
 }
 
 #[test]
 fn progress_is_written_while_more_jobs_arrive_than_a_batch_takes() {
     let mut cell = TestCell::new(8);
-    // Each of these has a task that ends and one that runs on.
+    // Each of these has a task that ends and one that continues.
     for i in 0..20 {
         let spec = job(vec![step(1, 1_000, 50), step(1, 1_000, 60_000)]);
         cell.submit(scattered_id(i), QUICK, spec);
@@ -172,8 +172,9 @@
     }
 }
 
-/// With several batches in flight that are committed or refused in any order, and takeovers between,
-/// durable jobs stay durable, and no task starts again after its worker has dropped its end.
+/// With several batches in flight that are committed or refused in any order, and with takeovers in
+/// between, durable jobs stay durable, and no task starts again after its worker has dropped its
+/// end.
 #[test]
 fn batches_committed_in_any_order_lose_nothing_and_start_nothing_twice() {
     for seed in 1..=40 {
--- a/crates/hollowford-jobs/tests/common/crash_load.rs
+++ b/crates/hollowford-jobs/tests/common/crash_load.rs
@@ -80,26 +80,28 @@
         self.cell.submit(id, queue, spec);
     }
 
-    /// Returns the jobs that failed although no task of theirs had two workers crash under it.
+    /// Returns the jobs that failed although no two workers crashed under the same one of their
+    /// tasks.
     pub fn failed_without_two_crashes(&self) -> BTreeSet<u64> {
-        let under = &self.cell.crashes.by_task;
-        let twice = |id: u64| under.iter().any(|(t, &n)| t.step.job == JobId(id) && n >= 2);
+        let crashes_by_task = &self.cell.crashes.by_task;
+        let crashed_twice =
+            |id: u64| crashes_by_task.iter().any(|(t, &n)| t.step.job == JobId(id) && n >= 2);
         let failed = |id: u64| self.cell.state(id) == Some(JobState::Failed);
-        (1..=self.jobs).filter(|&id| failed(id) && !twice(id)).collect()
+        (1..=self.jobs).filter(|&id| failed(id) && !crashed_twice(id)).collect()
     }
 
     /// Returns the jobs with a wrong end. A job that crashes workers must fail, or complete if its
     /// tasks can end before the crash; all others must complete.
     pub fn unexpected_ends(&self) -> BTreeSet<u64> {
         let crashing = |id: u64| self.cell.crashes.jobs.contains(&JobId(id));
-        let right = |id: u64| match self.cell.state(id) {
+        let as_expected = |id: u64| match self.cell.state(id) {
             Some(JobState::Completed) => {
                 !crashing(id) || self.cell.crashes.crash_after > Millis(300)
             }
             Some(JobState::Failed) => crashing(id),
             _ => false,
         };
-        (1..=self.jobs).filter(|&id| !right(id)).collect()
+        (1..=self.jobs).filter(|&id| !as_expected(id)).collect()
     }
 
     /// Returns the number of jobs that crash no worker and have not completed.
--- a/crates/hollowford-jobs/tests/common/crashes.rs
+++ b/crates/hollowford-jobs/tests/common/crashes.rs
@@ -104,11 +104,11 @@
         if !crashed || !self.store_healthy || !self.jobs.contains(&task.step.job) {
             return;
         }
-        let more = self.extra_starts.entry(task).or_default();
-        *more += 1;
+        let extra_starts = self.extra_starts.entry(task).or_default();
+        *extra_starts += 1;
         assert!(
-            *more < EXTRA_START_LIMIT,
-            "{task} was started {more} times after {CRASH_LIMIT} crashes"
+            *extra_starts < EXTRA_START_LIMIT,
+            "{task} was started {extra_starts} times after {CRASH_LIMIT} crashes"
         );
     }
 }
--- a/crates/hollowford-jobs/tests/common/mod.rs
+++ b/crates/hollowford-jobs/tests/common/mod.rs
@@ -220,9 +220,9 @@
     /// Adds one more batch to those in flight. Returns false if there was nothing to write.
     pub fn add_pending_batch(&mut self) -> bool {
         let batch = self.engine.next_batch(self.now);
-        let cut = batch.is_some();
+        let added = batch.is_some();
         self.pending_batches.extend(batch);
-        cut
+        added
     }
 
     /// Writes all batches in flight.
--- a/crates/hollowford-jobs/tests/common/scenario.rs
+++ b/crates/hollowford-jobs/tests/common/scenario.rs
@@ -62,7 +62,7 @@
     failures: Failures,
     /// Factor by which failures are more frequent than `failures` says.
     failure_factor: u64,
-    /// Maximum time that the store takes for a batch, in milliseconds; 0: none.
+    /// Maximum time that the store takes for a batch, in milliseconds; 0 for none.
     batch_ms: u64,
     started_at: Millis,
     /// All jobs: time of submission, id, queue and specification.
@@ -147,8 +147,8 @@
             self.cell.crashes.downtime = Millis(self.rng.u64(800..13_000));
             return;
         }
-        let least = [0, 800][self.rng.usize(0..2)];
-        self.cell.crashes.downtime = Millis(self.rng.u64(least..13_000));
+        let min_downtime = [0, 800][self.rng.usize(0..2)];
+        self.cell.crashes.downtime = Millis(self.rng.u64(min_downtime..13_000));
         self.cell.crashes.same_id = self.rng.u32(0..4) > 0;
     }
 
@@ -159,7 +159,7 @@
             0..3 => (QUICK, job(vec![step(rng.u32(1..4), 1_400, ms)])),
             3..5 => (LARGE, job(vec![step(rng.u32(2..20), rng.u32(500..8_000), ms)])),
             5..7 => {
-                // Small enough to fit into the smallest cell beside all service tasks.
+                // Small enough to fit into the smallest cell together with all service tasks.
                 let (tasks, cpu) = (rng.u32(2..9), rng.u32(1_000..6_000));
                 let gang = RawStep { gang: true, ..step(tasks, cpu, ms + rng.u64(0..4_000)) };
                 (LARGE, job(vec![gang]))
@@ -198,7 +198,7 @@
     fn tick(&mut self) {
         self.submit_due();
         let now = self.cell.now;
-        let restarted = self.replace_departed(now);
+        let replaced = self.replace_departed(now);
         self.silent_until.retain(|_, until| *until > now);
         let silent_until = &self.silent_until;
         for w in &mut self.cell.workers {
@@ -207,7 +207,7 @@
                 (w.reachable, w.drops_answers) = (true, false);
             }
         }
-        if restarted {
+        if replaced {
             self.cell.update_worker_list();
         }
         self.write_due_batch(now);
@@ -354,22 +354,22 @@
         if std::mem::replace(&mut w.leaving, true) {
             return;
         }
-        let gone = w.now + Millis(self.rng.u64(500..MAX_LEAVE_MS));
-        self.departs_at.insert(w.address.clone(), gone);
+        let departs_at = w.now + Millis(self.rng.u64(500..MAX_LEAVE_MS));
+        self.departs_at.insert(w.address.clone(), departs_at);
         self.cell.update_worker_list();
     }
 
     /// Replaces the workers that have left. Returns true if there were any.
     fn replace_departed(&mut self, now: Millis) -> bool {
-        let gone: Vec<_> = self.departs_at.extract_if(.., |_, at| *at <= now).collect();
-        for (address, _) in &gone {
+        let departed: Vec<_> = self.departs_at.extract_if(.., |_, at| *at <= now).collect();
+        for (address, _) in &departed {
             let w = self.cell.workers.iter_mut().find(|w| w.address == *address);
             if let Some(w) = w.filter(|w| w.up && w.leaving) {
                 self.replacements += 1;
                 w.restart(&format!("next-{}", self.replacements));
             }
         }
-        !gone.is_empty()
+        !departed.is_empty()
     }
 
     /// Ends the members of gangs that have been incomplete for too long.
@@ -444,8 +444,8 @@
 
     /// Returns true if two workers have crashed under the same task of a job.
     fn crashed_twice(&self, id: u64) -> bool {
-        let under = &self.cell.crashes.by_task;
-        under.iter().any(|(t, &n)| t.step.job == JobId(id) && n >= 2)
+        let crashes_by_task = &self.cell.crashes.by_task;
+        crashes_by_task.iter().any(|(t, &n)| t.step.job == JobId(id) && n >= 2)
     }
 }
 
--- a/crates/hollowford-jobs/tests/common/worker.rs
+++ b/crates/hollowford-jobs/tests/common/worker.rs
@@ -25,8 +25,8 @@
 
 impl Run {
     fn progress(&self, now: Millis) -> u32 {
-        let whole = self.ends_at.since(self.started_at).0.max(1);
-        (now.since(self.started_at).0.min(whole) * 100 / whole) as u32
+        let duration_ms = self.ends_at.since(self.started_at).0.max(1);
+        (now.since(self.started_at).0.min(duration_ms) * 100 / duration_ms) as u32
     }
 }
 
@@ -61,7 +61,7 @@
     pub runs_until_stopped: bool,
     /// Pace of each task, in percent of its full speed.
     pub paces: BTreeMap<TaskKey, u32>,
-    /// Tail latency of service tasks without best-effort tasks beside them, in milliseconds.
+    /// Tail latency of service tasks without best-effort tasks on the worker, in milliseconds.
     pub base_latency_ms: u32,
     /// Whether its tasks make no progress although the worker answers calls.
     pub stalled: bool,
@@ -201,8 +201,8 @@
 
     /// Returns the tail latency of a task. Each other task adds 1 ms per percent of its pace.
     fn latency_ms(&self, task: &TaskKey) -> u32 {
-        let fills = self.running.keys().filter(|t| *t != task);
-        let paces = fills.map(|t| self.paces.get(t).copied().unwrap_or(100));
+        let other_tasks = self.running.keys().filter(|t| *t != task);
+        let paces = other_tasks.map(|t| self.paces.get(t).copied().unwrap_or(100));
         self.base_latency_ms + paces.sum::<u32>()
     }
 
@@ -261,9 +261,9 @@
         }
         self.fence = fence;
         self.extend_lease(lease_until);
-        let here = self.running.get(&task).map(|r| r.run);
-        if here != Some(run) {
-            if self.ended_runs.get(&task).is_some_and(|&o| run <= o) || here.is_some() {
+        let running = self.running.get(&task).map(|r| r.run);
+        if running != Some(run) {
+            if self.ended_runs.get(&task).is_some_and(|&o| run <= o) || running.is_some() {
                 return StartAnswer::Old;
             }
             self.starts += 1;
--- a/crates/hollowford-jobs/tests/gangs.rs
+++ b/crates/hollowford-jobs/tests/gangs.rs
@@ -113,8 +113,8 @@
 fn a_late_gang_still_runs_while_others_keep_arriving() {
     let mut cell = TestCell::new(20);
     let mut next = 100;
-    // Ten gangs of four tasks of one second every 1.02 s: nearly all of the 40 places are always taken,
-    // and most gangs wait for a moment without being late.
+    // Ten gangs of four tasks of one second every 1.02 s: nearly all of the capacity, for 40 tasks,
+    // is always in use, and most gangs wait for a moment without being late.
     let mut burst = |cell: &mut TestCell| {
         for _ in 0..10 {
             next += 1;
--- a/crates/hollowford-jobs/tests/restarts.rs
+++ b/crates/hollowford-jobs/tests/restarts.rs
@@ -387,7 +387,7 @@
     assert!(is_used(&mut cell, 2));
     start_answered_by_next_incarnation(&mut cell, 3, 1_000);
     cell.run(500);
-    let fresh = |n: &Event| match n {
+    let fresh = |e: &Event| match e {
         Event::WorkerCrashed { task, fresh, .. } => (task.step.job == JobId(2)).then_some(*fresh),
         _ => None,
     };
@@ -418,7 +418,7 @@
 /// Returns true if a crash was counted against a task of the job.
 fn is_blamed(cell: &mut TestCell, id: u64) -> bool {
     let blamed =
-        |n: &Event| matches!(n, Event::WorkerCrashed { task, .. } if task.step.job == JobId(id));
+        |e: &Event| matches!(e, Event::WorkerCrashed { task, .. } if task.step.job == JobId(id));
     cell.engine.take_events().iter().any(blamed)
 }
 
--- a/crates/hollowford-jobs/tests/steps.rs
+++ b/crates/hollowford-jobs/tests/steps.rs
@@ -95,8 +95,8 @@
     for _ in 0..30 {
         cell.run(50);
         let members = cell.workers.iter().flat_map(|w| w.running.keys());
-        let there = members.filter(|t| t.step.job == JobId(2)).count();
-        assert!(there == 0 || there == 4, "{there} members");
+        let started = members.filter(|t| t.step.job == JobId(2)).count();
+        assert!(started == 0 || started == 4, "{started} members");
     }
     cell.run(2_500);
     assert_eq!(cell.state(2), Some(JobState::Completed));
--- a/crates/hollowford-jobs/tests/work_conserving.rs
+++ b/crates/hollowford-jobs/tests/work_conserving.rs
@@ -86,8 +86,8 @@
 impl WaitTracker {
     fn record(&mut self, cell: &TestCell) {
         let waits = cell.engine.step_waits(cell.now);
-        let could = |w: &&StepWait| w.cause != WaitCause::HeldBack && is_runnable(cell, w.step);
-        let now: BTreeMap<_, _> = waits.iter().filter(could).map(|w| (w.step, *w)).collect();
+        let runnable = |w: &&StepWait| w.cause != WaitCause::HeldBack && is_runnable(cell, w.step);
+        let now: BTreeMap<_, _> = waits.iter().filter(runnable).map(|w| (w.step, *w)).collect();
         self.runnable_since.retain(|step, _| now.contains_key(step));
         for (step, wait) in now {
             let waited = cell.now.since(*self.runnable_since.entry(step).or_insert(cell.now));
@@ -110,11 +110,11 @@
     }
     let spec = &cell.specs[&step.job].steps[step.step as usize];
     let wanted = if spec.gang { spec.count } else { 1 };
-    let places = |w: &worker::SimWorker| {
+    let tasks_that_fit = |w: &worker::SimWorker| {
         let (need, free) = (spec.allocation(), w.capacity.minus(&w.used()));
         (free.cpu_milli / need.cpu_milli.max(1)).min(free.memory_mib / need.memory_mib.max(1))
     };
-    up().filter(|w| cell.is_eligible(step, &w.id)).map(places).sum::<u32>() >= 2 * wanted
+    up().filter(|w| cell.is_eligible(step, &w.id)).map(tasks_that_fit).sum::<u32>() >= 2 * wanted
 }
 
 /// Runs a load in which the given percentage of the surveys crash their workers at first. Returns the waits of
@@ -124,8 +124,8 @@
     let mut cell = busy_cell();
     let (started_at, mut jobs, mut due) = (cell.now, 0, [0.0; 3]);
     let mut tracker = WaitTracker::default();
-    for turn in 0..OBSERVED_MS / 5 {
-        let rates = if turn * 5 < ARRIVALS_MS {
+    for iteration in 0..OBSERVED_MS / 5 {
+        let rates = if iteration * 5 < ARRIVALS_MS {
             [CHECKS_PER_S, SURVEYS_PER_S, GANGS_PER_S]
         } else {
             [0.0; 3]
@@ -144,7 +144,7 @@
             }
         }
         cell.run(5);
-        if turn % 10 == 0 {
+        if iteration % 10 == 0 {
             tracker.record(&cell);
         }
     }
--- a/crates/hollowford-node/src/delegation_tests.rs
+++ b/crates/hollowford-node/src/delegation_tests.rs
@@ -1,7 +1,7 @@
 //! Assignment of calls to members, and handling of silent members.
 //!
-//! Plays a large deployment: 1,100 workers and 147 instances in six availability zones, of which
-//! some are killed, cut off or frozen while calls are in flight.
+//! Simulates a large deployment: 1,100 workers and 147 instances in six availability zones, of
+//! which some are killed, disconnected or frozen while calls are in flight.
 #![allow(clippy::expect_used)]
 
 use crate::calls::AnswerTiming;
--- a/crates/hollowford-node/src/load.rs
+++ b/crates/hollowford-node/src/load.rs
@@ -42,9 +42,9 @@
 fn recover_state(cx: &PartitionContext, info: &OwnerInfo, feed: Feed) -> Option<RecoveredState> {
     let owner = feed.rows.iter().find(|r| r.key == OWNER_KEY)?;
     let lanes = lane_versions(&feed.rows);
-    let holder = decode_owner(owner)?.owner?;
-    if holder != *info {
-        cx.partition.record_owner(&holder);
+    let current_owner = decode_owner(owner)?.owner?;
+    if current_owner != *info {
+        cx.partition.record_owner(&current_owner);
         return None;
     }
     let clock_offset = feed.now.0 as i64 - cx.shared.clock.now().0 as i64;
--- a/crates/hollowford-node/src/mass_join_tests.rs
+++ b/crates/hollowford-node/src/mass_join_tests.rs
@@ -129,9 +129,9 @@
         self.cpu_debt_us -=
             if claiming { OWNER_CPU_US_PER_STEP } else { 2 * OWNER_CPU_US_PER_STEP };
         if self.cpu_debt_us < 0 {
-            let before = self.sent();
+            let before = self.frames_in_transit();
             self.members.tick(Millis(self.now), KNOWN, false);
-            self.cpu_debt_us += (self.sent() - before) as i64 * FRAME_US;
+            self.cpu_debt_us += (self.frames_in_transit() - before) as i64 * FRAME_US;
         }
         while self.cpu_debt_us < 0 {
             let Some(work) = self.work.pop_front() else { break };
@@ -147,10 +147,10 @@
                 let Some(outbox) = self.followers[i].outbox.take() else { return LINK_US };
                 let address = format!("10.0.{}.{}:7000", i / 250, i % 250);
                 let hello = Hello { address, cpu_milli: 1_000, age_ms: 1, ..Hello::default() };
-                let before = self.sent();
+                let before = self.frames_in_transit();
                 self.members.join(i as u64, hello, outbox, Millis(self.now));
                 self.members.send_first_heartbeat(i as u64, KNOWN);
-                LINK_US + (self.sent() - before) as i64 * FRAME_US
+                LINK_US + (self.frames_in_transit() - before) as i64 * FRAME_US
             }
             OwnerWork::Heartbeat(i) => {
                 self.members.record_heartbeat(i as u64, &MemberBeat::default(), Millis(self.now));
@@ -164,7 +164,7 @@
     }
 
     /// Returns the number of frames on their way to members.
-    fn sent(&self) -> usize {
+    fn frames_in_transit(&self) -> usize {
         self.followers.iter().map(|f| f.rx.len()).sum()
     }
 
@@ -210,7 +210,7 @@
     fleet = { 588 },
     twice_the_fleet = { 1_176 },
 )]
-fn no_member_leaves_a_living_owner(instances: usize) {
+fn no_member_leaves_a_live_owner(instances: usize) {
     let mut simulation = Simulation::new(instances);
     simulation.advance(SETTLE_MS);
     assert_eq!(simulation.left(), Vec::<u64>::new());
--- a/crates/hollowford-node/src/member_tests.rs
+++ b/crates/hollowford-node/src/member_tests.rs
@@ -76,8 +76,8 @@
     tokio::spawn(peers::accept(cx.shared.clone(), listener));
     let (mut reader, outbox) = link::connect(address).await.expect("a link");
     outbox.send(Body::Hello(Hello { owner: Some(info.clone()), ..Hello::default() }));
-    let said = timeout(WAIT_TIMEOUT, link::recv(&mut reader)).await.expect("an answer");
-    assert_eq!(said, Some(Body::Owner(info)));
+    let reply = timeout(WAIT_TIMEOUT, link::recv(&mut reader)).await.expect("an answer");
+    assert_eq!(reply, Some(Body::Owner(info)));
 }
 
 /// A link may go silent without a reset while new links work. The owner is alive then and must not
--- a/crates/hollowford-node/src/takeover_tests.rs
+++ b/crates/hollowford-node/src/takeover_tests.rs
@@ -62,12 +62,12 @@
 #[test]
 fn a_small_instance_does_not_take_over_before_a_larger_one() {
     for slot in 0..5 {
-        let whole = Candidate { slot, ..FULL_SIZE }.takeover_delay(None, 8, 1_000);
+        let large = Candidate { slot, ..FULL_SIZE }.takeover_delay(None, 8, 1_000);
         let small = Candidate { slot: 0, ..SMALL }.takeover_delay(None, 8, 1_000);
-        assert!(whole + Millis(500) <= small, "slot {slot}: {whole:?} and {small:?}");
-        let whole = Candidate { slot, ..FULL_SIZE }.first_owner_delay();
+        assert!(large + Millis(500) <= small, "slot {slot}: {large:?} and {small:?}");
+        let large = Candidate { slot, ..FULL_SIZE }.first_owner_delay();
         let small = Candidate { slot: 0, ..SMALL }.first_owner_delay();
-        assert!(whole + Millis(300) <= small, "slot {slot}: {whole:?} and {small:?}");
+        assert!(large + Millis(300) <= small, "slot {slot}: {large:?} and {small:?}");
     }
 }
 
--- a/crates/hollowford-node/src/writer.rs
+++ b/crates/hollowford-node/src/writer.rs
@@ -159,9 +159,9 @@
         log::error!("batch.conflict batch={number} row={key} missing");
         return BatchOutcome::Inconsistent;
     };
-    let Some(holder) = found.owner else { return BatchOutcome::Inconsistent };
-    if holder != batch_write.owner {
-        return BatchOutcome::Deposed(holder);
+    let Some(row_owner) = found.owner else { return BatchOutcome::Inconsistent };
+    if row_owner != batch_write.owner {
+        return BatchOutcome::Deposed(row_owner);
     }
     if found.batch == number {
         return committed(shared, version, None);
--- a/crates/hollowford-node/src/writer_tests.rs
+++ b/crates/hollowford-node/src/writer_tests.rs
@@ -37,8 +37,8 @@
     }
 
     async fn transact(&self, tx: &Transaction) -> TxOutcome {
-        let made = self.shared.store.transact(SYSTEM_TABLE, PART, tx, TIMEOUT).await;
-        made.expect("an answer")
+        let outcome = self.shared.store.transact(SYSTEM_TABLE, PART, tx, TIMEOUT).await;
+        outcome.expect("an answer")
     }
 
     /// Reads all rows and the versions of the lanes' rows.
@@ -75,8 +75,8 @@
     BatchWrite { part: PART.to_owned(), owner: owner.clone(), lane, rev, batch, read_delay }
 }
 
-fn rev_of(written: &BatchOutcome) -> Version {
-    match written {
+fn rev_of(outcome: &BatchOutcome) -> Version {
+    match outcome {
         BatchOutcome::Made { rev, .. } => *rev,
         other => panic!("not committed: {other:?}"),
     }
@@ -87,10 +87,10 @@
     let store = Store::start().await;
     let me = owner(1);
     let revs = store.take_over(&me).await;
-    let both = (0..LANE_COUNT)
+    let writes = (0..LANE_COUNT)
         .map(|lane| store.write(batch_write(&me, lane, revs[lane], lane as u64 + 1)));
-    let made = |w: &BatchOutcome| matches!(w, BatchOutcome::Made { .. });
-    assert!(join_all(both).await.iter().all(made));
+    let is_committed = |w: &BatchOutcome| matches!(w, BatchOutcome::Made { .. });
+    assert!(join_all(writes).await.iter().all(is_committed));
     let (rows, _) = store.read().await;
     assert_eq!(rows.keys().filter(|k| k.starts_with("batch/")).count(), LANE_COUNT);
 }
@@ -102,8 +102,8 @@
     let revs = store.take_over(&me).await;
     store.take_over(&next).await;
     for (lane, rev) in revs.into_iter().enumerate() {
-        let written = store.write(batch_write(&me, lane, rev, 1)).await;
-        assert_eq!(written, BatchOutcome::Deposed(next.clone()), "lane {lane}");
+        let outcome = store.write(batch_write(&me, lane, rev, 1)).await;
+        assert_eq!(outcome, BatchOutcome::Deposed(next.clone()), "lane {lane}");
     }
     let (rows, _) = store.read().await;
     assert!(!rows.keys().any(|k| k.starts_with("batch/")), "{:?}", rows.keys());
@@ -128,8 +128,8 @@
     let revs = store.take_over(&me).await;
     store.platform.set_faults(Faults { mute_writes: true, ..Faults::default() });
     for (lane, rev) in revs.into_iter().enumerate() {
-        let written = store.write(batch_write(&me, lane, rev, 1));
-        rev_of(&timeout(TIMEOUT, written).await.expect("an outcome"));
+        let outcome = store.write(batch_write(&me, lane, rev, 1));
+        rev_of(&timeout(TIMEOUT, outcome).await.expect("an outcome"));
     }
 }
 
@@ -141,8 +141,8 @@
     store.platform.set_faults(Faults { slow_ms: 200, turn_ms: 300, ..Faults::default() });
     let before = store.platform.served().writes;
     for number in 1..=4 {
-        let both = (0..LANE_COUNT).map(|l| store.write(batch_write(&me, l, revs[l], number)));
-        let outcomes = join_all(both).await;
+        let writes = (0..LANE_COUNT).map(|l| store.write(batch_write(&me, l, revs[l], number)));
+        let outcomes = join_all(writes).await;
         revs = std::array::from_fn(|lane| rev_of(&outcomes[lane]));
     }
     let sent = store.platform.served().writes - before;
@@ -181,10 +181,10 @@
                     );
                 }
                 _ => {
-                    let used: Vec<_> = (0..LANE_COUNT).filter(|_| random.bool()).collect();
+                    let lanes: Vec<_> = (0..LANE_COUNT).filter(|_| random.bool()).collect();
                     let first = number;
-                    number += used.len() as u64;
-                    let numbered = used.iter().zip(first + 1..);
+                    number += lanes.len() as u64;
+                    let numbered = lanes.iter().zip(first + 1..);
                     let batches: Vec<_> =
                         numbered.map(|(&l, n)| batch_write(&me, l, revs[l], n)).collect();
                     late.extend(batches.iter().map(transaction));
@@ -192,7 +192,7 @@
                         last.insert(format!("last/{}", b.lane), b.batch.number);
                     }
                     let outcomes = join_all(batches.into_iter().map(|b| store.write(b))).await;
-                    for (&lane, w) in used.iter().zip(&outcomes) {
+                    for (&lane, w) in lanes.iter().zip(&outcomes) {
                         revs[lane] = rev_of(w);
                     }
                 }
