--- a/crates/hollowford-jobs/src/accounts.rs
+++ b/crates/hollowford-jobs/src/accounts.rs
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Counts a submitted job of an account. Returns whether it is within the account's guaranteed
+    /// Counts a submitted job of an account. Returns true if it is within the account's guaranteed
     /// rate.
     pub fn record_job(&mut self, idx: AccountIdx, now: Millis) -> bool {
         self.list[idx as usize].allowance.count_job(now)
@@ -98,7 +98,6 @@
         &self.list[idx as usize].name
     }
 
-    /// Returns whether any account has a quota.
     pub fn has_quotas(&self) -> bool {
         self.list.iter().any(|a| !a.policy.is_unlimited())
     }
@@ -121,7 +120,7 @@
         self.list[idx as usize].used.plus(resources);
     }
 
-    /// Returns whether `count` more tasks fit in the account's quota next to its reservation for a
+    /// Returns true if `count` more tasks fit in the account's quota next to its reservation for a
     /// gang.
     pub fn allows(&self, idx: AccountIdx, need: &Resources, count: u32) -> bool {
         let a = &self.list[idx as usize];
@@ -176,7 +175,7 @@
 }
 
 impl AccountUsage {
-    /// Returns whether the account uses at least `percent` of its quota of any resource.
+    /// Returns true if the account uses at least `percent` of its quota of any resource.
     pub fn has_reached(&self, percent: u64) -> bool {
         let is_reached = |used: u64, quota: u64| quota > 0 && used * 100 >= quota * percent;
         is_reached(self.used.cpu_milli, self.quota.cpu_milli)
--- a/crates/hollowford-jobs/src/advice.rs
+++ b/crates/hollowford-jobs/src/advice.rs
@@ -119,17 +119,16 @@
         }
     }
 
-    /// Returns whether no call for the step has been answered.
+    /// Returns true if no call for the step has been answered.
     pub fn has_no_answers(&self) -> bool {
         self.known.is_empty()
     }
 
-    /// Returns whether a call is pending.
     pub fn is_call_pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Returns whether a pending call names the worker.
+    /// Returns true if a pending call names the worker.
     pub fn is_pending(&self, w: WorkerIdx) -> bool {
         self.pending.contains(&w)
     }
@@ -139,7 +138,7 @@
         self.pending.iter().filter(|w| !self.known.contains_key(w)).count()
     }
 
-    /// Returns whether the worker's ticket is valid at `at`, with [`MIN_TICKET_REMAINING`] to
+    /// Returns true if the worker's ticket is valid at `at`, with [`MIN_TICKET_REMAINING`] to
     /// spare.
     pub fn has_ticket_at(&self, w: WorkerIdx, at: Millis) -> bool {
         self.advice_status(w, at) == AdviceStatus::ValidTicket
--- a/crates/hollowford-jobs/src/advice_calls.rs
+++ b/crates/hollowford-jobs/src/advice_calls.rs
@@ -66,7 +66,7 @@
         ChannelState { channel, call: None, failures: 0, backoff_until: Millis(0) }
     }
 
-    /// Returns whether the channel is not in backoff.
+    /// Returns true if the channel is not in backoff.
     fn is_available(&self, now: Millis) -> bool {
         self.backoff_until <= now
     }
@@ -97,7 +97,7 @@
 }
 
 impl AdviceChannels {
-    /// Returns whether a channel is free for a call with this cost that names one worker.
+    /// Returns true if a channel is free for a call with this cost that names one worker.
     pub fn has_free(&self, cost: &AdviceCost, now: Millis) -> bool {
         self.free_for(cost.call_ms(1), now).is_some()
     }
@@ -135,7 +135,7 @@
         free.saturating_sub(self.list.len().div_ceil(CHANNELS_PER_QUICK_CHANNEL))
     }
 
-    /// Returns whether one more of the `channels` for longer calls may take a slow call. One is
+    /// Returns true if one more of the `channels` for longer calls may take a slow call. One is
     /// left to the calls between quick and slow.
     fn may_take_slow_call(&self, channels: usize) -> bool {
         let slow_calls = self.list.iter().filter(|s| s.is_slow()).count();
--- a/crates/hollowford-jobs/src/candidate.rs
+++ b/crates/hollowford-jobs/src/candidate.rs
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns whether a task fits next to the reservations, or ends before they are needed.
+    /// Returns true if a task fits next to the reservations, or ends before they are needed.
     pub fn fits(&self, need: &Resources, end: Millis) -> bool {
         if !need.fits(&self.free) {
             return false;
--- a/crates/hollowford-jobs/src/engine.rs
+++ b/crates/hollowford-jobs/src/engine.rs
@@ -127,7 +127,6 @@
     pub(crate) slow_call_answered: bool,
     /// Time of the last round of timed work at the workers.
     pub(crate) last_upkeep_at: Millis,
-    /// Time of the last pass.
     pub(crate) last_pass_at: Millis,
     /// Time of the last pass over all waiting steps.
     pub(crate) last_full_pass_at: Millis,
--- a/crates/hollowford-jobs/src/gang.rs
+++ b/crates/hollowford-jobs/src/gang.rs
@@ -163,7 +163,7 @@
         distribute_members(pass, spec, candidates)
     }
 
-    /// Returns whether the gang has no valid ticket for a candidate and no pending call for one.
+    /// Returns true if the gang has no valid ticket for a candidate and no pending call for one.
     fn needs_ticket(&self, pass: &Pass, gang: StepPlacement<'_>, at: usize) -> bool {
         let idx = pass.candidates[at].idx;
         let is_pending = self.jobs.step(gang.key).is_some_and(|s| s.advice.is_pending(idx));
--- a/crates/hollowford-jobs/src/job.rs
+++ b/crates/hollowford-jobs/src/job.rs
@@ -154,7 +154,6 @@
         self.remaining > 0 && self.tasks.iter().any(|t| !t.done && t.worker.is_none())
     }
 
-    /// Returns true if some task has a crash record.
     pub fn has_crash_record(&self) -> bool {
         self.tasks.iter().any(Task::has_crash_record)
     }
--- a/crates/hollowford-jobs/src/pass.rs
+++ b/crates/hollowford-jobs/src/pass.rs
@@ -53,7 +53,7 @@
         self.positions.get(&idx).copied()
     }
 
-    /// Returns whether a task with these resources may fit on some candidate.
+    /// Returns true if a task with these resources may fit on some candidate.
     pub fn may_fit(&self, need: &Resources) -> bool {
         need.fits(&self.max_free)
     }
--- a/crates/hollowford-jobs/src/placement.rs
+++ b/crates/hollowford-jobs/src/placement.rs
@@ -179,7 +179,7 @@
         tasks
     }
 
-    /// Returns whether the step may run on some worker other than `w`, now or once that worker has
+    /// Returns true if the step may run on some worker other than `w`, now or once that worker has
     /// free capacity.
     fn has_alternative_to(&self, pass: &Pass, step: StepPlacement<'_>, w: WorkerIdx) -> bool {
         let is_allowed =
@@ -187,7 +187,7 @@
         pass.candidates.iter().any(|c| c.idx != w && is_allowed(c) && self.is_eligible(c, step))
     }
 
-    /// Returns whether pool, label and the limit of tasks per worker let the step run on a worker.
+    /// Returns true if pool, label and the limit of tasks per worker let the step run on a worker.
     pub(crate) fn is_eligible(&self, candidate: &CandidateWorker, step: StepPlacement<'_>) -> bool {
         let StepPlacement { key, spec, queue, .. } = step;
         if !Arc::ptr_eq(&candidate.pool, &queue.pool) && candidate.pool != queue.pool {
--- a/crates/hollowford-jobs/src/queue.rs
+++ b/crates/hollowford-jobs/src/queue.rs
@@ -27,7 +27,7 @@
         (self.base_ms * f64::from(percent) / 100.0 / self.per_worker_ms) as usize
     }
 
-    /// Returns whether a call that names one worker is quick.
+    /// Returns true if a call that names one worker is quick.
     pub fn is_quick(&self) -> bool {
         self.call_ms(1) <= MAX_QUICK_CALL_MS
     }
--- a/crates/hollowford-jobs/src/reservation.rs
+++ b/crates/hollowford-jobs/src/reservation.rs
@@ -130,7 +130,7 @@
     }
 }
 
-/// Returns whether a task takes at least [`LARGE_TASK_PERCENT`] of some resource of a worker.
+/// Returns true if a task takes at least [`LARGE_TASK_PERCENT`] of some resource of a worker.
 fn takes_large_part(need: &Resources, capacity: &Resources) -> bool {
     let large = |part: u32, whole: u32| {
         part > 0 && u64::from(part) * 100 >= u64::from(whole) * LARGE_TASK_PERCENT
--- a/crates/hollowford-jobs/src/starts.rs
+++ b/crates/hollowford-jobs/src/starts.rs
@@ -55,7 +55,7 @@
         self.send_start(p, now, out);
     }
 
-    /// Returns whether a start has to wait until its row is in the store. This holds for tasks with
+    /// Returns true if a start has to wait until its row is in the store. This holds for tasks with
     /// a record of crashes: if the owner failed in between, the next owner wouldn't know of the
     /// start, and the task could crash one worker more than allowed. The starts of a gang wait
     /// together.
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Returns whether the row that records a start is in the store.
+    /// Returns true if the row that records a start is in the store.
     fn is_stored(&self, key: TaskKey) -> bool {
         if self.is_gang(key.step) {
             self.jobs.step(key.step).is_none_or(Step::are_crash_records_stored)
--- a/crates/hollowford-jobs/src/submit.rs
+++ b/crates/hollowford-jobs/src/submit.rs
@@ -87,7 +87,7 @@
         CancelAnswer::Pending
     }
 
-    /// Returns whether an account may query or cancel a job: its own jobs, unknown jobs, and jobs
+    /// Returns true if an account may query or cancel a job: its own jobs, unknown jobs, and jobs
     /// without an account.
     pub fn may_access(&self, id: JobId, account: &str) -> bool {
         self.account_of(id).is_none_or(|owner| owner == account || owner == NO_ACCOUNT)
@@ -111,7 +111,7 @@
         Some(if job.started { JobState::Running } else { JobState::Queued })
     }
 
-    /// Returns whether a job's end is decided but not in the store yet.
+    /// Returns true if a job's end is decided but not in the store yet.
     pub fn is_ending(&self, id: JobId) -> bool {
         self.jobs.get(id).is_some_and(|j| j.end.is_some())
     }
--- a/crates/hollowford-jobs/src/task_ends.rs
+++ b/crates/hollowford-jobs/src/task_ends.rs
@@ -266,7 +266,6 @@
         }
     }
 
-    /// Marks a task on a worker as stopping.
     pub(crate) fn mark_stopping(&mut self, idx: WorkerIdx, key: TaskKey) {
         let Some(w) = self.workers.get_mut(idx) else { return };
         for h in w.held.iter_mut().filter(|h| h.task == key) {
--- a/crates/hollowford-jobs/src/urgency.rs
+++ b/crates/hollowford-jobs/src/urgency.rs
@@ -71,7 +71,7 @@
         self.jobs.waiting().filter(is_waiting).count()
     }
 
-    /// Returns whether tasks of a step may start now.
+    /// Returns true if tasks of a step may start now.
     pub(crate) fn is_waiting(&self, key: StepKey, now: Millis) -> bool {
         matches!(self.readiness(key, now), Readiness::Now(_))
     }
--- a/crates/hollowford-jobs/src/write_queue.rs
+++ b/crates/hollowford-jobs/src/write_queue.rs
@@ -43,14 +43,12 @@
         }
     }
 
-    /// Removes a job from the queue.
     pub fn remove(&mut self, id: JobId) {
         if self.queued.remove(&id) == Some(true) {
             self.urgent_len -= 1;
         }
     }
 
-    /// Returns the number of urgent jobs.
     pub fn urgent_len(&self) -> usize {
         self.urgent_len
     }
--- a/crates/hollowford-node/src/members.rs
+++ b/crates/hollowford-node/src/members.rs
@@ -155,7 +155,6 @@
         self.had_members
     }
 
-    /// Records a member's heartbeat.
     pub fn record_heartbeat(&mut self, link: LinkId, heartbeat: &MemberBeat, now: Millis) {
         self.now = now;
         if let Some(m) = self.list.iter_mut().find(|m| m.link == link) {
--- a/crates/hollowford-node/src/owner.rs
+++ b/crates/hollowford-node/src/owner.rs
@@ -75,7 +75,6 @@
     members: Members,
     /// Whether members have joined or left since the last membership update.
     members_changed: bool,
-    /// Time of the last membership update.
     members_updated_at: Millis,
     waiting_calls: WaitingCalls,
     /// Buffer reused across polls; empty between them.
--- a/crates/hollowford-node/src/partition.rs
+++ b/crates/hollowford-node/src/partition.rs
@@ -121,12 +121,10 @@
 pub struct PartitionContext {
     /// State shared by all tasks of the process.
     pub shared: Arc<Shared>,
-    /// The partition.
     pub partition: Arc<Partition>,
 }
 
 impl PartitionContext {
-    /// Records contact with the owner.
     pub fn record_owner_contact(&self) {
         self.partition.record_owner_contact(self.shared.clock.now());
     }
--- a/crates/hollowford-node/src/retries.rs
+++ b/crates/hollowford-node/src/retries.rs
@@ -50,9 +50,7 @@
     last_attempt_at: Millis,
     /// See [`read_delay`].
     read_delay: Millis,
-    /// Whether a read is in flight.
     read_in_flight: bool,
-    /// When the next read is due.
     next_read_at: Millis,
     /// Duration of the last read, if it did not show the batch.
     last_read_duration: Option<Millis>,
@@ -124,7 +122,6 @@
         self.attempts_in_flight == 0
     }
 
-    /// Records that a read was sent.
     pub fn read_sent(&mut self) {
         self.read_in_flight = true;
     }
@@ -140,7 +137,6 @@
         self.read_failed(now);
     }
 
-    /// Records a failed read.
     pub fn read_failed(&mut self, now: Millis) {
         self.read_in_flight = false;
         self.next_read_at = now + self.read_delay;
--- a/crates/hollowford-node/src/shared.rs
+++ b/crates/hollowford-node/src/shared.rs
@@ -138,7 +138,6 @@
             > self.store_answered_at.load(Ordering::Relaxed)
     }
 
-    /// Records a failed store call.
     pub fn record_store_failure(&self) {
         let now = self.clock.now().0;
         if !self.is_store_failing() {
--- a/crates/hollowford-node/src/step_down.rs
+++ b/crates/hollowford-node/src/step_down.rs
@@ -21,7 +21,6 @@
 pub struct StepDown {
     shared: Arc<Shared>,
     epoch: u64,
-    /// When this owner started.
     started_at: Millis,
     /// Channel on which the stopping process waits for the hand-over, and when the stop was
     /// requested.
--- a/crates/hollowford-node/src/takeover.rs
+++ b/crates/hollowford-node/src/takeover.rs
@@ -85,7 +85,6 @@
         FailureDetector { last_message: now, last_check: now, interval: HEARTBEAT_INTERVAL }
     }
 
-    /// Records a message from the owner.
     pub fn record_message(&mut self, now: Millis) {
         self.last_message = now;
     }
