--- a/crates/hollowford-jobs/benches/ledger.rs
+++ b/crates/hollowford-jobs/benches/ledger.rs
@@ -15,7 +15,7 @@
 /// Answer times of the store, in milliseconds.
 const ANSWER_TIMES_MS: [u64; 3] = [5, 50, 500];
 /// Maximum numbers of batches in flight.
-const LANES: [usize; 3] = [1, 2, 4];
+const LANE_COUNTS: [usize; 3] = [1, 2, 4];
 /// Jobs submitted per second of the steady load, which is that of a deployment with a burst of checks.
 const JOBS_PER_S: u64 = 40;
 /// Duration of the steady load, in milliseconds.
@@ -40,7 +40,7 @@
     println!("| answer ms | lanes | durable after, mean ms | p99 ms | jobs/s of a backlog |");
     println!("| --- | --- | --- | --- | --- |");
     for answer_ms in ANSWER_TIMES_MS {
-        for lanes in LANES {
+        for lanes in LANE_COUNTS {
             let (mean, p99) = steady_load(answer_ms, lanes);
             println!(
                 "| {answer_ms} | {lanes} | {mean} | {p99} | {} |",
--- a/crates/hollowford-jobs/src/evacuate.rs
+++ b/crates/hollowford-jobs/src/evacuate.rs
@@ -23,7 +23,7 @@
     }
 
     /// Returns true if a worker has left: it was leaving, no longer answers and is no longer
-    /// listed. A worker that is only cut off stays listed for longer than its lease lasts.
+    /// listed. A worker that is only disconnected stays listed for longer than its lease lasts.
     pub(crate) fn has_left(&self, idx: WorkerIdx) -> bool {
         self.workers.get(idx).is_some_and(|w| w.leaving && !w.listed && w.unanswered_calls > 0)
     }
--- a/crates/hollowford-jobs/tests/advice.rs
+++ b/crates/hollowford-jobs/tests/advice.rs
@@ -29,15 +29,15 @@
 
 #[test]
 fn an_instance_that_never_answers_does_not_block_a_step() {
-    for decide_ms in [5.0, 50.0, 500.0] {
+    for base_ms in [5.0, 50.0, 500.0] {
         let mut cell = TestCell::new(3);
-        cell.set_queues(queues_with_advice(decide_ms, 0.1));
+        cell.set_queues(queues_with_advice(base_ms, 0.1));
         cell.engine.set_advice_channels(&advice_channels(&["", "a", "b", "gone"]));
         cell.unresponsive_instances.insert("gone".to_owned());
         cell.unresponsive_instances.insert("b".to_owned());
         cell.submit(1, LARGE, job(vec![step(2, 1_000, 100)]));
         cell.run(8_000);
-        assert_eq!(cell.state(1), Some(JobState::Completed), "with calls of {decide_ms} ms");
+        assert_eq!(cell.state(1), Some(JobState::Completed), "with calls of {base_ms} ms");
     }
 }
 
--- a/crates/hollowford-jobs/tests/common/crash_load.rs
+++ b/crates/hollowford-jobs/tests/common/crash_load.rs
@@ -90,8 +90,8 @@
         (1..=self.jobs).filter(|&id| failed(id) && !crashed_twice(id)).collect()
     }
 
-    /// Returns the jobs with a wrong end. A job that crashes workers must fail, or complete if its
-    /// tasks can end before the crash; all others must complete.
+    /// Returns the jobs with an unexpected end. A job that crashes workers must fail, or complete
+    /// if its tasks can end before the crash; all others must complete.
     pub fn unexpected_ends(&self) -> BTreeSet<u64> {
         let crashing = |id: u64| self.cell.crashes.jobs.contains(&JobId(id));
         let as_expected = |id: u64| match self.cell.state(id) {
--- a/crates/hollowford-jobs/tests/crashes.rs
+++ b/crates/hollowford-jobs/tests/crashes.rs
@@ -16,11 +16,11 @@
 /// Id of the job whose tasks crash their workers.
 const CRASHING_JOB: u64 = 1;
 
-/// Returns a cell in which that job's tasks crash workers, which restart after `down` milliseconds.
-fn cell_with_crashing_job(workers: usize, down: u64) -> TestCell {
+/// Returns a cell in which that job's tasks crash workers, which restart after `downtime_ms`.
+fn cell_with_crashing_job(workers: usize, downtime_ms: u64) -> TestCell {
     let mut cell = TestCell::new(workers);
     cell.crashes.jobs.insert(JobId(CRASHING_JOB));
-    cell.crashes.downtime = Millis(down);
+    cell.crashes.downtime = Millis(downtime_ms);
     cell
 }
 
@@ -55,8 +55,8 @@
     unlisted = { 7_000 },
     very_late = { 13_000 },
 )]
-fn a_task_that_crashes_its_workers_fails(down: u64) {
-    let mut cell = cell_with_crashing_job(8, down);
+fn a_task_that_crashes_its_workers_fails(downtime_ms: u64) {
+    let mut cell = cell_with_crashing_job(8, downtime_ms);
     cell.submit(CRASHING_JOB, QUICK, job(vec![step(1, 1_000, 600)]));
     cell.run(90_000);
     assert_eq!(cell.state(CRASHING_JOB), Some(JobState::Failed));
@@ -69,8 +69,8 @@
     after_lease = { 3_900, 5_000 },
     unlisted = { 500, 7_000 },
 )]
-fn crashes_count_across_takeovers(after: u64, down: u64) {
-    let mut cell = cell_with_crashing_job(8, down);
+fn crashes_count_across_takeovers(after: u64, downtime_ms: u64) {
+    let mut cell = cell_with_crashing_job(8, downtime_ms);
     cell.submit(CRASHING_JOB, QUICK, job(vec![step(1, 1_000, 600)]));
     run_until_crash(&mut cell);
     while cell.state(CRASHING_JOB) != Some(JobState::Failed) {
@@ -107,9 +107,9 @@
     cell.submit(CRASHING_JOB, QUICK, job(vec![step(1, 1_000, 600)]));
     cell.run(10_000);
     assert_eq!(cell.state(CRASHING_JOB), Some(JobState::Failed));
-    let beside = cell.crashes.by_task.keys().filter(|t| t.step.job != JobId(CRASHING_JOB));
+    let interrupted = cell.crashes.by_task.keys().filter(|t| t.step.job != JobId(CRASHING_JOB));
     assert_eq!(
-        beside.count(),
+        interrupted.count(),
         2,
         "only tasks beside the first start may be interrupted: {:?}",
         cell.crashes.by_task
@@ -139,7 +139,7 @@
     );
     cell.run(2_000);
     let other =
-        |n: &Event| matches!(n, Event::WorkerCrashed { task, .. } if task.step.job == JobId(2));
+        |e: &Event| matches!(e, Event::WorkerCrashed { task, .. } if task.step.job == JobId(2));
     assert!(!cell.engine.take_events().iter().any(other));
 }
 
@@ -200,8 +200,8 @@
     assert!(cell.workers[at].running.is_empty(), "the task should run on the other worker");
     cell.crashes.crash(&mut cell.workers[at]);
     cell.run(5_000);
-    let under = |n: &Event| matches!(n, Event::WorkerCrashed { .. });
-    assert_eq!(cell.engine.take_events().iter().filter(|n| under(n)).count(), 0);
+    let is_crash = |e: &Event| matches!(e, Event::WorkerCrashed { .. });
+    assert_eq!(cell.engine.take_events().iter().filter(|e| is_crash(e)).count(), 0);
     assert_eq!(cell.engine.stats().crashes, 1);
 }
 
--- a/crates/hollowford-jobs/tests/gangs.rs
+++ b/crates/hollowford-jobs/tests/gangs.rs
@@ -60,12 +60,12 @@
 /// Keeps about `percent` of the cell's processors busy for `ms` with tasks of one second.
 fn keep_busy(cell: &mut TestCell, percent: usize, next: &mut u64, ms: u64) {
     let tasks = WORKERS * 16 / 4 * percent / 100;
-    let each = 10;
+    let tasks_per_job = 10;
     // Jobs of ten tasks of four processors each.
     for _ in 0..ms / 20 {
-        for _ in 0..tasks / each / 50 {
+        for _ in 0..tasks / tasks_per_job / 50 {
             *next += 1;
-            cell.submit(*next, QUICK, job(vec![step(each as u32, 4_000, 1_000)]));
+            cell.submit(*next, QUICK, job(vec![step(tasks_per_job as u32, 4_000, 1_000)]));
         }
         cell.run(20);
     }
@@ -99,11 +99,11 @@
     cell.run(100);
     cell.submit(1, LARGE, gang(110, 6_800));
     cell.run(5_000);
-    let named = |order: &Order| match order {
+    let named_workers = |order: &Order| match order {
         Order::Advice { workers, .. } => workers.len(),
         Order::Worker { .. } => 0,
     };
-    let named: usize = cell.executed_orders.iter().map(named).sum();
+    let named: usize = cell.executed_orders.iter().map(named_workers).sum();
     assert!(named > 300, "advice calls named only {named} workers while the cell was full");
     let took = time_until_running(&mut cell, 1, 10_000).unwrap();
     assert!(took < 2_500, "{took} ms");
@@ -115,7 +115,7 @@
     let mut next = 100;
     // Ten gangs of four tasks of one second every 1.02 s: nearly all of the capacity, for 40 tasks,
     // is always in use, and most gangs wait for a moment without being late.
-    let mut burst = |cell: &mut TestCell| {
+    let mut submit_burst = |cell: &mut TestCell| {
         for _ in 0..10 {
             next += 1;
             cell.submit(next, QUICK, job(vec![RawStep { gang: true, ..step(4, 7_600, 1_000) }]));
@@ -123,11 +123,11 @@
         }
         cell.run(620);
     };
-    (0..2).for_each(|_| burst(&mut cell));
+    (0..2).for_each(|_| submit_burst(&mut cell));
     cell.submit(1, LARGE, job(vec![RawStep { gang: true, ..step(30, 7_600, 1_000) }]));
     let started_at = cell.now;
     while cell.state(1) != Some(JobState::Running) {
         assert!(cell.now.since(started_at).0 < 40_000, "the gang has waited for 40 s");
-        burst(&mut cell);
+        submit_burst(&mut cell);
     }
 }
--- a/crates/hollowford-jobs/tests/steps.rs
+++ b/crates/hollowford-jobs/tests/steps.rs
@@ -75,12 +75,12 @@
 #[test]
 fn a_step_runs_only_on_workers_with_the_label_that_it_requires() {
     let mut cell = TestCell::new(2);
-    let wanted = RawStep { required_label: "b".into(), ..step(1, 1_000, 100) };
-    cell.submit(1, LARGE, job(vec![wanted]));
+    let missing_label = RawStep { required_label: "b".into(), ..step(1, 1_000, 100) };
+    cell.submit(1, LARGE, job(vec![missing_label]));
     cell.run(500);
     assert_eq!(starts(&cell), 0);
-    let found = RawStep { required_label: "a".into(), ..step(1, 1_000, 100) };
-    cell.submit(2, LARGE, job(vec![found]));
+    let present_label = RawStep { required_label: "a".into(), ..step(1, 1_000, 100) };
+    cell.submit(2, LARGE, job(vec![present_label]));
     cell.run(500);
     assert_eq!(cell.state(2), Some(JobState::Completed));
 }
--- a/crates/hollowford-node/src/access_tests.rs
+++ b/crates/hollowford-node/src/access_tests.rs
@@ -62,11 +62,11 @@
 #[test]
 fn a_key_grants_access_to_its_account_and_unknown_keys_do_not() {
     let config = config(1, &["one", "two"]);
-    let of = |key: &str| check(&config, config.route_of(QUEUE), Some(&Credential::of(key)));
-    assert_eq!(of("one"), Access::Granted("a"));
-    assert_eq!(of("two"), Access::Granted("a"));
+    let check_key = |key: &str| check(&config, config.route_of(QUEUE), Some(&Credential::of(key)));
+    assert_eq!(check_key("one"), Access::Granted("a"));
+    assert_eq!(check_key("two"), Access::Granted("a"));
     for other in ["", "three", "ONE", "one ", "a"] {
-        assert_eq!(of(other), Access::Unknown, "{other:?}");
+        assert_eq!(check_key(other), Access::Unknown, "{other:?}");
     }
     assert_eq!(check(&config, config.route_of(QUEUE), None), Access::Unknown);
 }
--- a/crates/hollowford-node/src/delegate_wire_tests.rs
+++ b/crates/hollowford-node/src/delegate_wire_tests.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn calls_are_read_as_they_were_written() {
+fn calls_decode_to_what_was_encoded() {
     let (worker, address): (_, Arc<str>) = ("w".into(), "10.0.0.1:1".into());
     let calls = [
         start(0, "one"),
@@ -56,11 +56,11 @@
         frame.add(id as u64, call, Millis(60));
     }
     let bytes = frame.encode_to_vec();
-    let read = Delegated::decode(&bytes[..]).expect("a frame");
-    assert_eq!(read.epoch, 4);
-    assert_eq!(read.templates, ["one", "two"], "each template once");
-    let templates: Vec<Arc<str>> = read.templates.iter().map(|t| t.as_str().into()).collect();
-    let back: Vec<_> = read.calls.iter().map(|c| c.parse(&templates).expect("a call")).collect();
+    let decoded = Delegated::decode(&bytes[..]).expect("a frame");
+    assert_eq!(decoded.epoch, 4);
+    assert_eq!(decoded.templates, ["one", "two"], "each template once");
+    let templates: Vec<Arc<str>> = decoded.templates.iter().map(|t| t.as_str().into()).collect();
+    let back: Vec<_> = decoded.calls.iter().map(|c| c.parse(&templates).expect("a call")).collect();
     assert_eq!(back, calls);
 }
 
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn outcomes_are_read_as_they_were_written() {
+fn outcomes_decode_to_what_was_encoded() {
     let kinds = [
         EndKind::Done,
         EndKind::Failed,
@@ -114,8 +114,8 @@
     let all = looks.map(Called::Look).into_iter().chain(starts.map(Called::Start));
     for called in all.chain([Called::Stop(true), Called::Stop(false), Called::Pace(true)]) {
         let bytes = Outcome::new(8, &called).encode_to_vec();
-        let read = Outcome::decode(&bytes[..]).expect("an outcome");
-        assert_eq!(read.id, 8);
-        assert_eq!(read.parse().expect("content"), called);
+        let decoded = Outcome::decode(&bytes[..]).expect("an outcome");
+        assert_eq!(decoded.id, 8);
+        assert_eq!(decoded.parse().expect("content"), called);
     }
 }
--- a/crates/hollowford-node/src/delegation_tests.rs
+++ b/crates/hollowford-node/src/delegation_tests.rs
@@ -64,11 +64,11 @@
 
 /// Delegates one `look` call to each worker and returns the link of each.
 fn assign(d: &mut Delegation, workers: usize, now: Millis) -> Vec<u64> {
-    let one = |i| {
+    let assign_one = |i| {
         assert!(d.delegate(look(i), LIMIT, now).is_none(), "worker {i} was not delegated");
         d.last_link().expect("a call")
     };
-    (0..workers).map(one).collect()
+    (0..workers).map(assign_one).collect()
 }
 
 #[test]
@@ -98,8 +98,8 @@
 fn a_member_that_leaves_changes_its_own_share_only() {
     let mut d = delegation(30, 600);
     let before = assign(&mut d, 600, NOW);
-    let rest: Vec<_> = members(30).into_iter().filter(|m| m.link != 7).collect();
-    d.set_members(rest, NOW);
+    let remaining: Vec<_> = members(30).into_iter().filter(|m| m.link != 7).collect();
+    d.set_members(remaining, NOW);
     let after = assign(&mut d, 600, NOW);
     for (b, a) in before.iter().zip(&after) {
         assert!(a == b || *b == 7, "moved from {b} to {a}");
@@ -131,8 +131,8 @@
     assert!(!d.take_overdue(true, late).is_empty());
     let after = assign(&mut d, 200, late);
     assert!(after.iter().all(|&l| l != 5));
-    let again = assign(&mut d, 200, late + Millis(5_000));
-    assert_eq!(again, before);
+    let after_pause = assign(&mut d, 200, late + Millis(5_000));
+    assert_eq!(after_pause, before);
 }
 
 /// Lets a member report an answer to the call with the number `call`.
--- a/crates/hollowford-node/src/link_tests.rs
+++ b/crates/hollowford-node/src/link_tests.rs
@@ -47,10 +47,12 @@
 fn malformed_compressed_bytes_and_frames_compressed_twice_are_errors() {
     let broken = Frame::from(Body::Packed(vec![0xff; 40])).encode_to_vec();
     assert!(decode(BytesMut::from(&broken[..])).is_err());
-    let once =
-        Frame::from(Body::Packed(compress(&delegated_frame().encode_to_vec()).expect("packed")));
-    let twice = Frame::from(Body::Packed(compress(&once.encode_to_vec()).expect("packed")));
-    assert!(decode(BytesMut::from(&twice.encode_to_vec()[..])).is_err());
+    let compressed_once = Frame::from(Body::Packed(
+        compress(&delegated_frame().encode_to_vec()).expect("compressed"),
+    ));
+    let compressed_twice =
+        Frame::from(Body::Packed(compress(&compressed_once.encode_to_vec()).expect("compressed")));
+    assert!(decode(BytesMut::from(&compressed_twice.encode_to_vec()[..])).is_err());
 }
 
 /// Opens a link of which the first `lost` attempts never complete and the next one completes with
--- a/crates/hollowford-node/src/retries_tests.rs
+++ b/crates/hollowford-node/src/retries_tests.rs
@@ -42,13 +42,13 @@
 #[test]
 fn attempts_are_frequent_while_the_store_answers_nothing() {
     let mut retries = Retries::new(SENT, Millis(150));
-    let away = Millis(1_500);
-    assert_eq!(next_attempt(&retries, away), Some(Millis(200)));
+    let outage = Millis(1_500);
+    assert_eq!(next_attempt(&retries, outage), Some(Millis(200)));
     // Each attempt may take 2.5 s; those in flight must not delay the next one.
     for _ in 0..12 {
         retries.attempt_sent(SENT);
     }
-    assert_eq!(next_attempt(&retries, away), Some(Millis(200)));
+    assert_eq!(next_attempt(&retries, outage), Some(Millis(200)));
 }
 
 #[test]
