--- a/crates/hollowford-jobs/benches/ledger.rs
+++ b/crates/hollowford-jobs/benches/ledger.rs
@@ -1,5 +1,5 @@
-//! Measures how fast accepted jobs become durable, by the answer time of the store and the number of
-//! lanes, and how long recovery takes: `cargo bench -p hollowford-jobs --bench ledger`
+//! Measures how fast accepted jobs become durable, by the answer time of the store and the number
+//! of lanes, and how long recovery takes: `cargo bench -p hollowford-jobs --bench ledger`
 //!
 //! The first table is computed on a virtual clock and is exact. The store executes transactions one
 //! after the other; half of its answer time is the transaction, and half is the network.
@@ -16,7 +16,8 @@
 const ANSWER_TIMES_MS: [u64; 3] = [5, 50, 500];
 /// Maximum numbers of batches in flight.
 const LANE_COUNTS: [usize; 3] = [1, 2, 4];
-/// Jobs submitted per second of the steady load, which is that of a deployment with a burst of checks.
+/// Jobs submitted per second of the steady load, which is that of a deployment with a burst of
+/// checks.
 const JOBS_PER_S: u64 = 40;
 /// Duration of the steady load, in milliseconds.
 const LOAD_MS: u64 = 20_000;
@@ -105,8 +106,8 @@
         self.engine.submit(id, NO_ACCOUNT, "q", self.spec.clone(), Millis(self.now));
     }
 
-    /// Processes the answers that are due, sends the next batch and advances the clock by 1 ms. Returns the
-    /// number of rows written.
+    /// Processes the answers that are due, sends the next batch and advances the clock by 1 ms.
+    /// Returns the number of rows written.
     fn tick(&mut self) -> u64 {
         let mut written = 0;
         while let Some(entry) = self.in_flight.first_entry()
@@ -146,8 +147,8 @@
     }
 }
 
-/// Returns the mean and the 99th percentile of the time until a job is durable under the steady load,
-/// in milliseconds.
+/// Returns the mean and the 99th percentile of the time until a job is durable under the steady
+/// load, in milliseconds.
 fn steady_load(answer_ms: u64, lanes: usize) -> (u64, u64) {
     let mut simulation = LedgerSimulation::new(answer_ms, lanes);
     let mut waiting = std::collections::VecDeque::new();
@@ -178,7 +179,8 @@
     BACKLOG_JOBS * 1_000 / simulation.now
 }
 
-/// Returns the number of rows of `jobs` open jobs, and the time to recover from them in milliseconds.
+/// Returns the number of rows of `jobs` open jobs, and the time to recover from them in
+/// milliseconds.
 fn recovery(jobs: u64) -> (usize, f64) {
     let mut simulation = LedgerSimulation::new(5, 2);
     (0..jobs).for_each(|id| simulation.submit(id));
--- a/crates/hollowford-jobs/benches/passes.rs
+++ b/crates/hollowford-jobs/benches/passes.rs
@@ -1,4 +1,5 @@
-//! Measures the processor time of one poll of the engine in a full cell, by the number of waiting steps.
+//! Measures the processor time of one poll of the engine in a full cell, by the number of waiting
+//! steps.
 //!
 //! `cargo bench -p hollowford-jobs --bench passes`
 
--- a/crates/hollowford-jobs/src/crashes.rs
+++ b/crates/hollowford-jobs/src/crashes.rs
@@ -205,8 +205,8 @@
 
     /// Gives a crash record to every task that an earlier owner may have started on a worker that
     /// this owner has never heard from, so that their starts are stored. One of these tasks may
-    /// have crashed the worker, and no row tells which: a takeover can hide one crash of a task,
-    /// but no later ones.
+    /// have crashed the worker, and no row records which one: a takeover can hide one crash of a
+    /// task, but no later ones.
     pub(crate) fn track_unsettled_tasks(&mut self) {
         for id in self.jobs.ids() {
             let Some(job) = self.jobs.get_mut(id) else { continue };
--- a/crates/hollowford-jobs/tests/accounts.rs
+++ b/crates/hollowford-jobs/tests/accounts.rs
@@ -1,8 +1,8 @@
 //! Quotas of client accounts, counted over all tasks of an account that may be running.
 //!
-//! In a typical full deployment the quota of an account is about twice its mean use; one account may
-//! send 5 to 7 times its usual load, and a quota may be lowered below the current use. The tests
-//! compare the tasks on the workers with the quotas at every step.
+//! In a typical full deployment the quota of an account is about twice its mean use; one account
+//! may send 5 to 7 times its usual load, and a quota may be lowered below the current use. The
+//! tests compare the tasks on the workers with the quotas at every step.
 
 mod common;
 
@@ -45,8 +45,8 @@
     out
 }
 
-/// Advances the clock, and panics if an account uses more than `cores`. Returns the maximum use of the
-/// busy account, in thousandths of a core.
+/// Advances the clock, and panics if an account uses more than `cores`. Returns the maximum use of
+/// the busy account, in thousandths of a core.
 fn run_within_quota(cell: &mut TestCell, ms: u64, cores: u64) -> u64 {
     let mut max_busy = 0;
     for _ in 0..ms / 5 {
@@ -205,8 +205,8 @@
     cell
 }
 
-// One account sends 6 times its usual load for 14 s into a nearly full cell. Of a burst, the jobs of 5 s
-// at the guaranteed rate plus 20 are guaranteed; those beyond go behind all guaranteed jobs.
+// One account sends 6 times its usual load for 14 s into a nearly full cell. Of a burst, the jobs
+// of 5 s at the guaranteed rate plus 20 are guaranteed; those beyond go behind all guaranteed jobs.
 #[test]
 fn jobs_beyond_the_guaranteed_rate_of_an_account_go_behind_those_of_others() {
     let mut cell = cell_with_guaranteed_rates(2, 10);
--- a/crates/hollowford-jobs/tests/attempts.rs
+++ b/crates/hollowford-jobs/tests/attempts.rs
@@ -116,7 +116,8 @@
 }
 
 /// All processes are killed in an outage of the store. The next owner claims the workers before it
-/// has read the configuration, so it learns of the failures without knowing how many the queue allows.
+/// has read the configuration, so it learns of the failures without knowing how many the queue
+/// allows.
 #[test]
 fn attempts_reported_before_the_queues_are_known_count() {
     let mut cell = cell_with_failing_job(4);
--- a/crates/hollowford-jobs/tests/backlog.rs
+++ b/crates/hollowford-jobs/tests/backlog.rs
@@ -1,12 +1,13 @@
-//! Backlogs of many waiting steps: limits the work of one pass over them, and checks that every step runs
-//! in the end.
+//! Backlogs of many waiting steps: limits the work of one pass over them, and checks that every
+//! step runs in the end.
 
 mod common;
 
 use common::*;
 use hollowford_jobs::*;
 
-/// Returns a cell of two workers with one task on each, and `waiting` jobs that each need a whole worker.
+/// Returns a cell of two workers with one task on each, and `waiting` jobs that each need a whole
+/// worker.
 fn cell_with_backlog(waiting: u64) -> TestCell {
     let mut cell = TestCell::new(2);
     cell.submit(1, QUICK, job(vec![step(2, 9_000, 60_000)]));
@@ -35,7 +36,8 @@
     }
     let before = steps_tried(&cell);
     cell.run(100);
-    // One full pass over all 2,100 steps, and at most 19 partial ones, since workers answer looks meanwhile.
+    // One full pass over all 2,100 steps, and at most 19 partial ones, since workers answer looks
+    // meanwhile.
     assert!(
         steps_tried(&cell) - before <= 2_100 + 19 * 200,
         "{} tries",
--- a/crates/hollowford-jobs/tests/batches.rs
+++ b/crates/hollowford-jobs/tests/batches.rs
@@ -221,12 +221,12 @@
     assert!(!cell.rows.keys().any(|k| k.starts_with("j/")), "{:?}", cell.rows.keys());
 }
 
-/// Maximum number of rows in a batch. The platform takes 100 entries per transaction; two are used for
-/// the row of the batch's lane and one for the row of workers.
+/// Maximum number of rows in a batch. The platform takes 100 entries per transaction; two are used
+/// for the row of the batch's lane and one for the row of workers.
 const MAX_BATCH_ROWS: usize = 97;
 
-/// The store refuses one batch after the other while old jobs are due for removal. If the removals of
-/// refused batches accumulate, the next batch no longer fits into a transaction.
+/// The store refuses one batch after the other while old jobs are due for removal. If the removals
+/// of refused batches accumulate, the next batch no longer fits into a transaction.
 #[test]
 fn a_batch_after_many_refused_ones_still_fits_a_transaction() {
     let mut cell = TestCell::new(8);
--- a/crates/hollowford-jobs/tests/cancels.rs
+++ b/crates/hollowford-jobs/tests/cancels.rs
@@ -14,8 +14,8 @@
 /// milliseconds.
 const MAX_STOP_MS: u64 = 1_300;
 
-/// Submits a job, and cancels it while its start is unanswered. Returns the start, which the worker has
-/// not executed yet.
+/// Submits a job, and cancels it while its start is unanswered. Returns the start, which the worker
+/// has not executed yet.
 fn cancel_with_start_in_flight(cell: &mut TestCell) -> Order {
     let start = |o: &&Order| matches!(o, Order::Worker { call: WorkerCall::Start { .. }, .. });
     cell.submit(1, QUICK, job(vec![step(1, 1_000, 60_000)]));
--- a/crates/hollowford-jobs/tests/common/crash_load.rs
+++ b/crates/hollowford-jobs/tests/common/crash_load.rs
@@ -42,8 +42,8 @@
     job(vec![RawStep { gang: true, ..step(8, 4_500, jitter(rng, 6_200)) }])
 }
 
-/// Submits jobs for a while, then waits until all can have ended. The given percentage of the checks
-/// crash their workers `after` milliseconds after each start.
+/// Submits jobs for a while, then waits until all can have ended. The given percentage of the
+/// checks crash their workers `after` milliseconds after each start.
 pub fn run_crash_load(seed: u64, percent: u32, after: u64) -> CrashLoad {
     let mut rng = Rng::with_seed(seed);
     let mut s = CrashLoad { cell: TestCell::new(WORKERS), jobs: 0 };
--- a/crates/hollowford-jobs/tests/common/scenario.rs
+++ b/crates/hollowford-jobs/tests/common/scenario.rs
@@ -1,7 +1,8 @@
 //! Random scenarios: jobs, some of which crash the workers that run them, and external failures.
 //!
 //! A scenario is drawn from its seed. The cell checks the invariants at each step (no task runs
-//! twice, no worker is over its capacity, few starts after crashes); the final states are checked here.
+//! twice, no worker is over its capacity, few starts after crashes); the final states are checked
+//! here.
 
 use super::worker::SimWorker;
 use super::{LARGE, QUICK, TestCell, job, step};
@@ -278,7 +279,8 @@
         self.cell.take_over();
     }
 
-    /// Draws whether a failure that occurs every `every` milliseconds on average occurs in this step.
+    /// Draws whether a failure that occurs every `every` milliseconds on average occurs in this
+    /// step.
     fn occurs(&mut self, every: u64) -> bool {
         every > 0 && self.rng.u64(0..every) < TICK_MS * self.failure_factor
     }
--- a/crates/hollowford-jobs/tests/common/worker.rs
+++ b/crates/hollowford-jobs/tests/common/worker.rs
@@ -57,7 +57,8 @@
     /// A start of the earlier owner that is still being executed when the next owner calls first:
     /// the task starts only after the answer to that call.
     pub delayed_start: Option<(TaskKey, Run)>,
-    /// Whether tasks with an estimate of zero run until they are stopped, instead of ending at once.
+    /// Whether tasks with an estimate of zero run until they are stopped, instead of ending at
+    /// once.
     pub runs_until_stopped: bool,
     /// Pace of each task, in percent of its full speed.
     pub paces: BTreeMap<TaskKey, u32>,
--- a/crates/hollowford-jobs/tests/crash_load.rs
+++ b/crates/hollowford-jobs/tests/crash_load.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeSet;
 use yare::parameterized;
 
-// Some harmless tasks share a worker with a crashing task several times. At most two jobs of more than
-// a thousand may fail for that, and only if two workers have crashed under one of their tasks.
+// Some harmless tasks share a worker with a crashing task several times. At most two jobs of more
+// than a thousand may fail for that, and only if two workers have crashed under one of their tasks.
 #[parameterized(first = { 1 }, second = { 2 }, third = { 3 })]
 fn jobs_that_crash_no_worker_complete(seed: u64) {
     let s = run_crash_load(seed, 1, 10);
--- a/crates/hollowford-jobs/tests/crash_scenarios.rs
+++ b/crates/hollowford-jobs/tests/crash_scenarios.rs
@@ -163,15 +163,17 @@
     assert_eq!(run_scenario(seed, ALL_AND_REUSED_IDS), Vec::<String>::new(), "seed {seed}");
 }
 
-// An outage loses the record that a run has ended or made progress. Its worker then crashes for another reason before
-// the next owner has heard from it. This looks like a crash soon after the start, and three of these fail a job.
+// An outage loses the record that a run has ended or made progress. Its worker then crashes for
+// another reason before the next owner has heard from it. This looks like a crash soon after the
+// start, and three of these fail a job.
 #[parameterized(first = { 251 }, second = { 416 }, third = { 1348 })]
 fn jobs_that_fail_without_cause(seed: u64) {
     assert_eq!(run_scenario(seed, ALL), Vec::<String>::new(), "seed {seed}");
 }
 
-// Known failure, see KNOWN-RED.txt. Crashes that the task did not cause still add up and fail its job: four of any
-// kind, some of them after ends that were lost in an outage (the first three seeds), or three soon after a start.
+// Known failure, see KNOWN-RED.txt. Crashes that the task did not cause still add up and fail its
+// job: four of any kind, some of them after ends that were lost in an outage (the first three
+// seeds), or three soon after a start.
 #[parameterized(
     four_of_any_kind = { 1954, ALL },
     four_of_any_kind_again = { 2219, ALL },
--- a/crates/hollowford-jobs/tests/crashes.rs
+++ b/crates/hollowford-jobs/tests/crashes.rs
@@ -186,7 +186,8 @@
     assert_eq!(cell.state(2), Some(JobState::Completed));
 }
 
-// A worker is disconnected for longer than its lease, and crashes after its task has moved elsewhere.
+// A worker is disconnected for longer than its lease, and crashes after its task has moved
+// elsewhere.
 #[test]
 fn a_crash_is_not_counted_against_tasks_that_the_worker_had_before_a_disconnect() {
     let mut cell = cell_with_crashing_job(2, 3_300);
@@ -227,8 +228,8 @@
     assert_eq!(cell.state(2), Some(JobState::Completed));
 }
 
-// One worker crashes under the task for another reason. Then three workers in turn crash just before its start is
-// sent to them, unknown to the owner, so the task never ran there.
+// One worker crashes under the task for another reason. Then three workers in turn crash just
+// before its start is sent to them, unknown to the owner, so the task never ran there.
 #[test]
 fn starts_sent_after_crashes_fail_no_job() {
     let mut cell = cell_with_crashing_job(6, 1_000);
@@ -264,8 +265,9 @@
     assert_eq!(cell.state(2), Some(JobState::Completed));
 }
 
-// Two workers in turn are disconnected right after the start, complete the task unreported, and crash later. To
-// the owner this looks like two crashes soon after the start, although the task was not running at either.
+// Two workers in turn are disconnected right after the start, complete the task unreported, and
+// crash later. To the owner this looks like two crashes soon after the start, although the task was
+// not running at either.
 #[test]
 fn two_crashes_after_unreported_ends_fail_no_job() {
     let mut cell = cell_with_crashing_job(2, 1_000);
--- a/crates/hollowford-jobs/tests/leases.rs
+++ b/crates/hollowford-jobs/tests/leases.rs
@@ -1,4 +1,5 @@
-//! Workers that stop answering: their tasks run elsewhere once their leases have ended, and not before.
+//! Workers that stop answering: their tasks run elsewhere once their leases have ended, and not
+//! before.
 
 mod common;
 
--- a/crates/hollowford-jobs/tests/leaving.rs
+++ b/crates/hollowford-jobs/tests/leaving.rs
@@ -7,8 +7,8 @@
 use hollowford_core::Millis;
 use hollowford_jobs::*;
 
-/// Returns a cell in which one of two workers runs a task and then announces that it leaves, and the position
-/// of that worker.
+/// Returns a cell in which one of two workers runs a task and then announces that it leaves, and
+/// the position of that worker.
 fn cell_with_leaving_worker(resumable: bool, ms: u64) -> (TestCell, usize) {
     let mut cell = TestCell::new(2);
     cell.submit(1, LARGE, job(vec![RawStep { resumable, ..step(1, 1_000, ms) }]));
--- a/crates/hollowford-jobs/tests/outages.rs
+++ b/crates/hollowford-jobs/tests/outages.rs
@@ -1,5 +1,6 @@
-//! Failed attempts, ends and cancellations that an owner can't write during an outage of the store, and starts
-//! that are outdated when they are sent: by a suspended owner, or to a worker whose capacity has shrunk.
+//! Failed attempts, ends and cancellations that an owner can't write during an outage of the store,
+//! and starts that are outdated when they are sent: by a suspended owner, or to a worker whose
+//! capacity has shrunk.
 #![allow(clippy::expect_used)]
 
 mod common;
@@ -8,7 +9,8 @@
 use hollowford_core::Millis;
 use hollowford_jobs::*;
 
-/// Returns a cell with one durable job of one task that takes `ms`, and with the store down from then on.
+/// Returns a cell with one durable job of one task that takes `ms`, and with the store down from
+/// then on.
 fn cell_in_an_outage(ms: u64) -> TestCell {
     let mut cell = TestCell::new(3);
     cell.submit(1, LARGE, job(vec![step(1, 1_000, ms)]));
@@ -47,7 +49,8 @@
     assert_eq!(cell.total_starts(), 1);
 }
 
-// The cancellation is only reported as pending, so the next owner may continue the job until it is cancelled again.
+// The cancellation is only reported as pending, so the next owner may continue the job until it is
+// cancelled again.
 #[test]
 fn a_cancellation_in_an_outage_is_confirmed_once_it_is_durable() {
     let mut cell = cell_in_an_outage(60_000);
@@ -62,8 +65,8 @@
     assert_eq!(cell.running_tasks(), 0);
 }
 
-// The owner's process is suspended for 8 s, which its steady clock doesn't count, and another owner claims the
-// workers meanwhile. When it resumes, it resends a start; the workers must reject it.
+// The owner's process is suspended for 8 s, which its steady clock doesn't count, and another owner
+// claims the workers meanwhile. When it resumes, it resends a start; the workers must reject it.
 #[test]
 fn an_owner_that_was_suspended_starts_nothing() {
     let is_start = |o: &Order| matches!(o, Order::Worker { call: WorkerCall::Start { .. }, .. });
@@ -96,7 +99,8 @@
     assert_eq!(cell.total_starts(), 1);
 }
 
-// The start of a task that may crash its worker waits for its row. Meanwhile the capacity of the worker shrinks.
+// The start of a task that may crash its worker waits for its row. Meanwhile the capacity of the
+// worker shrinks.
 #[test]
 fn a_start_that_waits_for_its_row_is_not_sent_to_a_worker_that_has_shrunk() {
     let mut cell = TestCell::new(1);
@@ -147,8 +151,8 @@
     cell.run(DOWNTIME_MS - 50);
 }
 
-/// Lets the task complete in an outage, crashes its worker later, and lets another owner take over. The
-/// end is in no row, and no worker lists it.
+/// Lets the task complete in an outage, crashes its worker later, and lets another owner take over.
+/// The end is in no row, and no worker lists it.
 fn crash_after_the_end_in_an_outage(cell: &mut TestCell) {
     let at = wait_for_run(cell);
     cell.store_up = false;
@@ -170,7 +174,8 @@
     cell
 }
 
-// To the owner each of these crashes looks like one soon after the start, of which three fail a job.
+// To the owner each of these crashes looks like one soon after the start, of which three fail a
+// job.
 #[test]
 fn crashes_after_ends_lost_in_outages_do_not_fail_a_job() {
     let mut cell = cell_with_a_task();
@@ -183,7 +188,8 @@
     assert_eq!(cell.state(1), Some(JobState::Completed));
 }
 
-// A task that does crash its workers still fails its job when one of its starts falls into an outage.
+// A task that does crash its workers still fails its job when one of its starts falls into an
+// outage.
 #[test]
 fn one_crash_after_an_outage_counts_as_a_crash_after_the_start() {
     let mut cell = cell_with_a_task();
--- a/crates/hollowford-jobs/tests/restarts.rs
+++ b/crates/hollowford-jobs/tests/restarts.rs
@@ -106,9 +106,9 @@
     assert!(calls.iter().all(|c| **c.address() == *"10.0.0.77:1"), "{calls:?}");
 }
 
-// The clock of the next incarnation starts anew. A lease in terms of the earlier clock ends far in the
-// future; the worker shortens it to the longest lease, so a task may run longer than the owner assumes.
-// The cell panics if the task runs on two workers.
+// The clock of the next incarnation starts anew. A lease in terms of the earlier clock ends far in
+// the future; the worker shortens it to the longest lease, so a task may run longer than the owner
+// assumes. The cell panics if the task runs on two workers.
 #[test]
 fn tasks_of_the_next_incarnation_are_not_started_elsewhere_before_its_lease_ends() {
     let mut cell = cell_with_completed_tasks(1);
@@ -138,8 +138,8 @@
     assert_eq!(cell.state(2), Some(JobState::Completed));
 }
 
-// A call without an answer may still be executed seconds later, also by the next incarnation, since both
-// have the same id. The cell panics if the task runs on two workers.
+// A call without an answer may still be executed seconds later, also by the next incarnation, since
+// both have the same id. The cell panics if the task runs on two workers.
 #[test]
 fn a_start_for_the_earlier_incarnation_does_not_run_on_the_next_one() {
     let mut cell = cell_with_completed_tasks(2);
@@ -335,8 +335,8 @@
     assert_eq!(cell.engine.stats().vanished, 0);
 }
 
-// As above, but the task has ended before the owner learns of the restart. The owner's next call must not
-// acknowledge that end unread.
+// As above, but the task has ended before the owner learns of the restart. The owner's next call
+// must not acknowledge that end unread.
 #[test]
 fn an_end_on_the_next_incarnation_counts_before_the_restart_is_known() {
     let mut cell = cell_with_completed_tasks(1);
@@ -356,8 +356,8 @@
     assert!(is_only_run(&cell, &call));
 }
 
-/// Orders a start, and restarts the worker under the same id after `silent_ms` without answers. The next
-/// incarnation answers the start. Such an answer doesn't name the incarnation.
+/// Orders a start, and restarts the worker under the same id after `silent_ms` without answers. The
+/// next incarnation answers the start. Such an answer doesn't name the incarnation.
 fn start_answered_by_next_incarnation(cell: &mut TestCell, id: u64, silent_ms: u64) -> WorkerCall {
     let call = order_start(cell, id);
     cell.workers[0].reachable = false;
@@ -379,8 +379,8 @@
     assert!(is_only_run(&cell, &call));
 }
 
-// The owner got no answer from the worker after it had started the first task. The answer of the next
-// incarnation is no evidence that the earlier one ran the task for longer.
+// The owner got no answer from the worker after it had started the first task. The answer of the
+// next incarnation is no evidence that the earlier one ran the task for longer.
 #[test]
 fn an_answer_of_the_next_incarnation_does_not_make_a_crash_count_as_late() {
     let mut cell = cell_with_completed_tasks(1);
@@ -453,7 +453,8 @@
     assert_eq!(cell.engine.view(cell.now).workers, 1);
 }
 
-// The answer of the advice service about the earlier incarnation arrives after the restart is known.
+// The answer of the advice service about the earlier incarnation arrives after the restart is
+// known.
 #[test]
 fn a_ticket_requested_for_the_earlier_incarnation_is_not_used_for_the_next_one() {
     let mut cell = TestCell::new(1);
@@ -468,8 +469,8 @@
     assert_eq!(cell.engine.stats().refused, 0);
 }
 
-// The row of the start names the incarnation that was called; the new owner finds another one under the
-// same id.
+// The row of the start names the incarnation that was called; the new owner finds another one under
+// the same id.
 #[test]
 fn a_new_owner_counts_a_crash_although_a_worker_with_the_same_id_is_there() {
     let mut cell = TestCell::new(3);
@@ -507,8 +508,8 @@
     assert!(is_used(&mut cell, 2));
 }
 
-// A task with counted crashes isn't started again while the outcome of a run is unknown. So a run that the
-// next incarnation has started must be recorded for that incarnation.
+// A task with counted crashes isn't started again while the outcome of a run is unknown. So a run
+// that the next incarnation has started must be recorded for that incarnation.
 #[test]
 fn a_recorded_run_started_by_the_next_incarnation_stays_open_there() {
     let mut cell = TestCell::new(1);
--- a/crates/hollowford-jobs/tests/sharing.rs
+++ b/crates/hollowford-jobs/tests/sharing.rs
@@ -14,8 +14,8 @@
     RawStep { best_effort: true, ..step(2, 8_000, 60_000) }
 }
 
-/// Returns a cell of one worker with a service task and two best-effort tasks, each of which adds 100 ms to the
-/// tail latency of the service task at full pace.
+/// Returns a cell of one worker with a service task and two best-effort tasks, each of which adds
+/// 100 ms to the tail latency of the service task at full pace.
 fn shared_worker(latency_ms: u64) -> TestCell {
     let mut cell = TestCell::new(1);
     cell.workers[0].runs_until_stopped = true;
--- a/crates/hollowford-jobs/tests/unsaved_state.rs
+++ b/crates/hollowford-jobs/tests/unsaved_state.rs
@@ -64,7 +64,8 @@
     assert!(cell.crashes.count <= 5, "{} crashes", cell.crashes.count);
 }
 
-// Each batch takes longer than the time from a start to the crash, and each crash is followed by a takeover.
+// Each batch takes longer than the time from a start to the crash, and each crash is followed by a
+// takeover.
 #[test]
 fn takeovers_before_rows_are_written_hide_at_most_one_crash() {
     let mut cell = cell_with_crashing_job(10);
@@ -145,8 +146,9 @@
     }
 }
 
-// The first start, which is in no row, crashes its worker, and a takeover follows. The next owner learns of the crash,
-// but can't start the task again because another worker is silent, until the next takeover.
+// The first start, which is in no row, crashes its worker, and a takeover follows. The next owner
+// learns of the crash, but can't start the task again because another worker is silent, until the
+// next takeover.
 #[test]
 fn all_later_owners_allow_for_a_crash_that_is_in_no_row() {
     let mut cell = cell_with_crashing_job(10);
--- a/crates/hollowford-jobs/tests/work_conserving.rs
+++ b/crates/hollowford-jobs/tests/work_conserving.rs
@@ -1,7 +1,7 @@
 //! Steps must not wait while enough resources are free for them.
 //!
-//! Crashes of workers make tickets lapse, so many steps need new advice at the same time, and only a
-//! few instances make the calls. With more than half of the cell free, gangs waited for several
+//! Crashes of workers make tickets lapse, so many steps need new advice at the same time, and only
+//! a few instances make the calls. With more than half of the cell free, gangs waited for several
 //! seconds because an instance that had become free was only used at the next full pass, because
 //! gangs asked a second time before others had asked once, and because instances reserved for quick
 //! calls were idle.
@@ -98,8 +98,8 @@
     }
 }
 
-/// Returns true if a step has no task running, less than half of the cell's processors are in use, and the step
-/// would fit into the free resources twice.
+/// Returns true if a step has no task running, less than half of the cell's processors are in use,
+/// and the step would fit into the free resources twice.
 fn is_runnable(cell: &TestCell, step: StepKey) -> bool {
     let up = || cell.workers.iter().filter(|w| w.up);
     let used: u32 = up().map(|w| w.used().cpu_milli).sum();
@@ -117,8 +117,8 @@
     up().filter(|w| cell.is_eligible(step, &w.id)).map(tasks_that_fit).sum::<u32>() >= 2 * wanted
 }
 
-/// Runs a load in which the given percentage of the surveys crash their workers at first. Returns the waits of
-/// the steps that were runnable.
+/// Runs a load in which the given percentage of the surveys crash their workers at first. Returns
+/// the waits of the steps that were runnable.
 fn track_waits(seed: u64, crashing_percent: u32) -> WaitTracker {
     let mut rng = Rng::with_seed(seed);
     let mut cell = busy_cell();
@@ -164,7 +164,8 @@
     );
 }
 
-// Known failure, see KNOWN-RED.txt: more gangs wait at once than advice calls can be made for in that time.
+// Known failure, see KNOWN-RED.txt: more gangs wait at once than advice calls can be made for in
+// that time.
 #[test]
 fn what_could_run_waits_in_a_long_backlog_of_gangs() {
     let tracker = track_waits(1, 6);
