--- a/crates/hollowford-jobs/benches/ledger.rs
+++ b/crates/hollowford-jobs/benches/ledger.rs
@@ -1,5 +1,5 @@
-//! Measures how fast accepted jobs become durable, by the answer time of the store and the number of
-//! lanes, and how long recovery takes: `cargo bench -p hollowford-jobs --bench ledger`
+//! Measures how fast accepted jobs become durable, by the answer time of the store and the number
+//! of lanes, and how long recovery takes: `cargo bench -p hollowford-jobs --bench ledger`
 //!
 //! The first table is computed on a virtual clock and is exact. The store executes transactions one
 //! after the other; half of its answer time is the transaction, and half is the network.
@@ -15,14 +15,15 @@
 /// Answer times of the store, in milliseconds.
 const ANSWER_TIMES_MS: [u64; 3] = [5, 50, 500];
 /// Maximum numbers of batches in flight.
-const LANES: [usize; 3] = [1, 2, 4];
-/// Jobs submitted per second of the steady load, which is that of a deployment with a burst of checks.
+const LANE_COUNTS: [usize; 3] = [1, 2, 4];
+/// Jobs submitted per second of the steady load, which is that of a deployment with a burst of
+/// checks.
 const JOBS_PER_S: u64 = 40;
 /// Duration of the steady load, in milliseconds.
 const LOAD_MS: u64 = 20_000;
 /// Jobs submitted at once, to measure the maximum throughput.
 const BACKLOG_JOBS: u64 = 4_000;
-/// Shortest time between two batches, in milliseconds; the same as that of an owner.
+/// Minimum time between two batches, in milliseconds; the same as that of an owner.
 const MIN_BATCH_INTERVAL_MS: u64 = 14;
 /// Numbers of open jobs of the measured recoveries.
 const OPEN_JOBS: [u64; 3] = [100, 1_000, 10_000];
@@ -37,10 +38,10 @@
 };
 
 fn main() {
-    println!("| answer ms | lanes | kept after, mean ms | p99 ms | jobs/s of a backlog |");
+    println!("| answer ms | lanes | durable after, mean ms | p99 ms | jobs/s of a backlog |");
     println!("| --- | --- | --- | --- | --- |");
     for answer_ms in ANSWER_TIMES_MS {
-        for lanes in LANES {
+        for lanes in LANE_COUNTS {
             let (mean, p99) = steady_load(answer_ms, lanes);
             println!(
                 "| {answer_ms} | {lanes} | {mean} | {p99} | {} |",
@@ -105,8 +106,8 @@
         self.engine.submit(id, NO_ACCOUNT, "q", self.spec.clone(), Millis(self.now));
     }
 
-    /// Processes the answers that are due, sends the next batch and advances the clock by 1 ms. Returns the
-    /// number of rows written.
+    /// Processes the answers that are due, sends the next batch and advances the clock by 1 ms.
+    /// Returns the number of rows written.
     fn tick(&mut self) -> u64 {
         let mut written = 0;
         while let Some(entry) = self.in_flight.first_entry()
@@ -146,8 +147,8 @@
     }
 }
 
-/// Returns the mean and the 99th percentile of the time until a job is durable under the steady load,
-/// in milliseconds.
+/// Returns the mean and the 99th percentile of the time until a job is durable under the steady
+/// load, in milliseconds.
 fn steady_load(answer_ms: u64, lanes: usize) -> (u64, u64) {
     let mut simulation = LedgerSimulation::new(answer_ms, lanes);
     let mut waiting = std::collections::VecDeque::new();
@@ -178,7 +179,8 @@
     BACKLOG_JOBS * 1_000 / simulation.now
 }
 
-/// Returns the number of rows of `jobs` open jobs, and the time to recover from them in milliseconds.
+/// Returns the number of rows of `jobs` open jobs, and the time to recover from them in
+/// milliseconds.
 fn recovery(jobs: u64) -> (usize, f64) {
     let mut simulation = LedgerSimulation::new(5, 2);
     (0..jobs).for_each(|id| simulation.submit(id));
@@ -188,9 +190,9 @@
     }
     let rows: Vec<_> = simulation.rows.into_iter().collect();
     let mut engine = Engine::new(2, TIME_LIMITS, Millis(0));
-    let began = Instant::now();
+    let started_at = Instant::now();
     if let Err(e) = engine.recover(&rows, Millis(0)) {
         panic!("rows should be readable: {e}");
     }
-    (rows.len(), began.elapsed().as_secs_f64() * 1_000.0)
+    (rows.len(), started_at.elapsed().as_secs_f64() * 1_000.0)
 }
--- a/crates/hollowford-jobs/src/submit.rs
+++ b/crates/hollowford-jobs/src/submit.rs
@@ -87,7 +87,7 @@
         CancelAnswer::Pending
     }
 
-    /// Returns whether an account may query or cancel a job: its own jobs, unknown jobs, and jobs
+    /// Returns true if an account may query or cancel a job: its own jobs, unknown jobs, and jobs
     /// without an account.
     pub fn may_access(&self, id: JobId, account: &str) -> bool {
         self.account_of(id).is_none_or(|owner| owner == account || owner == NO_ACCOUNT)
@@ -108,17 +108,18 @@
             return Some(ended.state);
         }
         let job = self.jobs.get(id).filter(|j| j.durable)?;
-        Some(if job.begun { JobState::Running } else { JobState::Queued })
+        Some(if job.started { JobState::Running } else { JobState::Queued })
     }
 
-    /// Returns whether a job's end is decided but not in the store yet.
+    /// Returns true if a job's end is decided but not in the store yet.
     pub fn is_ending(&self, id: JobId) -> bool {
         self.jobs.get(id).is_some_and(|j| j.end.is_some())
     }
 
-    /// Returns the number of the queue's durably accepted jobs of which no task has begun.
+    /// Returns the number of the queue's durably accepted jobs of which no task has started.
     pub fn waiting_jobs(&self, queue: &str) -> usize {
-        let is_waiting = |j: &&Job| &*j.queue == queue && j.durable && !j.begun && j.end.is_none();
+        let is_waiting =
+            |j: &&Job| &*j.queue == queue && j.durable && !j.started && j.end.is_none();
         self.jobs.open().filter(is_waiting).count()
     }
 
@@ -194,7 +195,7 @@
         durable: false,
         rounds: Vec::new(),
         due_rounds: 0,
-        begun: false,
+        started: false,
         end: None,
         acceptance_unwritten: true,
         progress_unwritten: false,
--- a/crates/hollowford-jobs/tests/accounts.rs
+++ b/crates/hollowford-jobs/tests/accounts.rs
@@ -1,8 +1,8 @@
 //! Quotas of client accounts, counted over all tasks of an account that may be running.
 //!
-//! In a typical full deployment the quota of an account is about twice its mean use; one account may
-//! send 5 to 7 times its usual load, and a quota may be lowered below the current use. The tests
-//! compare the tasks on the workers with the quotas at every step.
+//! In a typical full deployment the quota of an account is about twice its mean use; one account
+//! may send 5 to 7 times its usual load, and a quota may be lowered below the current use. The
+//! tests compare the tasks on the workers with the quotas at every step.
 
 mod common;
 
@@ -45,8 +45,8 @@
     out
 }
 
-/// Advances the clock, and panics if an account uses more than `cores`. Returns the maximum use of the
-/// busy account, in thousandths of a core.
+/// Advances the clock, and panics if an account uses more than `cores`. Returns the maximum use of
+/// the busy account, in thousandths of a core.
 fn run_within_quota(cell: &mut TestCell, ms: u64, cores: u64) -> u64 {
     let mut max_busy = 0;
     for _ in 0..ms / 5 {
@@ -191,12 +191,13 @@
     let mut cell = cell_with_quotas(8, 40);
     cell.submit_for(BUSY, 1, QUICK, job(vec![step(3, 2_000, 60_000)]));
     cell.run(300);
-    let uses = cell.engine.account_usage();
-    let busy = uses.iter().find(|u| &*u.name == BUSY).unwrap();
+    let usage = cell.engine.account_usage();
+    let busy = usage.iter().find(|u| &*u.name == BUSY).unwrap();
     assert_eq!((busy.used.cpu_milli, busy.quota.cpu_milli), (6_000, 40_000));
 }
 
-/// Returns a cell in which each account has `owed_per_s` guaranteed jobs per second and no quota.
+/// Returns a cell in which each account has `guaranteed_jobs_per_s` guaranteed jobs per second and
+/// no quota.
 fn cell_with_guaranteed_rates(workers: usize, guaranteed_jobs_per_s: u32) -> TestCell {
     let mut cell = TestCell::new(workers);
     let account = |name| Account { guaranteed_jobs_per_s, ..account(name, 0) };
@@ -204,8 +205,8 @@
     cell
 }
 
-// One account sends 6 times its usual load for 14 s into a nearly full cell. Of a burst, the jobs of 5 s
-// at the guaranteed rate plus 20 are guaranteed; those beyond go behind all guaranteed jobs.
+// One account sends 6 times its usual load for 14 s into a nearly full cell. Of a burst, the jobs
+// of 5 s at the guaranteed rate plus 20 are guaranteed; those beyond go behind all guaranteed jobs.
 #[test]
 fn jobs_beyond_the_guaranteed_rate_of_an_account_go_behind_those_of_others() {
     let mut cell = cell_with_guaranteed_rates(2, 10);
@@ -223,7 +224,7 @@
         cell.run(1_200);
         assert_eq!(cell.state(id), Some(JobState::Completed), "job {id} has not completed");
     }
-    // The jobs beyond the guaranteed rate run all the same.
+    // The jobs beyond the guaranteed rate run too.
     cell.run(30_000);
     assert!((1..=200).all(|id| cell.state(id) == Some(JobState::Completed)));
 }
--- a/crates/hollowford-jobs/tests/backlog.rs
+++ b/crates/hollowford-jobs/tests/backlog.rs
@@ -1,12 +1,13 @@
-//! Backlogs of many waiting steps: limits the work of one pass over them, and checks that every step runs
-//! in the end.
+//! Backlogs of many waiting steps: limits the work of one pass over them, and checks that every
+//! step runs in the end.
 
 mod common;
 
 use common::*;
 use hollowford_jobs::*;
 
-/// Returns a cell of two workers with one task on each, and `waiting` jobs that each need a whole worker.
+/// Returns a cell of two workers with one task on each, and `waiting` jobs that each need a whole
+/// worker.
 fn cell_with_backlog(waiting: u64) -> TestCell {
     let mut cell = TestCell::new(2);
     cell.submit(1, QUICK, job(vec![step(2, 9_000, 60_000)]));
@@ -35,7 +36,8 @@
     }
     let before = steps_tried(&cell);
     cell.run(100);
-    // One full pass over all 2,100 steps, and at most 19 partial ones, since workers answer looks meanwhile.
+    // One full pass over all 2,100 steps, and at most 19 partial ones, since workers answer looks
+    // meanwhile.
     assert!(
         steps_tried(&cell) - before <= 2_100 + 19 * 200,
         "{} tries",
@@ -53,7 +55,7 @@
 }
 
 #[test]
-fn every_step_of_a_backlog_runs_once_there_is_room() {
+fn every_step_of_a_backlog_runs_once_capacity_is_free() {
     let mut cell = cell_with_backlog(0);
     let second_step = || StepSpec { depends_on: vec![0], ..step(1, 2_000, 20) };
     for id in 0..600 {
@@ -68,7 +70,8 @@
 fn small_tasks_do_not_delay_a_large_one_forever() {
     let mut cell = TestCell::new(1);
     for i in 0..100 {
-        // More small tasks arrive than fit, and each one that ends frees room only for another small one.
+        // More small tasks arrive than fit, and each one that ends frees capacity only for another
+        // small one.
         cell.submit(i, LARGE, job(vec![step(1, 4_000, 100)]));
         if i == 10 {
             cell.submit(1_000, LARGE, job(vec![step(1, 14_000, 100)]));
--- a/crates/hollowford-jobs/tests/batches.rs
+++ b/crates/hollowford-jobs/tests/batches.rs
@@ -6,7 +6,7 @@
 use hollowford_jobs::*;
 
 #[test]
-fn a_refused_batch_is_written_again_whole() {
+fn all_rows_of_a_refused_batch_are_written_again() {
     let mut cell = TestCell::new(1);
     cell.submit(1, LARGE, job(vec![step(2, 1_000, 100), step(1, 1_000, 60_000)]));
     cell.run(50);
@@ -81,17 +81,17 @@
     }
     cell.write_batches();
     let first = durable(&cell, 0..200);
-    let written = first.iter().filter(|&&k| k).count();
+    let written = first.iter().filter(|&&d| d).count();
     assert!(written > 80, "only {written} jobs in the first batch");
-    assert!(first[..written].iter().all(|&k| k), "jobs should be written in the order of arrival");
+    assert!(first[..written].iter().all(|&d| d), "jobs should be written in the order of arrival");
     cell.write_batches();
-    assert!(durable(&cell, 0..2 * written as u64).iter().all(|&k| k));
+    assert!(durable(&cell, 0..2 * written as u64).iter().all(|&d| d));
 }
 
 #[test]
 fn progress_is_written_while_more_jobs_arrive_than_a_batch_takes() {
     let mut cell = TestCell::new(8);
-    // Each of these has a task that ends and one that runs on.
+    // Each of these has a task that ends and one that continues.
     for i in 0..20 {
         let spec = job(vec![step(1, 1_000, 50), step(1, 1_000, 60_000)]);
         cell.submit(scattered_id(i), QUICK, spec);
@@ -172,8 +172,9 @@
     }
 }
 
-/// With several batches in flight that are committed or refused in any order, and takeovers between,
-/// durable jobs stay durable, and no task starts again after its worker has dropped its end.
+/// With several batches in flight that are committed or refused in any order, and with takeovers in
+/// between, durable jobs stay durable, and no task starts again after its worker has dropped its
+/// end.
 #[test]
 fn batches_committed_in_any_order_lose_nothing_and_start_nothing_twice() {
     for seed in 1..=40 {
@@ -181,11 +182,11 @@
         let mut cell = TestCell::new(4);
         cell.store_up = false;
         let mut durable = std::collections::BTreeSet::new();
-        for turn in 0..2_000 {
-            if turn % 20 == 0 && turn / 20 < JOBS_PER_SEED {
+        for iteration in 0..2_000 {
+            if iteration % 20 == 0 && iteration / 20 < JOBS_PER_SEED {
                 // The tasks run on different workers, so that their ends are written one by one.
                 let steps = (0..3).map(|_| step(1, 9_000, random.u64(5..150)));
-                cell.submit(turn / 20, QUICK, job(steps.collect()));
+                cell.submit(iteration / 20, QUICK, job(steps.collect()));
             }
             cell.run(5);
             disturb_at_random(&mut cell, &mut random);
@@ -220,12 +221,12 @@
     assert!(!cell.rows.keys().any(|k| k.starts_with("j/")), "{:?}", cell.rows.keys());
 }
 
-/// Maximum number of rows in a batch. The platform takes 100 entries per transaction; two are used for
-/// the row of the batch's lane and one for the row of workers.
+/// Maximum number of rows in a batch. The platform takes 100 entries per transaction; two are used
+/// for the row of the batch's lane and one for the row of workers.
 const MAX_BATCH_ROWS: usize = 97;
 
-/// The store refuses one batch after the other while old jobs are due for removal. If the removals of
-/// refused batches accumulate, the next batch no longer fits into a transaction.
+/// The store refuses one batch after the other while old jobs are due for removal. If the removals
+/// of refused batches accumulate, the next batch no longer fits into a transaction.
 #[test]
 fn a_batch_after_many_refused_ones_still_fits_a_transaction() {
     let mut cell = TestCell::new(8);
--- a/crates/hollowford-jobs/tests/common/scenario.rs
+++ b/crates/hollowford-jobs/tests/common/scenario.rs
@@ -1,7 +1,8 @@
 //! Random scenarios: jobs, some of which crash the workers that run them, and external failures.
 //!
 //! A scenario is drawn from its seed. The cell checks the invariants at each step (no task runs
-//! twice, no worker is over its capacity, few starts after crashes); the final states are checked here.
+//! twice, no worker is over its capacity, few starts after crashes); the final states are checked
+//! here.
 
 use super::worker::SimWorker;
 use super::{LARGE, QUICK, TestCell, job, step};
@@ -23,11 +24,11 @@
 const SETTLE_TIMEOUT_MS: u64 = 240_000;
 /// The limit on starts holds once the store has worked for this long.
 const STORE_HEALTHY_AFTER: Millis = Millis(2_000);
-/// Shortest outage of the store that a new owner takes into account.
+/// Minimum outage of the store that a new owner takes into account.
 const MIN_OUTAGE: Millis = Millis(500);
 /// A new owner takes an outage into account if it ended less than this long ago.
 const RECENT_OUTAGE: Millis = Millis(2_000);
-/// Longest time until a leaving worker is replaced by another one at its address, in milliseconds.
+/// Maximum time until a leaving worker is replaced by another one at its address, in milliseconds.
 const MAX_LEAVE_MS: u64 = 2_500;
 /// A gang member ends if its gang is incomplete for this long.
 const GANG_TIMEOUT: Millis = Millis(3_000);
@@ -41,7 +42,7 @@
     pub owner_lost_percent: u32,
     /// The store refuses the batches in flight.
     pub refusals: u64,
-    /// A worker is unreachable for a while; its tasks run on.
+    /// A worker is unreachable for a while; its tasks continue.
     pub disconnects: u64,
     /// A worker's answers are lost for a while; it executes the orders.
     pub lost_answers: u64,
@@ -62,7 +63,7 @@
     failures: Failures,
     /// Factor by which failures are more frequent than `failures` says.
     failure_factor: u64,
-    /// Maximum time that the store takes for a batch, in milliseconds; 0: none.
+    /// Maximum time that the store takes for a batch, in milliseconds; 0 for none.
     batch_ms: u64,
     started_at: Millis,
     /// All jobs: time of submission, id, queue and specification.
@@ -85,7 +86,7 @@
     write_due_at: Option<Millis>,
     /// When silent workers answer again, by address.
     silent_until: BTreeMap<Arc<str>, Millis>,
-    /// When leaving workers are gone, by address.
+    /// When leaving workers are replaced, by address.
     departs_at: BTreeMap<Arc<str>, Millis>,
     /// Number of workers that have replaced one that left.
     replacements: u64,
@@ -147,8 +148,8 @@
             self.cell.crashes.downtime = Millis(self.rng.u64(800..13_000));
             return;
         }
-        let least = [0, 800][self.rng.usize(0..2)];
-        self.cell.crashes.downtime = Millis(self.rng.u64(least..13_000));
+        let min_downtime = [0, 800][self.rng.usize(0..2)];
+        self.cell.crashes.downtime = Millis(self.rng.u64(min_downtime..13_000));
         self.cell.crashes.same_id = self.rng.u32(0..4) > 0;
     }
 
@@ -159,7 +160,7 @@
             0..3 => (QUICK, job(vec![step(rng.u32(1..4), 1_400, ms)])),
             3..5 => (LARGE, job(vec![step(rng.u32(2..20), rng.u32(500..8_000), ms)])),
             5..7 => {
-                // Small enough to fit into the smallest cell beside all service tasks.
+                // Small enough to fit into the smallest cell together with all service tasks.
                 let (tasks, cpu) = (rng.u32(2..9), rng.u32(1_000..6_000));
                 let gang = RawStep { gang: true, ..step(tasks, cpu, ms + rng.u64(0..4_000)) };
                 (LARGE, job(vec![gang]))
@@ -198,7 +199,7 @@
     fn tick(&mut self) {
         self.submit_due();
         let now = self.cell.now;
-        let restarted = self.replace_departed(now);
+        let replaced = self.replace_departed(now);
         self.silent_until.retain(|_, until| *until > now);
         let silent_until = &self.silent_until;
         for w in &mut self.cell.workers {
@@ -207,7 +208,7 @@
                 (w.reachable, w.drops_answers) = (true, false);
             }
         }
-        if restarted {
+        if replaced {
             self.cell.update_worker_list();
         }
         self.write_due_batch(now);
@@ -221,9 +222,9 @@
         self.record_ends();
         self.assert_none_stuck();
         let age = self.age();
-        for note in self.cell.engine.take_events() {
+        for event in self.cell.engine.take_events() {
             if self.traced {
-                eprintln!("{age:>6} {note}");
+                eprintln!("{age:>6} {event}");
             }
         }
     }
@@ -278,7 +279,8 @@
         self.cell.take_over();
     }
 
-    /// Draws whether a failure that occurs every `every` milliseconds on average occurs in this step.
+    /// Draws whether a failure that occurs every `every` milliseconds on average occurs in this
+    /// step.
     fn occurs(&mut self, every: u64) -> bool {
         every > 0 && self.rng.u64(0..every) < TICK_MS * self.failure_factor
     }
@@ -354,22 +356,22 @@
         if std::mem::replace(&mut w.leaving, true) {
             return;
         }
-        let gone = w.now + Millis(self.rng.u64(500..MAX_LEAVE_MS));
-        self.departs_at.insert(w.address.clone(), gone);
+        let departs_at = w.now + Millis(self.rng.u64(500..MAX_LEAVE_MS));
+        self.departs_at.insert(w.address.clone(), departs_at);
         self.cell.update_worker_list();
     }
 
     /// Replaces the workers that have left. Returns true if there were any.
     fn replace_departed(&mut self, now: Millis) -> bool {
-        let gone: Vec<_> = self.departs_at.extract_if(.., |_, at| *at <= now).collect();
-        for (address, _) in &gone {
+        let departed: Vec<_> = self.departs_at.extract_if(.., |_, at| *at <= now).collect();
+        for (address, _) in &departed {
             let w = self.cell.workers.iter_mut().find(|w| w.address == *address);
             if let Some(w) = w.filter(|w| w.up && w.leaving) {
                 self.replacements += 1;
                 w.restart(&format!("next-{}", self.replacements));
             }
         }
-        !gone.is_empty()
+        !departed.is_empty()
     }
 
     /// Ends the members of gangs that have been incomplete for too long.
@@ -444,8 +446,8 @@
 
     /// Returns true if two workers have crashed under the same task of a job.
     fn crashed_twice(&self, id: u64) -> bool {
-        let under = &self.cell.crashes.by_task;
-        under.iter().any(|(t, &n)| t.step.job == JobId(id) && n >= 2)
+        let crashes_by_task = &self.cell.crashes.by_task;
+        crashes_by_task.iter().any(|(t, &n)| t.step.job == JobId(id) && n >= 2)
     }
 }
 
--- a/crates/hollowford-jobs/tests/crash_scenarios.rs
+++ b/crates/hollowford-jobs/tests/crash_scenarios.rs
@@ -156,21 +156,24 @@
     assert_eq!(run_scenario(seed, failures), Vec::<String>::new(), "seed {seed}");
 }
 
-// A task waits for a row that is never written, and its job waits forever beside idle workers.
+// A task waits for a row that is never written, and its job waits forever although workers are
+// idle.
 #[parameterized(first = { 1344 }, second = { 1459 })]
 fn jobs_that_wait_for_a_row_that_nobody_writes(seed: u64) {
     assert_eq!(run_scenario(seed, ALL_AND_REUSED_IDS), Vec::<String>::new(), "seed {seed}");
 }
 
-// An outage loses the record that a run has ended or made progress. Its worker then crashes for another reason before
-// the next owner has heard from it. This looks like a crash soon after the start, and three of these fail a job.
+// An outage loses the record that a run has ended or made progress. Its worker then crashes for
+// another reason before the next owner has heard from it. This looks like a crash soon after the
+// start, and three of these fail a job.
 #[parameterized(first = { 251 }, second = { 416 }, third = { 1348 })]
 fn jobs_that_fail_without_cause(seed: u64) {
     assert_eq!(run_scenario(seed, ALL), Vec::<String>::new(), "seed {seed}");
 }
 
-// Known failure, see KNOWN-RED.txt. Crashes that the task did not cause still add up and fail its job: four of any
-// kind, some of them after ends that were lost in an outage (the first three seeds), or three soon after a start.
+// Known failure, see KNOWN-RED.txt. Crashes that the task did not cause still add up and fail its
+// job: four of any kind, some of them after ends that were lost in an outage (the first three
+// seeds), or three soon after a start.
 #[parameterized(
     four_of_any_kind = { 1954, ALL },
     four_of_any_kind_again = { 2219, ALL },
--- a/crates/hollowford-jobs/tests/crashes.rs
+++ b/crates/hollowford-jobs/tests/crashes.rs
@@ -16,11 +16,11 @@
 /// Id of the job whose tasks crash their workers.
 const CRASHING_JOB: u64 = 1;
 
-/// Returns a cell in which that job's tasks crash workers, which restart after `down` milliseconds.
-fn cell_with_crashing_job(workers: usize, down: u64) -> TestCell {
+/// Returns a cell in which that job's tasks crash workers, which restart after `downtime_ms`.
+fn cell_with_crashing_job(workers: usize, downtime_ms: u64) -> TestCell {
     let mut cell = TestCell::new(workers);
     cell.crashes.jobs.insert(JobId(CRASHING_JOB));
-    cell.crashes.downtime = Millis(down);
+    cell.crashes.downtime = Millis(downtime_ms);
     cell
 }
 
@@ -29,9 +29,9 @@
     cell.workers.iter().position(|w| !w.running.is_empty()).expect("a task should run")
 }
 
-/// Returns whether a counted crash came soon after the start of the task; none for other events.
-fn crash_freshness(note: &Event) -> Option<bool> {
-    if let Event::WorkerCrashed { fresh, .. } = note { Some(*fresh) } else { None }
+/// Returns whether a counted crash came soon after the start of the task; `None` for other events.
+fn crash_freshness(event: &Event) -> Option<bool> {
+    if let Event::WorkerCrashed { fresh, .. } = event { Some(*fresh) } else { None }
 }
 
 /// Advances the clock until the next crash, or until the job has failed.
@@ -55,8 +55,8 @@
     unlisted = { 7_000 },
     very_late = { 13_000 },
 )]
-fn a_task_that_crashes_its_workers_fails(down: u64) {
-    let mut cell = cell_with_crashing_job(8, down);
+fn a_task_that_crashes_its_workers_fails(downtime_ms: u64) {
+    let mut cell = cell_with_crashing_job(8, downtime_ms);
     cell.submit(CRASHING_JOB, QUICK, job(vec![step(1, 1_000, 600)]));
     cell.run(90_000);
     assert_eq!(cell.state(CRASHING_JOB), Some(JobState::Failed));
@@ -69,8 +69,8 @@
     after_lease = { 3_900, 5_000 },
     unlisted = { 500, 7_000 },
 )]
-fn crashes_count_across_takeovers(after: u64, down: u64) {
-    let mut cell = cell_with_crashing_job(8, down);
+fn crashes_count_across_takeovers(after: u64, downtime_ms: u64) {
+    let mut cell = cell_with_crashing_job(8, downtime_ms);
     cell.submit(CRASHING_JOB, QUICK, job(vec![step(1, 1_000, 600)]));
     run_until_crash(&mut cell);
     while cell.state(CRASHING_JOB) != Some(JobState::Failed) {
@@ -107,9 +107,9 @@
     cell.submit(CRASHING_JOB, QUICK, job(vec![step(1, 1_000, 600)]));
     cell.run(10_000);
     assert_eq!(cell.state(CRASHING_JOB), Some(JobState::Failed));
-    let beside = cell.crashes.by_task.keys().filter(|t| t.step.job != JobId(CRASHING_JOB));
+    let interrupted = cell.crashes.by_task.keys().filter(|t| t.step.job != JobId(CRASHING_JOB));
     assert_eq!(
-        beside.count(),
+        interrupted.count(),
         2,
         "only tasks beside the first start may be interrupted: {:?}",
         cell.crashes.by_task
@@ -117,7 +117,7 @@
 }
 
 // The second start shares a worker with another job that has run for a while, since the restarted
-// worker has no room.
+// worker has too little free capacity.
 #[test]
 fn a_crash_is_not_counted_against_a_task_that_had_run_beside_a_suspect() {
     let mut cell = cell_with_crashing_job(2, 1_000);
@@ -139,7 +139,7 @@
     );
     cell.run(2_000);
     let other =
-        |n: &Event| matches!(n, Event::WorkerCrashed { task, .. } if task.step.job == JobId(2));
+        |e: &Event| matches!(e, Event::WorkerCrashed { task, .. } if task.step.job == JobId(2));
     assert!(!cell.engine.take_events().iter().any(other));
 }
 
@@ -186,7 +186,8 @@
     assert_eq!(cell.state(2), Some(JobState::Completed));
 }
 
-// A worker is disconnected for longer than its lease, and crashes after its task has moved elsewhere.
+// A worker is disconnected for longer than its lease, and crashes after its task has moved
+// elsewhere.
 #[test]
 fn a_crash_is_not_counted_against_tasks_that_the_worker_had_before_a_disconnect() {
     let mut cell = cell_with_crashing_job(2, 3_300);
@@ -200,8 +201,8 @@
     assert!(cell.workers[at].running.is_empty(), "the task should run on the other worker");
     cell.crashes.crash(&mut cell.workers[at]);
     cell.run(5_000);
-    let under = |n: &Event| matches!(n, Event::WorkerCrashed { .. });
-    assert_eq!(cell.engine.take_events().iter().filter(|n| under(n)).count(), 0);
+    let is_crash = |e: &Event| matches!(e, Event::WorkerCrashed { .. });
+    assert_eq!(cell.engine.take_events().iter().filter(|e| is_crash(e)).count(), 0);
     assert_eq!(cell.engine.stats().crashes, 1);
 }
 
@@ -227,8 +228,8 @@
     assert_eq!(cell.state(2), Some(JobState::Completed));
 }
 
-// One worker crashes under the task for another reason. Then three workers in turn crash just before its start is
-// sent to them, unknown to the owner, so the task never ran there.
+// One worker crashes under the task for another reason. Then three workers in turn crash just
+// before its start is sent to them, unknown to the owner, so the task never ran there.
 #[test]
 fn starts_sent_after_crashes_fail_no_job() {
     let mut cell = cell_with_crashing_job(6, 1_000);
@@ -264,8 +265,9 @@
     assert_eq!(cell.state(2), Some(JobState::Completed));
 }
 
-// Two workers in turn are disconnected right after the start, complete the task unreported, and crash later. To
-// the owner this looks like two crashes soon after the start, although the task was not running at either.
+// Two workers in turn are disconnected right after the start, complete the task unreported, and
+// crash later. To the owner this looks like two crashes soon after the start, although the task was
+// not running at either.
 #[test]
 fn two_crashes_after_unreported_ends_fail_no_job() {
     let mut cell = cell_with_crashing_job(2, 1_000);
@@ -292,13 +294,13 @@
 fn a_worker_that_leaves_has_not_crashed() {
     let mut cell = cell_with_crashing_job(2, 3_300);
     cell.submit(2, LARGE, job(vec![step(1, 1_000, 7_000)]));
-    for life in 0..6 {
+    for incarnation in 0..6 {
         cell.run(1_000);
         let at = running_at(&cell);
         cell.workers[at].leaving = true;
         cell.update_worker_list();
         cell.run(500);
-        cell.workers[at].restart(&format!("next-{life}"));
+        cell.workers[at].restart(&format!("next-{incarnation}"));
         cell.update_worker_list();
         cell.run(500);
     }
--- a/crates/hollowford-jobs/tests/gangs.rs
+++ b/crates/hollowford-jobs/tests/gangs.rs
@@ -1,8 +1,8 @@
 //! Wide gangs in a cell of hundreds of workers, of which 30% may run a step.
 //!
-//! In a large deployment a relocation is a gang of 40 tasks on average and at most 240, of 4.5 to 7.6
-//! processors each. An advice call takes 390 ms plus 5.6 ms for each worker, for at most 100 workers,
-//! and its tickets are valid for 2 s. Checks and surveys run beside the relocations.
+//! In a large deployment a relocation is a gang of 40 tasks on average and at most 240, of 4.5 to
+//! 7.6 processors each. An advice call takes 390 ms plus 5.6 ms for each worker, for at most 100
+//! workers, and its tickets are valid for 2 s. Checks and surveys run at the same time.
 
 mod common;
 
@@ -38,10 +38,10 @@
 /// Advances the clock until the job runs, by at most `timeout_ms`. Returns how long it took, in
 /// milliseconds.
 fn time_until_running(cell: &mut TestCell, id: u64, timeout_ms: u64) -> Option<u64> {
-    let began = cell.now;
-    while cell.now.since(began).0 < timeout_ms {
+    let started_at = cell.now;
+    while cell.now.since(started_at).0 < timeout_ms {
         if cell.state(id) == Some(JobState::Running) {
-            return Some(cell.now.since(began).0);
+            return Some(cell.now.since(started_at).0);
         }
         cell.run(20);
     }
@@ -60,12 +60,12 @@
 /// Keeps about `percent` of the cell's processors busy for `ms` with tasks of one second.
 fn keep_busy(cell: &mut TestCell, percent: usize, next: &mut u64, ms: u64) {
     let tasks = WORKERS * 16 / 4 * percent / 100;
-    let each = 10;
+    let tasks_per_job = 10;
     // Jobs of ten tasks of four processors each.
     for _ in 0..ms / 20 {
-        for _ in 0..tasks / each / 50 {
+        for _ in 0..tasks / tasks_per_job / 50 {
             *next += 1;
-            cell.submit(*next, QUICK, job(vec![step(each as u32, 4_000, 1_000)]));
+            cell.submit(*next, QUICK, job(vec![step(tasks_per_job as u32, 4_000, 1_000)]));
         }
         cell.run(20);
     }
@@ -81,12 +81,12 @@
         keep_busy(&mut cell, 55, &mut next, 1_000);
     }
     let waits = |cell: &TestCell| (1..=4).any(|id| cell.state(id) == Some(JobState::Queued));
-    let began = cell.now;
-    while waits(&cell) && cell.now.since(began).0 < 20_000 {
+    let started_at = cell.now;
+    while waits(&cell) && cell.now.since(started_at).0 < 20_000 {
         keep_busy(&mut cell, 55, &mut next, 100);
     }
     let states: Vec<_> = (1..=4).map(|id| cell.state(id)).collect();
-    let took = cell.now.since(began).0;
+    let took = cell.now.since(started_at).0;
     assert!(!waits(&cell), "{states:?} after {took} ms");
     assert!(took < 8_000, "{took} ms");
 }
@@ -99,11 +99,11 @@
     cell.run(100);
     cell.submit(1, LARGE, gang(110, 6_800));
     cell.run(5_000);
-    let named = |order: &Order| match order {
+    let named_workers = |order: &Order| match order {
         Order::Advice { workers, .. } => workers.len(),
         Order::Worker { .. } => 0,
     };
-    let named: usize = cell.executed_orders.iter().map(named).sum();
+    let named: usize = cell.executed_orders.iter().map(named_workers).sum();
     assert!(named > 300, "advice calls named only {named} workers while the cell was full");
     let took = time_until_running(&mut cell, 1, 10_000).unwrap();
     assert!(took < 2_500, "{took} ms");
@@ -113,9 +113,9 @@
 fn a_late_gang_still_runs_while_others_keep_arriving() {
     let mut cell = TestCell::new(20);
     let mut next = 100;
-    // Ten gangs of four tasks of one second every 1.02 s: nearly all of the 40 places are always taken,
-    // and most gangs wait for a moment without being late.
-    let mut burst = |cell: &mut TestCell| {
+    // Ten gangs of four tasks of one second every 1.02 s: nearly all of the capacity, for 40 tasks,
+    // is always in use, and most gangs wait for a moment without being late.
+    let mut submit_burst = |cell: &mut TestCell| {
         for _ in 0..10 {
             next += 1;
             cell.submit(next, QUICK, job(vec![RawStep { gang: true, ..step(4, 7_600, 1_000) }]));
@@ -123,11 +123,11 @@
         }
         cell.run(620);
     };
-    (0..2).for_each(|_| burst(&mut cell));
+    (0..2).for_each(|_| submit_burst(&mut cell));
     cell.submit(1, LARGE, job(vec![RawStep { gang: true, ..step(30, 7_600, 1_000) }]));
-    let began = cell.now;
+    let started_at = cell.now;
     while cell.state(1) != Some(JobState::Running) {
-        assert!(cell.now.since(began).0 < 40_000, "the gang has waited for 40 s");
-        burst(&mut cell);
+        assert!(cell.now.since(started_at).0 < 40_000, "the gang has waited for 40 s");
+        submit_burst(&mut cell);
     }
 }
--- a/crates/hollowford-jobs/tests/steps.rs
+++ b/crates/hollowford-jobs/tests/steps.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_new_owner_goes_on_with_the_rounds() {
+fn a_new_owner_continues_the_rounds() {
     let mut cell = TestCell::new(1);
     let offset = 1_900_000_000_000 - cell.now.0 as i64;
     cell.engine.set_unix_offset(offset);
@@ -75,18 +75,18 @@
 #[test]
 fn a_step_runs_only_on_workers_with_the_label_that_it_requires() {
     let mut cell = TestCell::new(2);
-    let wanted = RawStep { required_label: "b".into(), ..step(1, 1_000, 100) };
-    cell.submit(1, LARGE, job(vec![wanted]));
+    let missing_label = RawStep { required_label: "b".into(), ..step(1, 1_000, 100) };
+    cell.submit(1, LARGE, job(vec![missing_label]));
     cell.run(500);
     assert_eq!(starts(&cell), 0);
-    let found = RawStep { required_label: "a".into(), ..step(1, 1_000, 100) };
-    cell.submit(2, LARGE, job(vec![found]));
+    let present_label = RawStep { required_label: "a".into(), ..step(1, 1_000, 100) };
+    cell.submit(2, LARGE, job(vec![present_label]));
     cell.run(500);
     assert_eq!(cell.state(2), Some(JobState::Completed));
 }
 
 #[test]
-fn a_gang_starts_whole_or_not_at_all() {
+fn a_gang_starts_completely_or_not_at_all() {
     let mut cell = TestCell::new(2);
     cell.submit(1, LARGE, job(vec![step(6, 4_000, 2_000)]));
     cell.run(200);
@@ -95,8 +95,8 @@
     for _ in 0..30 {
         cell.run(50);
         let members = cell.workers.iter().flat_map(|w| w.running.keys());
-        let there = members.filter(|t| t.step.job == JobId(2)).count();
-        assert!(there == 0 || there == 4, "{there} members");
+        let started = members.filter(|t| t.step.job == JobId(2)).count();
+        assert!(started == 0 || started == 4, "{started} members");
     }
     cell.run(2_500);
     assert_eq!(cell.state(2), Some(JobState::Completed));
--- a/crates/hollowford-jobs/tests/unsaved_state.rs
+++ b/crates/hollowford-jobs/tests/unsaved_state.rs
@@ -64,7 +64,8 @@
     assert!(cell.crashes.count <= 5, "{} crashes", cell.crashes.count);
 }
 
-// Each batch takes longer than the time from a start to the crash, and each crash is followed by a takeover.
+// Each batch takes longer than the time from a start to the crash, and each crash is followed by a
+// takeover.
 #[test]
 fn takeovers_before_rows_are_written_hide_at_most_one_crash() {
     let mut cell = cell_with_crashing_job(10);
@@ -121,7 +122,8 @@
     assert_eq!(cell.state(2), Some(JobState::Completed));
 }
 
-// One job runs, one waits, and the worker of a third is disconnected for good two seconds after its start.
+// One job runs, one waits, and the worker of a third is disconnected permanently two seconds after
+// its start.
 #[test]
 fn tasks_without_crashes_continue_in_an_outage() {
     let mut cell = TestCell::new(2);
@@ -144,8 +146,9 @@
     }
 }
 
-// The first start, which is in no row, crashes its worker, and a takeover follows. The next owner learns of the crash,
-// but can't start the task again because another worker is silent, until the next takeover.
+// The first start, which is in no row, crashes its worker, and a takeover follows. The next owner
+// learns of the crash, but can't start the task again because another worker is silent, until the
+// next takeover.
 #[test]
 fn all_later_owners_allow_for_a_crash_that_is_in_no_row() {
     let mut cell = cell_with_crashing_job(10);
--- a/crates/hollowford-jobs/tests/work_conserving.rs
+++ b/crates/hollowford-jobs/tests/work_conserving.rs
@@ -1,7 +1,7 @@
 //! Steps must not wait while enough resources are free for them.
 //!
-//! Crashes of workers make tickets lapse, so many steps need new advice at the same time, and only a
-//! few instances make the calls. With more than half of the cell free, gangs waited for several
+//! Crashes of workers make tickets lapse, so many steps need new advice at the same time, and only
+//! a few instances make the calls. With more than half of the cell free, gangs waited for several
 //! seconds because an instance that had become free was only used at the next full pass, because
 //! gangs asked a second time before others had asked once, and because instances reserved for quick
 //! calls were idle.
@@ -25,7 +25,7 @@
 const CRASHES_MS: u64 = 14_000;
 /// How long waiting steps are observed, in milliseconds.
 const OBSERVED_MS: u64 = 70_000;
-/// Longest time that a runnable step may wait.
+/// Maximum time that a runnable step may wait.
 const MAX_WAIT: Millis = Millis(3_000);
 
 /// Checks submitted per second.
@@ -86,8 +86,8 @@
 impl WaitTracker {
     fn record(&mut self, cell: &TestCell) {
         let waits = cell.engine.step_waits(cell.now);
-        let could = |w: &&StepWait| w.cause != WaitCause::HeldBack && is_runnable(cell, w.step);
-        let now: BTreeMap<_, _> = waits.iter().filter(could).map(|w| (w.step, *w)).collect();
+        let runnable = |w: &&StepWait| w.cause != WaitCause::HeldBack && is_runnable(cell, w.step);
+        let now: BTreeMap<_, _> = waits.iter().filter(runnable).map(|w| (w.step, *w)).collect();
         self.runnable_since.retain(|step, _| now.contains_key(step));
         for (step, wait) in now {
             let waited = cell.now.since(*self.runnable_since.entry(step).or_insert(cell.now));
@@ -98,8 +98,8 @@
     }
 }
 
-/// Returns true if a step has no task running, less than half of the cell's processors are in use, and the step
-/// would fit into the free resources twice.
+/// Returns true if a step has no task running, less than half of the cell's processors are in use,
+/// and the step would fit into the free resources twice.
 fn is_runnable(cell: &TestCell, step: StepKey) -> bool {
     let up = || cell.workers.iter().filter(|w| w.up);
     let used: u32 = up().map(|w| w.used().cpu_milli).sum();
@@ -110,22 +110,22 @@
     }
     let spec = &cell.specs[&step.job].steps[step.step as usize];
     let wanted = if spec.gang { spec.count } else { 1 };
-    let places = |w: &worker::SimWorker| {
+    let tasks_that_fit = |w: &worker::SimWorker| {
         let (need, free) = (spec.allocation(), w.capacity.minus(&w.used()));
         (free.cpu_milli / need.cpu_milli.max(1)).min(free.memory_mib / need.memory_mib.max(1))
     };
-    up().filter(|w| cell.is_eligible(step, &w.id)).map(places).sum::<u32>() >= 2 * wanted
+    up().filter(|w| cell.is_eligible(step, &w.id)).map(tasks_that_fit).sum::<u32>() >= 2 * wanted
 }
 
-/// Runs a load in which the given percentage of the surveys crash their workers at first. Returns the waits of
-/// the steps that were runnable.
+/// Runs a load in which the given percentage of the surveys crash their workers at first. Returns
+/// the waits of the steps that were runnable.
 fn track_waits(seed: u64, crashing_percent: u32) -> WaitTracker {
     let mut rng = Rng::with_seed(seed);
     let mut cell = busy_cell();
-    let (began, mut jobs, mut due) = (cell.now, 0, [0.0; 3]);
+    let (started_at, mut jobs, mut due) = (cell.now, 0, [0.0; 3]);
     let mut tracker = WaitTracker::default();
-    for turn in 0..OBSERVED_MS / 5 {
-        let rates = if turn * 5 < ARRIVALS_MS {
+    for iteration in 0..OBSERVED_MS / 5 {
+        let rates = if iteration * 5 < ARRIVALS_MS {
             [CHECKS_PER_S, SURVEYS_PER_S, GANGS_PER_S]
         } else {
             [0.0; 3]
@@ -136,7 +136,7 @@
                 due[kind] -= 1.0;
                 jobs += 1;
                 let (queue, raw) = draw_step(kind, &mut rng);
-                let crashes = kind == 1 && cell.now.since(began).0 < CRASHES_MS;
+                let crashes = kind == 1 && cell.now.since(started_at).0 < CRASHES_MS;
                 if crashes && rng.u32(0..100) < crashing_percent {
                     cell.crashes.jobs.insert(JobId(jobs));
                 }
@@ -144,7 +144,7 @@
             }
         }
         cell.run(5);
-        if turn % 10 == 0 {
+        if iteration % 10 == 0 {
             tracker.record(&cell);
         }
     }
@@ -164,7 +164,8 @@
     );
 }
 
-// Known failure, see KNOWN-RED.txt: more gangs wait at once than advice calls can be made for in that time.
+// Known failure, see KNOWN-RED.txt: more gangs wait at once than advice calls can be made for in
+// that time.
 #[test]
 fn what_could_run_waits_in_a_long_backlog_of_gangs() {
     let tracker = track_waits(1, 6);
--- a/crates/hollowford-node/src/member_tests.rs
+++ b/crates/hollowford-node/src/member_tests.rs
@@ -53,8 +53,8 @@
         let (mut reader, outbox) = accept(&listener).await;
         outbox.send(heartbeat(&["a", "b"]));
         // The member sends heartbeats once it has joined.
-        let beat = link::recv(&mut reader).await;
-        assert!(matches!(beat, Some(Body::MemberBeat(_))), "{beat:?}");
+        let heartbeat = link::recv(&mut reader).await;
+        assert!(matches!(heartbeat, Some(Body::MemberBeat(_))), "{heartbeat:?}");
     }
     // The owner closes the last link without sending a heartbeat.
     drop(accept(&listener).await);
@@ -76,8 +76,8 @@
     tokio::spawn(peers::accept(cx.shared.clone(), listener));
     let (mut reader, outbox) = link::connect(address).await.expect("a link");
     outbox.send(Body::Hello(Hello { owner: Some(info.clone()), ..Hello::default() }));
-    let said = timeout(WAIT_TIMEOUT, link::recv(&mut reader)).await.expect("an answer");
-    assert_eq!(said, Some(Body::Owner(info)));
+    let reply = timeout(WAIT_TIMEOUT, link::recv(&mut reader)).await.expect("an answer");
+    assert_eq!(reply, Some(Body::Owner(info)));
 }
 
 /// A link may go silent without a reset while new links work. The owner is alive then and must not
--- a/crates/hollowford-node/src/retries_tests.rs
+++ b/crates/hollowford-node/src/retries_tests.rs
@@ -42,13 +42,13 @@
 #[test]
 fn attempts_are_frequent_while_the_store_answers_nothing() {
     let mut retries = Retries::new(SENT, Millis(150));
-    let away = Millis(1_500);
-    assert_eq!(next_attempt(&retries, away), Some(Millis(200)));
+    let outage = Millis(1_500);
+    assert_eq!(next_attempt(&retries, outage), Some(Millis(200)));
     // Each attempt may take 2.5 s; those in flight must not delay the next one.
     for _ in 0..12 {
         retries.attempt_sent(SENT);
     }
-    assert_eq!(next_attempt(&retries, away), Some(Millis(200)));
+    assert_eq!(next_attempt(&retries, outage), Some(Millis(200)));
 }
 
 #[test]
@@ -74,7 +74,7 @@
 }
 
 // If 42% of the answers to writes are lost for 6 s and the others take 14 to 28 ms, a fixed read
-// delay holds up most callers. A store that is 53 times as slow answers after 0.3 to 0.5 s.
+// delay makes most callers wait. A store that is 53 times as slow answers after 0.3 to 0.5 s.
 #[test]
 fn the_lane_row_is_read_earlier_in_a_fast_store() {
     assert_eq!(read_delay(&AnswerTimes::default()), Millis(150), "no response times yet");
--- a/crates/hollowford-node/src/step_down.rs
+++ b/crates/hollowford-node/src/step_down.rs
@@ -21,7 +21,6 @@
 pub struct StepDown {
     shared: Arc<Shared>,
     epoch: u64,
-    /// When this owner started.
     started_at: Millis,
     /// Channel on which the stopping process waits for the hand-over, and when the stop was
     /// requested.
@@ -44,7 +43,7 @@
         self.stop_requested = Some((done, self.shared.clock.now()));
     }
 
-    /// Returns since when the owner has been stepping down; none if it isn't.
+    /// Returns since when the owner has been stepping down; `None` if it isn't.
     pub fn since(&self) -> Option<Millis> {
         self.stop_requested.as_ref().map(|(_, since)| *since).or(self.moving_since)
     }
