--- a/crates/hollowford-engine/benches/memory.rs
+++ b/crates/hollowford-engine/benches/memory.rs
@@ -100,11 +100,11 @@
     }
 }
 
-fn measure(what: &str, size: usize, make: impl FnOnce() -> Engine) {
+fn measure(case: &str, size: usize, make: impl FnOnce() -> Engine) {
     let before = resident_bytes();
     let e = make();
     let bytes = resident_bytes().saturating_sub(before);
-    println!("{what:<44} {size:>8} {:>9} {:>8}", bytes / 1_024, bytes / size);
+    println!("{case:<44} {size:>8} {:>9} {:>8}", bytes / 1_024, bytes / size);
     // Leaked on purpose, so that no measurement reuses the memory of another one.
     std::mem::forget(e);
 }
--- a/crates/hollowford-engine/src/account.rs
+++ b/crates/hollowford-engine/src/account.rs
@@ -8,7 +8,6 @@
 /// Index of a client account in the engine's table.
 pub(crate) type AccountIdx = u32;
 
-/// A client account with its resource usage and queues.
 #[derive(Debug)]
 pub(crate) struct Account {
     pub id: AccountId,
@@ -21,7 +20,8 @@
     pub queues: [VecDeque<RequestNo>; QueueKind::COUNT],
     /// For each class, the last pass in which none of its requests could be placed.
     pub blocked_in_pass: [u64; PriorityClass::COUNT],
-    /// Recent attempts: (succeeded, failed).
+    /// Numbers of recent attempts that succeeded and that failed. Both are halved when their sum
+    /// reaches a limit.
     recent_ends: (u32, u32),
     /// Moving average of actual run time divided by declared run time.
     run_time_factor: f64,
@@ -47,13 +47,13 @@
         }
     }
 
-    /// Decays the past share and adds the share held since the last call.
+    /// Decays the past share and adds the share in use since the last call.
     pub fn update_past_share(&mut self, now: Millis, total_capacity: &Totals, half_life: Millis) {
         let dt = now.since(self.past_share_at).0 as f64;
         if dt > 0.0 {
-            let keep = 0.5_f64.powf(dt / half_life.0.max(1) as f64);
-            let held = self.used.dominant_share(total_capacity);
-            self.past_share = self.past_share * keep + held * (1.0 - keep);
+            let decay = 0.5_f64.powf(dt / half_life.0.max(1) as f64);
+            let current_share = self.used.dominant_share(total_capacity);
+            self.past_share = self.past_share * decay + current_share * (1.0 - decay);
             self.past_share_at = now;
         }
     }
@@ -61,8 +61,8 @@
     /// Returns the rank of the account: its current and past share divided by its weight.
     /// Accounts with a lower rank are served first.
     pub fn share_rank(&self, total_capacity: &Totals) -> f64 {
-        let held = self.used.dominant_share(total_capacity);
-        (held + self.past_share) / f64::from(self.policy.weight.max(1))
+        let current_share = self.used.dominant_share(total_capacity);
+        (current_share + self.past_share) / f64::from(self.policy.weight.max(1))
     }
 
     /// Counts an attempt as succeeded or failed.
@@ -114,7 +114,6 @@
     }
 }
 
-/// All client accounts that the engine knows.
 #[derive(Debug, Default)]
 pub(crate) struct Accounts {
     list: Vec<Account>,
--- a/crates/hollowford-engine/src/claim.rs
+++ b/crates/hollowford-engine/src/claim.rs
@@ -1,5 +1,4 @@
-//! The platform's list of workers, claims of workers, and how a claim reconciles the
-//! engine's tasks with those on the worker.
+//! The list of workers, and the claims that reconcile the engine's tasks with those on a worker.
 
 use crate::engine::Engine;
 use crate::event::{Action, ClaimReport, TaskEnd, WorkerListing};
@@ -14,7 +13,7 @@
 const CRASH_WINDOW: Millis = Millis(20_000);
 
 impl Engine {
-    /// Applies the part of the platform's list of instances that belongs to the partition.
+    /// Applies the entries of the instance list that belong to the partition.
     pub fn set_worker_list(&mut self, now: Millis, list: &[WorkerListing], out: &mut Vec<Action>) {
         let mut unlisted: BTreeSet<WorkerIdx> = self.workers.iter().map(|(idx, _)| idx).collect();
         for item in list {
--- a/crates/hollowford-engine/src/engine.rs
+++ b/crates/hollowford-engine/src/engine.rs
@@ -18,9 +18,9 @@
 pub enum Authority {
     /// The lease is valid: no restrictions.
     Full,
-    /// The lease has lapsed: task leases are renewed, but nothing is started.
+    /// The lease has expired: task leases are renewed, but nothing is started.
     RenewOnly,
-    /// The lease has lapsed longer ago than [`Policy::renewal_bound`]: nothing is allowed.
+    /// The lease expired longer ago than [`Policy::renewal_bound`]: nothing is allowed.
     None,
 }
 
@@ -81,8 +81,8 @@
     pub(crate) durable_seq: u64,
     /// Whether the ledger can't be written.
     pub(crate) ledger_stalled: bool,
-    /// While the ledger is stalled: no member takes the partition over before this time.
-    /// Zero if that is unknown.
+    /// While the ledger is stalled: time until which every member has promised not to take the
+    /// partition over; zero if any member has not.
     pub(crate) no_takeover_until: Millis,
     pub(crate) pending_starts: VecDeque<PendingStart>,
     /// Acknowledgements of outcomes that wait for the record at a position.
@@ -93,11 +93,11 @@
     pub(crate) kept_answers: VecDeque<(Millis, RequestNo)>,
     /// Times at which requests are given up unless one of their tasks has started.
     pub(crate) start_deadlines: BTreeSet<(Millis, RequestNo)>,
-    /// Times at which a waiting request is tried again.
+    /// Times at which another placement pass tries a waiting request again.
     pub(crate) retry_times: BTreeSet<(Millis, RequestNo)>,
     pub(crate) reservations: BTreeMap<RequestNo, Reservation>,
     pub(crate) preemption: PreemptionState,
-    /// Whether a placement pass may place something that the last one could not.
+    /// Whether a task may be placeable that the last pass could not place.
     pub(crate) needs_pass: bool,
     /// Number of the last placement pass.
     pub(crate) pass_no: u64,
--- a/crates/hollowford-engine/src/event.rs
+++ b/crates/hollowford-engine/src/event.rs
@@ -47,7 +47,7 @@
     Cancel,
     /// The request has its final answer.
     Close(FinalAnswer),
-    /// The task is waiting for another attempt.
+    /// The task is waiting for another attempt: in snapshots, and when a gang restarts.
     Queued {
         /// The task and the number of its last attempt.
         task: TaskId,
--- a/crates/hollowford-engine/src/feasibility.rs
+++ b/crates/hollowford-engine/src/feasibility.rs
@@ -12,8 +12,8 @@
     /// # Errors
     /// `Impossible` with what would fit.
     pub(crate) fn check_feasible(&self, spec: &Spec) -> Result<(), Error> {
-        let unknown = |w: &Worker| w.listed && !w.leaving && !w.claimed;
-        if self.workers.len() == 0 || self.workers.iter().any(|(_, w)| unknown(w)) {
+        let is_unclaimed = |w: &Worker| w.listed && !w.leaving && !w.claimed;
+        if self.workers.len() == 0 || self.workers.iter().any(|(_, w)| is_unclaimed(w)) {
             return Ok(());
         }
         let possible = if spec.placement.is_unrestricted() {
@@ -28,8 +28,8 @@
     }
 
     fn max_concurrent_tasks(&self, spec: &Spec) -> u64 {
-        let caps = self.workers.capacity_counts().iter();
-        caps.map(|(cap, n)| u64::from(fit_count(&spec.per_task, cap)) * u64::from(*n)).sum()
+        let capacities = self.workers.capacity_counts().iter();
+        capacities.map(|(cap, n)| u64::from(fit_count(&spec.per_task, cap)) * u64::from(*n)).sum()
     }
 
     fn max_concurrent_tasks_constrained(&self, spec: &Spec) -> u64 {
@@ -53,8 +53,8 @@
     }
 
     fn impossible_message(&self, spec: &Spec) -> String {
-        let caps = self.workers.capacity_counts().iter().filter(|(_, n)| **n > 0);
-        let Some((cap, _)) = caps.max_by_key(|(c, _)| (c.accelerators, c.cpu_milli)) else {
+        let capacities = self.workers.capacity_counts().iter().filter(|(_, n)| **n > 0);
+        let Some((cap, _)) = capacities.max_by_key(|(c, _)| (c.accelerators, c.cpu_milli)) else {
             return "the partition has no usable instance".to_owned();
         };
         format!(
--- a/crates/hollowford-engine/src/gang.rs
+++ b/crates/hollowford-engine/src/gang.rs
@@ -4,7 +4,7 @@
 //! to fit earliest. Until the gang has waited for `Policy::gang_drain_after`, other work may
 //! use these workers if it is expected to end before that time (backfill). A worker is
 //! reserved for one gang at a time, and a reservation is made only if its workers have
-//! room for the whole gang. So two gangs never block each other with half of their workers.
+//! room for the whole gang, so two gangs never block each other with partial reservations.
 
 use crate::engine::Engine;
 use crate::event::{Action, Change};
@@ -134,7 +134,6 @@
         TryOutcome::Waits(WaitCause::GangReservation)
     }
 
-    /// Releases the reservation of a gang.
     pub(crate) fn drop_reservation(&mut self, no: RequestNo) {
         if let Some(reservation) = self.reservations.remove(&no) {
             for idx in reservation.workers {
--- a/crates/hollowford-engine/src/health.rs
+++ b/crates/hollowford-engine/src/health.rs
@@ -6,8 +6,8 @@
 use hollowford_core::{Millis, RequestNo, TaskId};
 
 impl Engine {
-    /// Updates the statistics of the account and the failures of worker and request with
-    /// the end of an attempt.
+    /// Updates the account's statistics and the failures of the worker and the request after
+    /// an attempt has ended.
     pub(crate) fn update_health(
         &mut self,
         now: Millis,
--- a/crates/hollowford-engine/src/placement.rs
+++ b/crates/hollowford-engine/src/placement.rs
@@ -8,12 +8,9 @@
 use hollowford_core::{Millis, RequestNo, Resources, Spec};
 use std::sync::Arc;
 
-/// State of one placement pass.
 pub(crate) struct Pass {
     pub now: Millis,
-    /// Number of the pass.
     pub no: u64,
-    /// Tasks placed in the pass.
     placed: usize,
     /// Whether the ledger can be written. If not, only write-behind requests are served.
     ledger_available: bool,
@@ -136,8 +133,8 @@
         ServeOutcome::Blocked
     }
 
-    /// Returns true if a waiting request is known not to fit in this pass. In a full cell,
-    /// this cheap check skips most requests.
+    /// Returns true if a waiting request is known not to fit in this pass. In a full cell, this
+    /// check avoids the search for a worker for most requests.
     fn is_known_unplaceable(&self, no: RequestNo, pass: &Pass) -> bool {
         let waits = |r: &&Request| r.wait_cause == WaitCause::NoRoom && !r.waiting.is_empty();
         let Some(r) = self.requests.get(&no).filter(waits) else {
@@ -223,8 +220,8 @@
             return TryOutcome::Waits(WaitCause::NoRoom);
         }
         let found = self.find_worker(r, pass.now).or_else(|| {
-            // Tasks whose starts were not sent are withdrawn and free their room at once.
-            // The urgent request takes it before any other request can.
+            // Preempted tasks whose starts were not sent free their resources at once. The urgent
+            // request uses them before any other request can.
             let may_preempt = class == PriorityClass::Urgent && pass.ledger_available;
             let preempted = may_preempt && self.preempt_for(no, pass.now, out);
             let r = self.requests.get(&no).filter(|_| preempted)?;
@@ -260,7 +257,6 @@
         }
     }
 
-    /// Adds the placed tasks of a gang to the count of the pass.
     pub(crate) fn count_placed(pass: &mut Pass, n: usize) {
         pass.placed += n;
     }
--- a/crates/hollowford-engine/src/policy.rs
+++ b/crates/hollowford-engine/src/policy.rs
@@ -9,11 +9,11 @@
     pub task_lease: Millis,
     /// Interval at which the owner renews the leases of a worker's tasks.
     pub renew_every: Millis,
-    /// How long an owner renews task leases after its ownership lease has lapsed.
+    /// How long an owner renews task leases after its ownership lease has expired.
     pub renewal_bound: Millis,
     /// Margin for clock drift, added to each wait for a lease on another machine's clock.
     pub drift_margin: Millis,
-    /// Share of the total CPU that is kept free for urgent work, 0 to 0.5.
+    /// Share of the total CPU that is reserved for urgent work, 0 to 0.5.
     pub headroom: f64,
     /// Whether repeatable batch work may use the headroom, from which it can be preempted.
     pub headroom_borrow: bool,
@@ -28,7 +28,7 @@
     pub account_queue_bound: u32,
     /// Maximum number of open requests in the partition.
     pub queue_bound: u32,
-    /// Maximum number of requests of one client account queue that are tried at a time.
+    /// Maximum number of requests that are tried at a time in one queue of a client account.
     pub lookahead: usize,
     /// Maximum number of placements in one pass; bounds the duration of a pass.
     pub max_placements_per_pass: usize,
--- a/crates/hollowford-engine/src/reports.rs
+++ b/crates/hollowford-engine/src/reports.rs
@@ -56,7 +56,7 @@
         self.mark_changed(task.request, out);
     }
 
-    /// Records the end of a task.
+    /// Records the end of a task. The worker may forget it once the record is durable.
     pub fn task_ended(
         &mut self,
         now: Millis,
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Handles the end of an attempt that is not held by the worker: the task was foreign,
-    /// or its end is already recorded.
+    /// Handles the end of an attempt that is not placed on the worker: the task was foreign, or
+    /// its end is already recorded.
     pub(crate) fn unknown_task_ended(&mut self, idx: WorkerIdx, task: &TaskId) {
         let foreign = self.workers.get(idx).foreign.iter().any(|h| h.task == *task);
         if foreign {
--- a/crates/hollowford-engine/src/request.rs
+++ b/crates/hollowford-engine/src/request.rs
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Priority class of a request. Lower classes are served first.
+/// Priority class of a request. Classes are served in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum PriorityClass {
     Urgent = 0,
@@ -65,7 +65,6 @@
     }
 }
 
-/// State of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TaskState {
     /// Waiting to be placed.
@@ -312,7 +311,7 @@
         self.class == PriorityClass::Normal && self.spec.repeatable && !self.is_gang()
     }
 
-    /// Frees the memory that a closed request does not need.
+    /// Drops what only an open request needs. Results are kept.
     pub fn release_memory(&mut self) {
         self.tasks = Vec::new();
         self.waiting = VecDeque::new();
@@ -320,7 +319,6 @@
         self.results.list.shrink_to_fit();
     }
 
-    /// Returns the workers that hold tasks of the request.
     pub fn workers(&self) -> impl Iterator<Item = WorkerIdx> + '_ {
         self.tasks.iter().filter_map(|t| t.state.worker())
     }
--- a/crates/hollowford-engine/src/task_ends.rs
+++ b/crates/hollowford-engine/src/task_ends.rs
@@ -250,15 +250,15 @@
 fn apply_crash(r: &mut Request, index: u32, may_repeat: bool) -> bool {
     let crashes = &mut r.tasks[index as usize].crashes;
     *crashes += 1;
-    let bounded = r.spec.kind != Kind::Service && *crashes >= MAX_CRASHES;
+    let crashed_too_often = r.spec.kind != Kind::Service && *crashes >= MAX_CRASHES;
     if !r.spec.repeatable {
         r.uncertain += 1;
-    } else if may_repeat && bounded {
+    } else if may_repeat && crashed_too_often {
         r.failed += 1;
         r.message =
             format!("{MAX_CRASHES} workers restarted shortly after they started the task").into();
     }
-    may_repeat && !bounded
+    may_repeat && !crashed_too_often
 }
 
 fn final_answer(r: &Request) -> FinalAnswer {
--- a/crates/hollowford-engine/src/worker.rs
+++ b/crates/hollowford-engine/src/worker.rs
@@ -32,7 +32,6 @@
     }
 }
 
-/// A worker and the tasks that it holds.
 #[derive(Debug)]
 pub(crate) struct Worker {
     pub id: InstanceId,
@@ -124,14 +123,13 @@
     }
 }
 
-/// All workers of the partition.
 #[derive(Debug, Default)]
 pub(crate) struct Workers {
     list: Vec<Worker>,
     by_id: HashMap<InstanceId, WorkerIdx>,
     /// Usable workers by free CPU: without free accelerators, and with free accelerators.
     by_free_cpu: [BTreeSet<(u32, WorkerIdx)>; 2],
-    /// Number of claimed, listed and not leaving workers for each capacity.
+    /// Number of workers for each capacity that are claimed, listed and not leaving.
     capacity_counts: BTreeMap<Resources, u32>,
     /// Total capacity of these workers.
     pub total_capacity: Totals,
@@ -241,7 +239,6 @@
             .filter(|&idx| need.fits(&self.get(idx).free))
     }
 
-    /// Returns the usable workers.
     pub fn usable(&self) -> impl Iterator<Item = WorkerIdx> + '_ {
         self.by_free_cpu.iter().flatten().map(|&(_, idx)| idx)
     }
--- a/crates/hollowford-engine/src/worker_choice.rs
+++ b/crates/hollowford-engine/src/worker_choice.rs
@@ -90,8 +90,8 @@
     }
 }
 
-/// Weight of the balance between CPU and memory in a worker's score. Below 1, so that
-/// filling a worker always counts more than balance.
+/// Weight of the imbalance between free CPU and free memory in a worker's score. Below 1, so that
+/// filling a worker always counts for more.
 const BALANCE_WEIGHT: f64 = 0.5;
 
 /// Scores a worker for a task; lower is better. Favours workers that the task fills, and
--- a/crates/hollowford-engine/src/write_behind.rs
+++ b/crates/hollowford-engine/src/write_behind.rs
@@ -52,10 +52,10 @@
     }
 
     /// Grants a lease that ends before the promises expire. Returns its end on the worker's
-    /// clock.
+    /// clock. Renewals do not extend it.
     ///
-    /// The clock reading was taken before it arrived, so the worker's clock reaches
-    /// reading + x no later than the owner's clock reaches arrival time + x.
+    /// The worker took the clock reading before the report arrived. So its clock reaches
+    /// `reading + x` no later than the owner's clock reaches `arrival + x`.
     pub(crate) fn grant_fixed_lease(&mut self, idx: WorkerIdx) -> u64 {
         let (max_length, margin) = (self.policy.task_lease, self.policy.drift_margin);
         let until = self.no_takeover_until.since(margin);
--- a/crates/hollowford-engine/tests/allocations.rs
+++ b/crates/hollowford-engine/tests/allocations.rs
@@ -1,4 +1,4 @@
-//! Bounds the number of memory allocations of a placement. The count is exact.
+//! Checks the number of memory allocations of a placement, which is deterministic.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
--- a/crates/hollowford-engine/tests/common/invariants.rs
+++ b/crates/hollowford-engine/tests/common/invariants.rs
@@ -67,7 +67,6 @@
         self.numbers.entry(key.clone()).or_default().insert(no);
     }
 
-    /// Checks all invariants.
     pub fn check(&self, workers: &BTreeMap<InstanceId, FakeWorker>, now: Millis) {
         self.check_capacity(workers);
         self.check_no_duplicate_runs(workers, now);
@@ -90,7 +89,6 @@
         }
     }
 
-    /// Returns the key of a request number.
     fn key_of(&self, no: RequestNo) -> Option<&RequestKey> {
         self.numbers.iter().find(|(_, numbers)| numbers.contains(&no)).map(|(key, _)| key)
     }
@@ -98,7 +96,7 @@
     fn check_no_duplicate_runs(&self, workers: &BTreeMap<InstanceId, FakeWorker>, now: Millis) {
         let mut places: BTreeMap<(Option<&RequestKey>, u32), &InstanceId> = BTreeMap::new();
         for (id, w) in workers {
-            // A task with a lapsed lease on a frozen worker is not running.
+            // A task with an expired lease on a frozen worker is not running.
             let live = w.running.iter().filter(|(_, r)| r.lease_until > w.clock(now));
             for (task, _) in live {
                 let before = places.insert((self.key_of(task.request), task.index), id);
--- a/crates/hollowford-engine/tests/common/mod.rs
+++ b/crates/hollowford-engine/tests/common/mod.rs
@@ -13,8 +13,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use worker::{FakeWorker, Order};
 
-/// Virtual time of one step.
-const STEP: Millis = Millis(50);
+const STEP_DURATION: Millis = Millis(50);
 
 /// The owner of the partition, or an earlier one that does not know that it was replaced.
 pub struct Owner {
@@ -29,10 +28,10 @@
     pub orders: BTreeMap<InstanceId, VecDeque<Order>>,
     /// Open sessions by worker.
     pub sessions: BTreeMap<InstanceId, u64>,
-    /// Authority as long as no other owner has taken over.
+    /// Authority until another owner takes over.
     pub authority: Authority,
-    /// When another owner took over, so that its lease had lapsed by then.
-    pub lapsed_at: Option<Millis>,
+    /// When another owner took over. The lease of this one had expired by then.
+    pub lease_expired_at: Option<Millis>,
 }
 
 /// The simulated cell: owners with their engines, the ledger and the workers.
@@ -46,7 +45,7 @@
     pub ledger: Vec<Record>,
     /// Whether the ledger can't be written.
     pub stalled: bool,
-    /// Until when every member has promised not to take over.
+    /// Time until which every member has promised not to take over.
     pub no_takeover_until: Millis,
     pub workers: BTreeMap<InstanceId, FakeWorker>,
     pub checker: InvariantChecker,
@@ -142,10 +141,10 @@
             orders: BTreeMap::new(),
             sessions: BTreeMap::new(),
             authority: Authority::Full,
-            lapsed_at: None,
+            lease_expired_at: None,
         };
         for earlier in &mut self.owners {
-            earlier.lapsed_at.get_or_insert(self.now);
+            earlier.lease_expired_at.get_or_insert(self.now);
         }
         self.owners.push(owner);
         let last = self.owners.len() - 1;
@@ -194,7 +193,7 @@
     /// Runs the periodic work and the decisions of an owner with its current authority.
     pub fn decide(&mut self, i: usize) {
         let owner = &self.owners[i];
-        let authority = match owner.lapsed_at {
+        let authority = match owner.lease_expired_at {
             None => owner.authority,
             Some(at) if self.now < at + self.policy.renewal_bound => Authority::RenewOnly,
             Some(_) => Authority::None,
@@ -238,7 +237,6 @@
         self.execute(i, out);
     }
 
-    /// Executes the actions of an engine.
     pub fn execute(&mut self, i: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
@@ -270,7 +268,7 @@
         let started = matches!(order, Order::Start { .. });
         if started {
             self.checker
-                .start_sent(self.workers[&worker].epochs_told_leaving.contains(&owner.epoch));
+                .start_sent(self.workers[&worker].epochs_aware_of_leaving.contains(&owner.epoch));
         }
         // The server drops orders without a session, too.
         if owner.sessions.contains_key(&worker) {
@@ -292,7 +290,7 @@
         };
         self.next_session += 1;
         if claim.leaving {
-            worker.epochs_told_leaving.insert(owner.epoch);
+            worker.epochs_aware_of_leaving.insert(owner.epoch);
         }
         owner.sessions.insert(id.clone(), session);
         owner.orders.insert(id.clone(), VecDeque::new());
@@ -358,14 +356,14 @@
         engine.usage_reported(now, id, reports.leaving, &[], &mut out);
         if reports.leaving {
             let epoch = self.owners[i].epoch;
-            self.workers.get_mut(id).unwrap().epochs_told_leaving.insert(epoch);
+            self.workers.get_mut(id).unwrap().epochs_aware_of_leaving.insert(epoch);
         }
         self.execute(i, out);
     }
 
     /// Advances time by one step and processes everything that can happen in it.
     pub fn step(&mut self) {
-        self.now = self.now + STEP;
+        self.now = self.now + STEP_DURATION;
         let ids: Vec<InstanceId> = self.workers.keys().cloned().collect();
         for id in &ids {
             let worker = self.workers.get_mut(id).unwrap();
@@ -406,10 +404,9 @@
 
     /// Runs enough steps for claims and starts.
     pub fn run_briefly(&mut self) {
-        self.run(STEP.0 * 6);
+        self.run(STEP_DURATION.0 * 6);
     }
 
-    /// Checks the invariants.
     pub fn check(&self) {
         self.checker.check(&self.workers, self.now);
     }
--- a/crates/hollowford-engine/tests/common/worker.rs
+++ b/crates/hollowford-engine/tests/common/worker.rs
@@ -69,7 +69,7 @@
     /// Whether every task fails at once.
     pub fails_all: bool,
     /// Epochs of the owners that know that this worker is leaving.
-    pub epochs_told_leaving: BTreeSet<Epoch>,
+    pub epochs_aware_of_leaving: BTreeSet<Epoch>,
     offset: u64,
 }
 
@@ -89,7 +89,7 @@
             unreachable: false,
             unlisted: false,
             fails_all: false,
-            epochs_told_leaving: BTreeSet::new(),
+            epochs_aware_of_leaving: BTreeSet::new(),
             offset: 1_000_000 * (i + 1),
         }
     }
@@ -98,7 +98,7 @@
         now.0 + self.offset
     }
 
-    /// Ends tasks whose lease has lapsed or that are complete.
+    /// Ends tasks whose lease has expired or that are complete.
     pub fn end_due_tasks(&mut self, now: Millis, checker: &mut InvariantChecker) {
         let clock = self.clock(now);
         let due: Vec<TaskId> = self
@@ -109,8 +109,8 @@
             .collect();
         for task in due {
             let r = &self.running[&task];
-            let lapsed = r.lease_until < r.ends_at;
-            let end = if lapsed { TaskEnd::Lost } else { TaskEnd::Done(TaskResult::default()) };
+            let expired = r.lease_until < r.ends_at;
+            let end = if expired { TaskEnd::Lost } else { TaskEnd::Done(TaskResult::default()) };
             self.end(now, &task, end, checker);
         }
     }
--- a/crates/hollowford-engine/tests/loads/engine_run.rs
+++ b/crates/hollowford-engine/tests/loads/engine_run.rs
@@ -11,7 +11,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
-/// Time from an append until the record is durable: interval between writes plus one write.
+/// Time from an append until the record is durable: the interval between writes and one write.
 const LEDGER_DELAY_MS: u64 = 7;
 const TICK_INTERVAL_MS: u64 = 50;
 const SAMPLE_INTERVAL_MS: u64 = 250;
@@ -253,21 +253,21 @@
         if self.engine.waiting_tasks() == 0 {
             return;
         }
-        let (whole, free) = self.engine.totals();
-        self.measures.sample(&used_resources(&whole, &free), &whole);
+        let (total, free) = self.engine.totals();
+        self.measures.sample(&used_resources(&total, &free), &total);
         let compared_accounts: Vec<(&'static str, f64)> = self
             .load
             .compared_accounts
             .iter()
             .filter_map(|name| {
                 let found = self.engine.accounts().find(|a| a.id.as_str() == *name)?;
-                found.waits.then(|| (*name, found.used.dominant_share(&whole)))
+                found.waits.then(|| (*name, found.used.dominant_share(&total)))
             })
             .collect();
         // Shares are compared only while each of these accounts has queued work.
         if compared_accounts.len() == self.load.compared_accounts.len() {
             self.share_samples += 1;
-            self.measures.sample_mixed(&used_resources(&whole, &free), &whole);
+            self.measures.sample_mixed(&used_resources(&total, &free), &total);
             for (name, share) in compared_accounts {
                 *self.shares.entry(name).or_insert(0.0) += share;
             }
--- a/crates/hollowford-engine/tests/loads/fifo_run.rs
+++ b/crates/hollowford-engine/tests/loads/fifo_run.rs
@@ -50,8 +50,8 @@
                 next_job += 1;
             }
             while self.running.peek().is_some_and(|Reverse((at, _, _))| *at <= self.now) {
-                if let Some(Reverse((_, w, taken))) = self.running.pop() {
-                    self.free[w] = self.free[w].plus(&taken);
+                if let Some(Reverse((_, w, resources))) = self.running.pop() {
+                    self.free[w] = self.free[w].plus(&resources);
                 }
             }
             while self.start_first() {}
@@ -60,10 +60,10 @@
                 self.sample();
             }
             for wave in self.load.waves.iter().filter(|w| w.at <= self.now) {
-                let hit = |j: &Job| {
+                let is_cancelled = |j: &Job| {
                     j.account == wave.account && j.spec.labels.iter().any(|l| **l == *wave.label)
                 };
-                self.queue.retain(|(j, _)| !(hit(j) && j.at <= wave.at));
+                self.queue.retain(|(j, _)| !(is_cancelled(j) && j.at <= wave.at));
             }
         }
         self.measures.ended_at = self.now;
@@ -74,18 +74,18 @@
             return false;
         };
         let concurrent_tasks = if job.spec.kind == Kind::Gang { left } else { 1 };
-        let Some(places) = self.places(&job.spec.per_task, concurrent_tasks) else {
+        let Some(workers) = self.find_workers(&job.spec.per_task, concurrent_tasks) else {
             return false;
         };
         if left == job.spec.tasks {
             self.measures.waited(job.spec.kind, self.now - job.at);
         }
-        for w in places {
+        for w in workers {
             self.free[w] = self.free[w].minus(&job.spec.per_task);
             self.measures.placed += 1;
-            let runs = if w < self.load.failing_workers { 10 } else { job.actual_ms };
-            if runs > 0 {
-                self.running.push(Reverse((self.now + runs, w, job.spec.per_task)));
+            let run_ms = if w < self.load.failing_workers { 10 } else { job.actual_ms };
+            if run_ms > 0 {
+                self.running.push(Reverse((self.now + run_ms, w, job.spec.per_task)));
             }
         }
         match left - concurrent_tasks {
@@ -97,25 +97,25 @@
         true
     }
 
-    fn places(&self, need: &Resources, count: u32) -> Option<Vec<usize>> {
-        let mut places = Vec::new();
+    fn find_workers(&self, need: &Resources, count: u32) -> Option<Vec<usize>> {
+        let mut workers = Vec::new();
         for (w, free) in self.free.iter().enumerate() {
             let mut free = *free;
-            while need.fits(&free) && (places.len() as u32) < count {
+            while need.fits(&free) && (workers.len() as u32) < count {
                 free = free.minus(need);
-                places.push(w);
+                workers.push(w);
             }
         }
-        (places.len() as u32 == count).then_some(places)
+        (workers.len() as u32 == count).then_some(workers)
     }
 
     fn sample(&mut self) {
         if self.queue.is_empty() {
             return;
         }
-        let whole = total_capacity(&self.load.capacity, self.load.workers);
+        let total = total_capacity(&self.load.capacity, self.load.workers);
         let mut free = hollowford_core::Totals::default();
         self.free.iter().for_each(|f| free.add(f));
-        self.measures.sample(&used_resources(&whole, &free), &whole);
+        self.measures.sample(&used_resources(&total, &free), &total);
     }
 }
--- a/crates/hollowford-engine/tests/loads/measure.rs
+++ b/crates/hollowford-engine/tests/loads/measure.rs
@@ -36,13 +36,13 @@
         h.record(ms).unwrap();
     }
 
-    pub fn sample(&mut self, used: &Totals, whole: &Totals) {
-        self.packing_sum += used.dominant_share(whole);
+    pub fn sample(&mut self, used: &Totals, total: &Totals) {
+        self.packing_sum += used.dominant_share(total);
         self.samples += 1;
     }
 
-    pub fn sample_mixed(&mut self, used: &Totals, whole: &Totals) {
-        self.mixed_packing_sum += used.dominant_share(whole);
+    pub fn sample_mixed(&mut self, used: &Totals, total: &Totals) {
+        self.mixed_packing_sum += used.dominant_share(total);
         self.mixed_samples += 1;
     }
 
@@ -105,12 +105,11 @@
     }
 }
 
-/// Returns the resources in use.
-pub fn used_resources(whole: &Totals, free: &Totals) -> Totals {
+pub fn used_resources(total: &Totals, free: &Totals) -> Totals {
     Totals {
-        cpu_milli: whole.cpu_milli - free.cpu_milli,
-        memory_mib: whole.memory_mib - free.memory_mib,
-        accelerators: whole.accelerators - free.accelerators,
+        cpu_milli: total.cpu_milli - free.cpu_milli,
+        memory_mib: total.memory_mib - free.memory_mib,
+        accelerators: total.accelerators - free.accelerators,
     }
 }
 
--- a/crates/hollowford-engine/tests/random_events.rs
+++ b/crates/hollowford-engine/tests/random_events.rs
@@ -55,8 +55,8 @@
     ResumeOldOwners,
     /// Earlier owners try to claim a worker again.
     ClaimByOldOwners(usize),
-    /// The owner's lease lapses, so that it may only renew task leases.
-    LapseOwnerLease,
+    /// The owner's lease expires, so that it may only renew task leases.
+    ExpireOwnerLease,
     WriteLedger,
 }
 
@@ -88,7 +88,7 @@
         1 => Just(Op::Takeover),
         1 => Just(Op::TakeoverPaused),
         2 => Just(Op::ResumeOldOwners),
-        1 => Just(Op::LapseOwnerLease),
+        1 => Just(Op::ExpireOwnerLease),
         3 => Just(Op::WriteLedger),
     ]
 }
@@ -181,7 +181,7 @@
                     sim.claim(i, &id);
                 }
             }
-            Op::LapseOwnerLease => sim.owners[newest].authority = Authority::RenewOnly,
+            Op::ExpireOwnerLease => sim.owners[newest].authority = Authority::RenewOnly,
             Op::WriteLedger => {
                 sim.decide(newest);
                 sim.write_ledger(newest);
