--- a/crates/hollowford-server/src/admin.rs
+++ b/crates/hollowford-server/src/admin.rs
@@ -40,7 +40,7 @@
 }
 
 /// Answers readiness probes of the load balancer. The process is ready once it has read the
-/// configuration and until it is told to stop.
+/// configuration, until a stop is requested.
 #[handler]
 async fn readyz(shared: Data<&Arc<Shared>>) -> Response {
     let is_configured = shared.config_freshness.age(&shared.clock).is_some();
@@ -97,7 +97,6 @@
     })
 }
 
-/// Creates the routes of the admin address.
 pub(crate) fn routes(shared: Arc<Shared>) -> impl poem::Endpoint {
     Route::new()
         .at("/metrics", get(metrics))
--- a/crates/hollowford-server/src/decide/calls.rs
+++ b/crates/hollowford-server/src/decide/calls.rs
@@ -13,8 +13,8 @@
 /// Number of requests in a page when the caller sets no limit.
 const DEFAULT_PAGE_SIZE: u32 = 100;
 
-/// Executes a call. The reply is sent at once, or when the change or the record that the call
-/// waits for is there.
+/// Executes a call. The reply is sent at once, or once the request has changed or the record is
+/// durable that the call waits for.
 pub(super) fn execute_call(
     owned: &mut OwnedPartition,
     now: Millis,
--- a/crates/hollowford-server/src/decide/owned_partition.rs
+++ b/crates/hollowford-server/src/decide/owned_partition.rs
@@ -17,7 +17,6 @@
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 
-/// A partition that this process owns.
 pub(super) struct OwnedPartition {
     pub shared: Arc<Shared>,
     pub engine: Engine,
@@ -71,7 +70,6 @@
         }
     }
 
-    /// Applies the instance list.
     pub fn apply_instance_list(&mut self, now: Millis, list: &[Instance]) {
         let s = &self.shared.settings;
         let partition = self.engine.partition();
@@ -91,13 +89,13 @@
         self.end_unlisted_sessions(now, &listed);
     }
 
-    /// Ends the sessions of workers that are no longer listed. Their tasks are settled once
+    /// Ends the sessions of workers that are no longer listed. Their tasks count as lost once
     /// their leases have expired.
     fn end_unlisted_sessions(&mut self, now: Millis, listed: &[WorkerListing]) {
         let ids: HashSet<&InstanceId> = listed.iter().map(|l| &l.id).collect();
-        let gone: Vec<InstanceId> =
+        let unlisted: Vec<InstanceId> =
             self.sessions.keys().filter(|id| !ids.contains(id)).cloned().collect();
-        for worker in gone {
+        for worker in unlisted {
             self.sessions.remove(&worker);
             self.engine.session_ended(now, &worker, &mut self.actions);
         }
@@ -152,7 +150,7 @@
         }
     }
 
-    /// Records the end of a session.
+    /// Records the end of a session. Ignored if the worker has another session by now.
     pub fn session_ended(&mut self, now: Millis, worker: &InstanceId, session: u64) {
         if self.sessions.get(worker) == Some(&session) {
             self.sessions.remove(worker);
@@ -163,8 +161,8 @@
     /// Reads the progress of the ledger, and answers the calls that waited for it.
     pub fn read_ledger_progress(&mut self) {
         // Without the ownership lease the ledger can't be written either.
-        let lapsed = self.authority(self.shared.clock.now()) != Authority::Full;
-        let stalled = self.ledger.is_stalled() || lapsed;
+        let lease_expired = self.authority(self.shared.clock.now()) != Authority::Full;
+        let stalled = self.ledger.is_stalled() || lease_expired;
         self.engine.set_ledger_stalled(stalled);
         let no_takeover_until = if stalled { self.shared.no_takeover_until() } else { Millis(0) };
         self.engine.set_no_takeover_until(no_takeover_until);
@@ -328,7 +326,7 @@
                 })
             })
             .collect();
-        let (whole, free) = e.totals();
+        let (total, free) = e.totals();
         let (kept, open) = e.requests();
         let s = e.stats();
         serde_json::json!({
@@ -337,7 +335,7 @@
             "requests_kept": kept, "requests_open": open, "waiting_tasks": e.waiting_tasks(),
             "unsynced": e.unsynced_records(), "stalled": self.ledger.is_stalled(),
             "waiting_calls": self.waiting_calls.len(),
-            "whole_cpu_milli": whole.cpu_milli, "free_cpu_milli": free.cpu_milli,
+            "whole_cpu_milli": total.cpu_milli, "free_cpu_milli": free.cpu_milli,
             "placed": s.placed, "started": s.started, "withdrawn": s.withdrawn, "done": s.done,
             "failed": s.failed, "lost": s.lost, "preempted": s.preempted, "refused": s.refused,
             "set_aside": s.quarantined, "stale_reports": s.stale_reports, "foreign": s.foreign,
--- a/crates/hollowford-server/src/decide/waiting_calls.rs
+++ b/crates/hollowford-server/src/decide/waiting_calls.rs
@@ -128,7 +128,7 @@
         self.by_request.keys().copied().collect()
     }
 
-    /// Returns the number of waiting calls.
+    /// Returns the number of calls that wait for a change or a record.
     pub fn len(&self) -> usize {
         self.count + self.by_seq.len()
     }
--- a/crates/hollowford-server/src/entry/status.rs
+++ b/crates/hollowford-server/src/entry/status.rs
@@ -11,10 +11,10 @@
 
 /// Converts an error to a gRPC status, with the error kind and the retry delay as metadata.
 pub(super) fn to_status(e: &Error) -> Status {
-    let answer = e.kind.info();
-    let mut status = Status::new(Code::from_i32(answer.grpc), e.message.clone());
+    let info = e.kind.info();
+    let mut status = Status::new(Code::from_i32(info.grpc), e.message.clone());
     let meta = status.metadata_mut();
-    meta.insert(KIND_KEY, MetadataValue::from_static(answer.name));
+    meta.insert(KIND_KEY, MetadataValue::from_static(info.name));
     if let Some(ms) = e.retry_after_ms {
         meta.insert(RETRY_KEY, MetadataValue::from(ms));
     }
--- a/crates/hollowford-server/src/ledger/keys.rs
+++ b/crates/hollowford-server/src/ledger/keys.rs
@@ -21,12 +21,10 @@
     format!("p/{:05}/snapshot", p.0)
 }
 
-/// Returns the key prefix of the ledger's rows.
 pub(crate) fn ledger_prefix(p: PartitionId) -> String {
     format!("p/{:05}/ledger/", p.0)
 }
 
-/// Returns the key of one ledger row.
 pub(crate) fn ledger_key(p: PartitionId, index: u64) -> String {
     format!("{}{index:016x}", ledger_prefix(p))
 }
--- a/crates/hollowford-server/src/ledger/tests.rs
+++ b/crates/hollowford-server/src/ledger/tests.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-const P: PartitionId = PartitionId(0);
+const PARTITION: PartitionId = PartitionId(0);
 
 struct TestLedger {
     shared: Arc<Shared>,
@@ -41,15 +41,15 @@
 impl TestLedger {
     /// Writes the epoch row, as a takeover does, and returns its version.
     async fn raise_epoch(&self) -> u64 {
-        match self.store.txn(&Txn::new().put(epoch_key(P), vec![1])).await.unwrap() {
+        match self.store.txn(&Txn::new().put(epoch_key(PARTITION), vec![1])).await.unwrap() {
             TxnResult::Committed(version) => version,
             TxnResult::Conflict(c) => panic!("{c:?}"),
         }
     }
 
     async fn open(&self, epoch: u64, epoch_version: u64) -> LedgerHandle {
-        let recovered = recover(&self.store, P).await.unwrap();
-        let writer = Writer::new(&self.shared, P, Epoch(epoch), epoch_version, &recovered);
+        let recovered = recover(&self.store, PARTITION).await.unwrap();
+        let writer = Writer::new(&self.shared, PARTITION, Epoch(epoch), epoch_version, &recovered);
         let handle = writer.handle.clone();
         self.shared.ledger.send(writer).await;
         handle
@@ -62,7 +62,7 @@
     }
 
     async fn recovered(&self) -> Vec<Record> {
-        recover(&self.store, P).await.unwrap().records
+        recover(&self.store, PARTITION).await.unwrap().records
     }
 }
 
@@ -161,9 +161,9 @@
     append(&handle, 6).await;
     flush(&handle).await;
     assert_eq!(ledger.recovered().await, vec![record(100), record(101), record(6)]);
-    let rows = ledger.store.scan(&ledger_prefix(P), "", 100).await.unwrap();
+    let rows = ledger.store.scan(&ledger_prefix(PARTITION), "", 100).await.unwrap();
     assert_eq!(rows.len(), 1, "the rows before the snapshot are deleted");
-    assert_eq!(rows[0].key, ledger_key(P, 5));
+    assert_eq!(rows[0].key, ledger_key(PARTITION, 5));
 }
 
 #[tokio::test]
@@ -175,7 +175,7 @@
         append(&handle, n).await;
         wait_until(|| handle.durable_seq() >= n).await;
     }
-    ledger.store.txn(&Txn::new().delete(ledger_key(P, 1))).await.unwrap();
-    let e = recover(&ledger.store, P).await.unwrap_err();
+    ledger.store.txn(&Txn::new().delete(ledger_key(PARTITION, 1))).await.unwrap();
+    let e = recover(&ledger.store, PARTITION).await.unwrap_err();
     assert_eq!(e.kind, ErrorKind::Internal);
 }
--- a/crates/hollowford-server/src/ledger/writer.rs
+++ b/crates/hollowford-server/src/ledger/writer.rs
@@ -73,7 +73,6 @@
     }
 }
 
-/// The writer of one partition's ledger.
 #[derive(Debug)]
 pub(crate) struct Writer {
     pub shared: Arc<Shared>,
@@ -93,7 +92,6 @@
 /// Another process has taken over the partition.
 struct Deposed;
 
-/// The next operation of the writer.
 enum NextWrite {
     Write { seq: u64, batch: Batch },
     Snapshot(Vec<Record>),
--- a/crates/hollowford-server/src/members.rs
+++ b/crates/hollowford-server/src/members.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Time without a heartbeat after which a process is no longer considered as an owner.
+/// Time without a heartbeat after which a process is no longer available as an owner.
 const MEMBER_TIMEOUT: Millis = Millis(1_500);
 
 /// Another process of the cell.
@@ -54,7 +54,6 @@
         map.insert(process.to_owned(), member);
     }
 
-    /// Removes a process.
     pub fn remove(&self, process: &str) {
         self.lock().remove(process);
     }
@@ -87,7 +86,7 @@
     /// `head`, and `if_alone` if there is no other process.
     pub fn no_takeover_until(&self, head: u64, if_alone: Millis) -> Millis {
         let map = self.lock();
-        // A process that is about to stop takes over nothing.
+        // A process that is about to stop does not take over partitions.
         let mut others = map.values().filter(|m| !m.leaving).peekable();
         if others.peek().is_none() {
             return if_alone;
@@ -97,7 +96,6 @@
         others.map(promise).min().unwrap_or(Millis(0))
     }
 
-    /// Returns all known processes.
     pub fn all(&self) -> BTreeMap<String, Member> {
         self.lock().clone()
     }
--- a/crates/hollowford-server/src/metrics.rs
+++ b/crates/hollowford-server/src/metrics.rs
@@ -38,7 +38,8 @@
     pub store_calls: IntCounterVec,
     /// Partitions that this process owns.
     pub partitions_owned: IntGauge,
-    /// Takeovers by this process, by kind: `new`, `released` or `lapsed`.
+    /// Takeovers by this process, by kind: `new` (no owner before), `released` (handed over) or
+    /// `lapsed` (the owner's lease has expired).
     pub takeovers: IntCounterVec,
     /// Partitions lost to another process.
     pub deposed: IntCounter,
--- a/crates/hollowford-server/src/owners.rs
+++ b/crates/hollowford-server/src/owners.rs
@@ -4,14 +4,12 @@
 use hollowford_protocol::peer::OwnedPartition;
 use std::sync::{RwLock, RwLockReadGuard};
 
-/// The owner of a partition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Owner {
     pub process: String,
     pub epoch: Epoch,
 }
 
-/// The owners of all partitions.
 #[derive(Debug)]
 pub(crate) struct Owners {
     list: RwLock<Vec<Option<Owner>>>,
@@ -37,7 +35,6 @@
         }
     }
 
-    /// Returns the owner of a partition.
     pub fn get(&self, partition: PartitionId) -> Option<Owner> {
         self.read().get(partition.0 as usize).cloned().flatten()
     }
--- a/crates/hollowford-server/src/ownership/hand_over.rs
+++ b/crates/hollowford-server/src/ownership/hand_over.rs
@@ -66,7 +66,7 @@
     }
 
     /// Hands the partition over: waits until all its records are durable, then releases the
-    /// owner row, so that the next owner need not wait for the lease to lapse.
+    /// owner row, so that the next owner need not wait for the lease to expire.
     pub(super) async fn hand_over(&mut self) {
         let Some(ownership) = self.ownership.take() else {
             return;
--- a/crates/hollowford-server/src/ownership/lease.rs
+++ b/crates/hollowford-server/src/ownership/lease.rs
@@ -29,12 +29,11 @@
         self.valid_until.fetch_max(valid_until.0, Ordering::AcqRel);
     }
 
-    /// Ends the lease for good.
+    /// Ends the lease for good, whatever its expiry.
     pub fn end(&self) {
         self.ended.store(true, Ordering::Release);
     }
 
-    /// Returns true if the lease was ended.
     pub fn has_ended(&self) -> bool {
         self.ended.load(Ordering::Acquire)
     }
--- a/crates/hollowford-server/src/ownership/lease_manager.rs
+++ b/crates/hollowford-server/src/ownership/lease_manager.rs
@@ -1,5 +1,5 @@
 //! Manages the ownership lease of one partition: renews it as the owner, and otherwise watches
-//! the owner row and takes over when the lease has lapsed.
+//! the owner row and takes over when the lease has expired.
 
 use super::lease::OwnerLease;
 use super::owner_rows::ObservedRow;
@@ -26,7 +26,8 @@
     /// Changes with each write, so that a process recognises its own write after a lost reply.
     #[prost(uint64, tag = "3")]
     pub write_id: u64,
-    /// The owner has released the partition, so a takeover need not wait for the lease.
+    /// Whether the owner has released the partition, so that a takeover need not wait for the
+    /// lease to expire.
     #[prost(bool, tag = "4")]
     pub released: bool,
     /// Process that should take over a released partition; empty for the usual order.
@@ -211,8 +212,8 @@
     fn takeover_delay(&self, observed: &ObservedRow) -> Millis {
         let own = &self.shared.settings.process;
         let mut others = self.shared.members.available(&self.shared.clock);
-        // The last heartbeat of a process that just released the row may not say yet that it
-        // is stopping.
+        // The process that released the row may be stopping, which its last heartbeat may not
+        // show yet.
         others.retain(|p| !observed.row.released || *p != observed.row.process);
         let rank = owner_rank(self.partition, own, &others) as u64;
         let lease = self.shared.settings.lease.ownership;
--- a/crates/hollowford-server/src/ownership/no_takeover_promise.rs
+++ b/crates/hollowford-server/src/ownership/no_takeover_promise.rs
@@ -1,5 +1,5 @@
-//! The promise not to take over partitions, which lets owners run quick checks during an outage
-//! of the store.
+//! The promise not to take over partitions, which lets owners run write-behind requests during an
+//! outage of the store.
 //!
 //! A process makes the promise only while the store does not answer it, and only when no takeover
 //! of its own may still take effect. The promise is a lease held in memory between processes:
@@ -32,7 +32,7 @@
         if self.open_takeovers.load(Ordering::SeqCst) > 0 { Millis(0) } else { length }
     }
 
-    /// Begins a takeover of a lapsed row. Returns false if this process has promised not to.
+    /// Begins a takeover of a row whose lease has expired. Returns false if this process has promised not to.
     pub fn begin_takeover(&self, now: Millis) -> bool {
         self.open_takeovers.fetch_add(1, Ordering::SeqCst);
         let is_allowed = now.0 >= self.until.load(Ordering::SeqCst);
@@ -43,7 +43,7 @@
     }
 
     /// Begins a takeover of a free row. Promises don't apply to it: the last owner made
-    /// everything durable, write-behind work included, before it released the row.
+    /// everything durable, including write-behind requests, before it released the row.
     pub fn begin_takeover_of_free_row(&self) {
         self.open_takeovers.fetch_add(1, Ordering::SeqCst);
     }
--- a/crates/hollowford-server/src/ownership/owner_rows.rs
+++ b/crates/hollowford-server/src/ownership/owner_rows.rs
@@ -28,7 +28,7 @@
 
 impl ObservedRow {
     /// Returns which kind of takeover the row calls for, as a label value: `new` without a row,
-    /// `released` after a hand-over, otherwise `lapsed`.
+    /// `released` after a hand-over, otherwise `lapsed`: the lease must have expired.
     pub fn takeover_kind(&self) -> &'static str {
         match (self.version, self.row.released) {
             (0, _) => "new",
--- a/crates/hollowford-server/src/ownership/takeover.rs
+++ b/crates/hollowford-server/src/ownership/takeover.rs
@@ -75,7 +75,7 @@
     }
 
     /// Reads the row back after a lost reply. If the write takes effect only after this read,
-    /// the row names this process, but nobody renews it, so it lapses.
+    /// the row names this process, but nobody renews it, so its lease expires.
     async fn read_takeover_outcome(&self, row: &OwnerRow) -> TakeoverOutcome {
         match self.read().await {
             Ok(Some(observed)) if observed.row == *row => {
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Registers a takeover. Returns false if the row has lapsed and this process has started
-    /// recently or has promised not to take over.
+    /// Registers a takeover. Returns false if the row was neither new nor released, and this
+    /// process has started recently or has promised not to take over.
     fn register_takeover(&self, observed: &ObservedRow) -> bool {
         let no_takeover_promise = &self.shared.no_takeover_promise;
         if observed.takeover_kind() == "lapsed" {
@@ -110,7 +110,8 @@
     }
 
     /// Returns true if this process may still be unknown to an owner that relies on the promises
-    /// of the members it knows. Such a process must not take over a lapsed row.
+    /// of the members it knows. Such a process must not take over a row whose lease
+    /// has expired.
     fn has_started_recently(&self) -> bool {
         let lease = &self.shared.settings.lease;
         self.shared.clock.now() < lease.ownership + lease.promise
@@ -145,7 +146,7 @@
                 () = tokio::time::sleep(renew) => self.renew().await,
             }
             if self.shared.is_stopping() {
-                // Nothing was scheduled under this lease, so it may simply lapse.
+                // Nothing was scheduled under this lease, so it may just expire.
                 self.end_lease();
             }
             if self.ownership.is_none() {
--- a/crates/hollowford-server/src/ownership/tests.rs
+++ b/crates/hollowford-server/src/ownership/tests.rs
@@ -1,4 +1,4 @@
-//! What a lease allows its owner to do, as time passes.
+//! Tests of what an ownership lease allows before and after its expiry.
 
 use super::OwnerLease;
 use hollowford_core::{Epoch, Millis};
@@ -7,7 +7,7 @@
 const RENEWAL_BOUND: Millis = Millis(1_000);
 
 #[test]
-fn a_lapsed_lease_allows_only_renewals_and_only_until_the_bound() {
+fn an_expired_lease_allows_only_renewals_and_only_until_the_bound() {
     let lease = OwnerLease::new(Epoch(1), Millis(500));
     assert_eq!(lease.authority(Millis(499), RENEWAL_BOUND), Authority::Full);
     assert_eq!(lease.authority(Millis(500), RENEWAL_BOUND), Authority::RenewOnly);
--- a/crates/hollowford-server/src/process.rs
+++ b/crates/hollowford-server/src/process.rs
@@ -132,7 +132,7 @@
         self.shared.stopping.send_replace(true);
     }
 
-    /// Returns true if the process was told to stop, by a signal or an operator.
+    /// Returns true if a stop was requested, by a signal or an operator.
     pub fn is_stopping(&self) -> bool {
         self.shared.is_stopping()
     }
--- a/crates/hollowford-server/src/shared.rs
+++ b/crates/hollowford-server/src/shared.rs
@@ -34,11 +34,9 @@
     pub owners: Owners,
     /// The owner rows, as last read.
     pub owner_rows: OwnerRows,
-    /// The promise of this process not to take over partitions.
     pub no_takeover_promise: NoTakeoverPromise,
-    /// Number of partitions that this process owns.
     pub owned_count: AtomicUsize,
-    /// When this process last handed a partition over to balance the load.
+    /// When this process last decided to hand a partition over to balance the load.
     pub rebalanced_at: Mutex<Millis>,
     /// Partitions whose release another process has announced.
     pub released: Mutex<Vec<u32>>,
@@ -52,7 +50,7 @@
     pub ledger: Ring<Writer>,
     pub peers: Ring<PeerMsg>,
     pub workers: Ring<WorkerMsg>,
-    /// True once the process was told to stop.
+    /// True once a stop was requested.
     pub stopping: watch::Sender<bool>,
     /// Set once all partitions were handed over at a planned stop.
     pub handed_over: AtomicBool,
@@ -126,7 +124,6 @@
         self.next_id.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Returns true if the process was told to stop.
     pub fn is_stopping(&self) -> bool {
         *self.stopping.borrow()
     }
--- a/crates/hollowford-server/src/watch.rs
+++ b/crates/hollowford-server/src/watch.rs
@@ -59,7 +59,7 @@
         // Concurrent refreshes may finish in any order; older versions are ignored.
         shared.accounts.rcu(|now| now.with_changes(head, entries.clone()));
         shared.metrics.config_head.set(head as i64);
-        log::info!("config_head={head} in force");
+        log::info!("config_head={head} active");
         shared.decide.send(DecideMsg::AccountsChanged).await;
     }
     shared.config_freshness.confirm(requested_at);
@@ -89,12 +89,12 @@
     head: u64,
 ) -> Result<Vec<AccountEntry>, StoreError> {
     let after = format!("{HISTORY_PREFIX}{known:016x}");
-    let log = store.scan(HISTORY_PREFIX, &after, PAGE_ROWS).await?;
-    if log.len() as u64 != head - known {
+    let changes = store.scan(HISTORY_PREFIX, &after, PAGE_ROWS).await?;
+    if changes.len() as u64 != head - known {
         // More changes than one read returns, or a change during the reads: read all accounts.
         return read_all(store).await;
     }
-    let mut names: Vec<String> = log
+    let mut names: Vec<String> = changes
         .iter()
         .filter_map(|r| v1::ConfigChange::decode(&r.value.0[..]).ok())
         .map(|c| format!("{ACCOUNT_PREFIX}{}", c.account))
--- a/crates/hollowford-server/src/workers/event_loop.rs
+++ b/crates/hollowford-server/src/workers/event_loop.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, PoisonError};
 use tokio::task::JoinHandle;
 
-/// A worker with which a session is kept.
+/// The task that maintains the session with one worker, and the slot of the session.
 pub(super) struct Link {
     pub addr: String,
     pub epoch: Epoch,
--- a/crates/hollowford-server/src/workers/mod.rs
+++ b/crates/hollowford-server/src/workers/mod.rs
@@ -1,4 +1,4 @@
-//! The `workers` thread, which keeps the sessions with workers.
+//! The `workers` thread, which maintains the sessions with workers.
 
 mod event_loop;
 mod session;
@@ -22,7 +22,7 @@
 /// A message to the `workers` thread.
 #[derive(Debug)]
 pub(crate) enum WorkerMsg {
-    /// Keep sessions with exactly these workers of a partition. The values are addresses.
+    /// Maintain sessions with exactly these workers of a partition. The values are addresses.
     SetWorkers { partition: PartitionId, epoch: Epoch, workers: HashMap<InstanceId, String> },
     /// End all sessions of a partition.
     EndSessions { partition: PartitionId },
--- a/crates/hollowford-server/src/workers/session.rs
+++ b/crates/hollowford-server/src/workers/session.rs
@@ -1,4 +1,4 @@
-//! Keeps a session with one worker, and opens a new one when it ends.
+//! Maintains the session with one worker, and opens a new one when it ends.
 
 use crate::decide::DecideMsg;
 use crate::shared::Shared;
@@ -26,7 +26,7 @@
 /// Holds the open session with a worker, if there is one.
 pub(super) type Slot = Arc<Mutex<Option<OpenSession>>>;
 
-/// The worker with which a session is kept.
+/// A worker, and the partition and epoch for which it is claimed.
 #[derive(Debug)]
 pub(super) struct Target {
     pub partition: PartitionId,
--- a/crates/hollowford-server/src/workers/tests.rs
+++ b/crates/hollowford-server/src/workers/tests.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
-const P: PartitionId = PartitionId(0);
+const PARTITION: PartitionId = PartitionId(0);
 
 fn shared() -> Arc<Shared> {
     let text = include_str!("../../../../examples/kivu-process.jsonc");
@@ -23,7 +23,7 @@
     *slot.lock().unwrap() = Some(OpenSession { session, orders });
     let task = tokio::spawn(async {});
     let link = Link { addr: "a".to_owned(), epoch: Epoch(1), slot, task };
-    (Links::from([((P, InstanceId::from("w")), link)]), rx)
+    (Links::from([((PARTITION, InstanceId::from("w")), link)]), rx)
 }
 
 fn order(session: u64) -> AddressedOrder {
@@ -34,9 +34,9 @@
 async fn an_order_of_an_ended_session_is_dropped() {
     let shared = shared();
     let (links, mut rx) = links(2, 4);
-    send(&shared, &links, P, order(1));
+    send(&shared, &links, PARTITION, order(1));
     assert!(rx.try_recv().is_err());
-    send(&shared, &links, P, order(2));
+    send(&shared, &links, PARTITION, order(2));
     assert!(rx.try_recv().is_ok());
 }
 
@@ -44,12 +44,12 @@
 async fn a_worker_that_does_not_keep_up_loses_its_session() {
     let shared = shared();
     let (links, mut rx) = links(1, 1);
-    send(&shared, &links, P, order(1));
-    send(&shared, &links, P, order(1));
-    let slot = &links[&(P, InstanceId::from("w"))].slot;
+    send(&shared, &links, PARTITION, order(1));
+    send(&shared, &links, PARTITION, order(1));
+    let slot = &links[&(PARTITION, InstanceId::from("w"))].slot;
     assert!(slot.lock().unwrap().is_none());
     assert!(rx.try_recv().is_ok());
     // No further order is sent in that session.
-    send(&shared, &links, P, order(1));
+    send(&shared, &links, PARTITION, order(1));
     assert!(rx.try_recv().is_err());
 }
