--- a/crates/hollowford-accounts/src/credential.rs
+++ b/crates/hollowford-accounts/src/credential.rs
@@ -7,7 +7,7 @@
 /// Length of a SHA-256 digest in bytes.
 const DIGEST_LEN: usize = 32;
 
-/// SHA-256 digest of a caller's key. The key itself is not stored, so that it cannot appear in a
+/// SHA-256 digest of a caller's key. The key itself is not stored, so that it can't appear in a
 /// log or a memory dump.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct Credential([u8; DIGEST_LEN]);
--- a/crates/hollowford-core/src/resources.rs
+++ b/crates/hollowford-core/src/resources.rs
@@ -7,7 +7,7 @@
     pub cpu_milli: u32,
     /// Mebibytes of memory.
     pub memory_mib: u32,
-    /// Whole accelerators.
+    /// Number of accelerators.
     pub accelerators: u32,
 }
 
@@ -21,7 +21,7 @@
         Resources { cpu_milli, memory_mib, accelerators }
     }
 
-    /// Returns true if this amount fits into `available`.
+    /// Returns true if no resource of this amount exceeds `available`.
     pub fn fits(&self, available: &Resources) -> bool {
         self.cpu_milli <= available.cpu_milli
             && self.memory_mib <= available.memory_mib
@@ -63,7 +63,7 @@
     pub cpu_milli: u64,
     /// Mebibytes of memory.
     pub memory_mib: u64,
-    /// Whole accelerators.
+    /// Number of accelerators.
     pub accelerators: u64,
 }
 
@@ -108,20 +108,20 @@
         self.accelerators = self.accelerators.saturating_sub(u64::from(r.accelerators));
     }
 
-    /// Returns the largest fraction, from 0 to 1, of any resource of `whole` that this sum uses.
-    /// Resources that `whole` has none of are ignored.
-    pub fn dominant_share(&self, whole: &Totals) -> f64 {
-        let part = |a: u64, b: u64| if b == 0 { 0.0 } else { a as f64 / b as f64 };
-        part(self.cpu_milli, whole.cpu_milli)
-            .max(part(self.memory_mib, whole.memory_mib))
-            .max(part(self.accelerators, whole.accelerators))
+    /// Returns the largest fraction, from 0 to 1, of any resource of `total` that this sum uses.
+    /// Resources that `total` has none of are ignored.
+    pub fn dominant_share(&self, total: &Totals) -> f64 {
+        let fraction = |a: u64, b: u64| if b == 0 { 0.0 } else { a as f64 / b as f64 };
+        fraction(self.cpu_milli, total.cpu_milli)
+            .max(fraction(self.memory_mib, total.memory_mib))
+            .max(fraction(self.accelerators, total.accelerators))
     }
 
     /// Returns true if this sum plus `r` stays within `limit`, where 0 means unlimited.
     pub fn can_add(&self, r: &Resources, limit: &Totals) -> bool {
-        let ok = |have: u64, more: u32, max: u64| max == 0 || have + u64::from(more) <= max;
-        ok(self.cpu_milli, r.cpu_milli, limit.cpu_milli)
-            && ok(self.memory_mib, r.memory_mib, limit.memory_mib)
-            && ok(self.accelerators, r.accelerators, limit.accelerators)
+        let is_within = |have: u64, more: u32, max: u64| max == 0 || have + u64::from(more) <= max;
+        is_within(self.cpu_milli, r.cpu_milli, limit.cpu_milli)
+            && is_within(self.memory_mib, r.memory_mib, limit.memory_mib)
+            && is_within(self.accelerators, r.accelerators, limit.accelerators)
     }
 }
--- a/crates/hollowford-core/src/spec.rs
+++ b/crates/hollowford-core/src/spec.rs
@@ -7,7 +7,7 @@
 pub const MAX_TASKS: u32 = 10_000;
 /// Maximum number of tasks of a gang.
 pub const MAX_GANG_TASKS: u32 = 1_000;
-/// Maximum size of a request's payload.
+/// Maximum size of a request's payload, in bytes.
 pub const MAX_PAYLOAD_BYTES: usize = 4_096;
 
 /// Kind of work of a request, which determines how its tasks start.
--- a/crates/hollowford-platform/src/link.rs
+++ b/crates/hollowford-platform/src/link.rs
@@ -24,11 +24,11 @@
 /// Reason why a worker could not be claimed.
 #[derive(Debug, thiserror::Error)]
 pub enum LinkError {
-    /// The worker cannot be reached, or the session ended.
+    /// The worker can't be reached, or the session ended.
     #[error("worker: {0}")]
     Unreachable(String),
     /// The worker has been claimed by an owner with a higher epoch.
-    #[error("the worker obeys a higher epoch")]
+    #[error("the worker was claimed with a higher epoch")]
     Deposed,
 }
 
--- a/crates/hollowford-platform/src/store.rs
+++ b/crates/hollowford-platform/src/store.rs
@@ -106,7 +106,7 @@
     /// Creates a client of the platform at `addr` (`IP:port`). `timeout` applies to each call.
     ///
     /// # Errors
-    /// `Refused` if the address is invalid or the HTTP client cannot be created.
+    /// `Refused` if the address is invalid or the HTTP client can't be created.
     pub fn new(addr: &str, timeout: Duration) -> Result<Platform, StoreError> {
         let refused = |e: &dyn std::fmt::Display| StoreError::Refused(format!("{addr}: {e}"));
         let addr: SocketAddr = addr.parse().map_err(|e| refused(&e))?;
@@ -143,7 +143,7 @@
         })
     }
 
-    /// Reads rows by key, one after another, and omits rows that do not exist.
+    /// Reads rows by key, one call each, and omits rows that do not exist.
     ///
     /// # Errors
     /// `Unanswered` or `Refused`.
@@ -210,7 +210,7 @@
         Ok(self.store.delete_object(key, self.timeout).await?)
     }
 
-    /// Reads the instance list. Logs and omits entries that cannot be decoded.
+    /// Reads the instance list. Logs and omits entries that can't be decoded.
     ///
     /// # Errors
     /// `Unanswered`.
--- a/crates/hollowford-protocol/src/frames.rs
+++ b/crates/hollowford-protocol/src/frames.rs
@@ -71,7 +71,7 @@
 /// Returns the HMAC-SHA-256 of the peer's nonce and the id of a process, which proves knowledge of
 /// the shared key.
 pub fn mac(key: &[u8], nonce: &[u8], process: &str) -> Vec<u8> {
-    // HMAC accepts keys of any length, so this cannot fail.
+    // HMAC accepts keys of any length, so this can't fail.
     let Ok(mut mac) = Hmac::<Sha256>::new_from_slice(key) else {
         return Vec::new();
     };
--- a/crates/hollowford-protocol/src/ledger.rs
+++ b/crates/hollowford-protocol/src/ledger.rs
@@ -57,7 +57,7 @@
     /// The request ended with its final answer.
     #[prost(message, tag = "9")]
     Close(Close),
-    /// The task is queued, after earlier attempts; only in snapshots.
+    /// The task is queued after earlier attempts: in snapshots, and when a gang restarts.
     #[prost(message, tag = "10")]
     Queued(Queued),
 }
@@ -94,7 +94,7 @@
 /// The attempt ended.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Ended {
-    /// How it ended, in the numbering of the engine.
+    /// How it ended: 1 done, 2 failed, 3 stopped, 4 lost, 5 crashed.
     #[prost(uint32, tag = "1")]
     pub end: u32,
     /// Result, if it has at most 1,024 bytes.
@@ -150,7 +150,7 @@
     /// Whether a task of the request had started.
     #[prost(bool, tag = "3")]
     pub begun: bool,
-    /// Number of attempts during which the worker restarted.
+    /// Number of attempts during which the worker restarted shortly after the start.
     #[prost(uint32, tag = "4")]
     pub crashes: u32,
 }
--- a/crates/hollowford-protocol/src/peer.rs
+++ b/crates/hollowford-protocol/src/peer.rs
@@ -26,7 +26,7 @@
     /// First frame of the side that opened the connection.
     #[prost(message, tag = "3")]
     Hello(Hello),
-    /// Sent about twice a second in both directions.
+    /// Sent several times a second in both directions.
     #[prost(message, tag = "4")]
     Heartbeat(Heartbeat),
     /// A call to the owner of a partition.
@@ -90,7 +90,7 @@
     /// to take over a partition because the store does not answer it; 0 means no promise.
     #[prost(uint64, tag = "8")]
     pub promise_ms: u64,
-    /// Partitions that the sender owns. A peer that has missed a takeover cannot read the new owner
+    /// Partitions that the sender owns. A peer that has missed a takeover can't read the new owner
     /// from the store while that is unavailable.
     #[prost(message, repeated, tag = "9")]
     pub owns: Vec<OwnedPartition>,
