--- a/crates/hollowford-engine/benches/decisions.rs
+++ b/crates/hollowford-engine/benches/decisions.rs
@@ -2,8 +2,8 @@
 //! FIFO scheduler.
 //!
 //! Measures everything that one placement costs the engine in a full cell: the end of a task,
-//! the pass that fills its room, the durable intent, the start, and the report that the task
-//! runs. Run with `cargo bench -p hollowford-engine --bench decisions`.
+//! the pass that fills the freed resources, the durable intent, the start, and the report that the
+//! task runs. Run with `cargo bench -p hollowford-engine --bench decisions`.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -147,16 +147,16 @@
     let mut free = vec![Resources::default(); workers];
     let mut running: VecDeque<(usize, Resources)> = VecDeque::new();
     for (w, left) in free.iter_mut().enumerate() {
-        let mut room = WORKER_CAPACITY;
+        let mut available = WORKER_CAPACITY;
         for i in 0.. {
             let r = spec(i).per_task;
-            if !r.fits(&room) {
+            if !r.fits(&available) {
                 break;
             }
-            room = room.minus(&r);
+            available = available.minus(&r);
             running.push_back((w, r));
         }
-        *left = room;
+        *left = available;
     }
     let started = Instant::now();
     for i in 0..MEASURED_PLACEMENTS {
--- a/crates/hollowford-engine/src/feasibility.rs
+++ b/crates/hollowford-engine/src/feasibility.rs
@@ -78,12 +78,12 @@
     if spec.kind == Kind::Gang { spec.tasks } else { 1 }
 }
 
-/// Returns how many times `need` fits into `room`.
-pub(crate) fn fit_count(need: &Resources, room: &Resources) -> u32 {
+/// Returns how many times `need` fits into `available`.
+pub(crate) fn fit_count(need: &Resources, available: &Resources) -> u32 {
     let ratio = |n: u32, r: u32| r.checked_div(n).unwrap_or(u32::MAX);
-    ratio(need.cpu_milli, room.cpu_milli)
-        .min(ratio(need.memory_mib, room.memory_mib))
-        .min(ratio(need.accelerators, room.accelerators))
+    ratio(need.cpu_milli, available.cpu_milli)
+        .min(ratio(need.memory_mib, available.memory_mib))
+        .min(ratio(need.accelerators, available.accelerators))
 }
 
 /// Returns true if the placement of the request allows the worker's availability zone and
--- a/crates/hollowford-engine/src/gang.rs
+++ b/crates/hollowford-engine/src/gang.rs
@@ -283,9 +283,9 @@
     }
 }
 
-/// Returns how many tasks of the request a worker can run in `room`.
-fn slot_count(r: &Request, w: &Worker, room: &Resources) -> u32 {
-    let n = fit_count(&r.spec.per_task, room);
+/// Returns how many tasks of the request a worker can run with the resources `available`.
+fn slot_count(r: &Request, w: &Worker, available: &Resources) -> u32 {
+    let n = fit_count(&r.spec.per_task, available);
     match r.spec.placement.spread {
         Spread::Instance | Spread::Rack => n.min(1),
         Spread::None if w.probing => n.min(1),
--- a/crates/hollowford-engine/src/preemption.rs
+++ b/crates/hollowford-engine/src/preemption.rs
@@ -136,14 +136,14 @@
         };
         let mut held: Vec<&HeldTask> = w.held.iter().filter(|h| h.preemptible).collect();
         held.sort_by_key(|h| age(h));
-        let mut room = w.free;
+        let mut available = w.free;
         let mut cost = 0;
         let mut victims = Vec::new();
         for h in held {
-            if need.fits(&room) {
+            if need.fits(&available) {
                 break;
             }
-            room = room.plus(&h.resources);
+            available = available.plus(&h.resources);
             cost += age(h) + 1;
             victims.push(h.task);
         }
--- a/crates/hollowford-engine/tests/common/mod.rs
+++ b/crates/hollowford-engine/tests/common/mod.rs
@@ -270,7 +270,7 @@
             self.checker
                 .start_sent(self.workers[&worker].epochs_aware_of_leaving.contains(&owner.epoch));
         }
-        // The server drops orders without a session, too.
+        // Orders without a session are dropped, as in the server.
         if owner.sessions.contains_key(&worker) {
             owner.orders.entry(worker).or_default().push_back(order);
         }
--- a/crates/hollowford-engine/tests/common/worker.rs
+++ b/crates/hollowford-engine/tests/common/worker.rs
@@ -200,7 +200,7 @@
         self.running.insert(task, r);
         self.reports.started.push(task);
         if self.fails_all {
-            self.end(now, &task, TaskEnd::Failed("bad worker".into()), checker);
+            self.end(now, &task, TaskEnd::Failed("failing worker".into()), checker);
         }
     }
 
--- a/crates/hollowford-engine/tests/loads/engine_run.rs
+++ b/crates/hollowford-engine/tests/loads/engine_run.rs
@@ -190,7 +190,7 @@
                     // The task may have been stopped before.
                     if self.running.remove(&task).is_some() {
                         let end = match failed {
-                            true => TaskEnd::Failed("bad worker".into()),
+                            true => TaskEnd::Failed("failing worker".into()),
                             false => TaskEnd::Done(TaskResult::default()),
                         };
                         self.ended(worker, task, end, &mut out);
--- a/crates/hollowford-engine/tests/placing.rs
+++ b/crates/hollowford-engine/tests/placing.rs
@@ -142,8 +142,8 @@
 #[test]
 fn a_worker_that_fails_all_tasks_is_quarantined() {
     let mut sim = Simulation::new(policy(), 6);
-    let bad = sim.worker_id(0);
-    sim.workers.get_mut(&bad).unwrap().fails_all = true;
+    let failing = sim.worker_id(0);
+    sim.workers.get_mut(&failing).unwrap().fails_all = true;
     for i in 0..30 {
         let account = format!("account-{}", i % 3);
         sim.submit_as(&account, &format!("job-{i}"), &spec(Kind::Batch, 2, 1_000, 300)).unwrap();
@@ -161,16 +161,16 @@
     let mut sim = Simulation::new(policy(), 3);
     sim.submit("service", &spec(Kind::Service, 3, 1_000, 0)).unwrap();
     sim.run_briefly();
-    let on: Vec<_> = sim
+    let busy: Vec<_> = sim
         .workers
         .iter()
         .filter(|(_, w)| !w.running.is_empty())
         .map(|(id, _)| id.clone())
         .collect();
-    sim.workers.get_mut(&on[0]).unwrap().leaving = true;
+    sim.workers.get_mut(&busy[0]).unwrap().leaving = true;
     sim.run(1_000);
     assert_eq!(sim.running("service"), 3);
-    assert!(sim.workers[&on[0]].running.is_empty());
+    assert!(sim.workers[&busy[0]].running.is_empty());
 }
 
 #[test]
--- a/crates/hollowford-engine/tests/random_events.rs
+++ b/crates/hollowford-engine/tests/random_events.rs
@@ -26,7 +26,7 @@
         cpu: u32,
         run: u64,
         repeatable: bool,
-        within: u64,
+        start_within: u64,
     },
     Cancel(usize),
     RunFor(u64),
@@ -64,8 +64,9 @@
     let worker = 0..WORKERS;
     prop_oneof![
         6 => (0..4u8, 1..6u32, 1..5u32, 1..40u64, any::<bool>(), 0..4u64).prop_map(
-            |(kind, tasks, cpu, run, repeatable, within)| Op::Submit {
-                kind, tasks, cpu: cpu * 500, run: run * 50, repeatable, within: within * 500,
+            |(kind, tasks, cpu, run, repeatable, start_within)| Op::Submit {
+                kind, tasks, cpu: cpu * 500, run: run * 50, repeatable,
+                start_within: start_within * 500,
             }
         ),
         2 => (0..20usize).prop_map(Op::Cancel),
@@ -111,12 +112,12 @@
         let newest = self.newest();
         let sim = &mut self.sim;
         match op {
-            Op::Submit { kind, tasks, cpu, run, repeatable, within } => {
+            Op::Submit { kind, tasks, cpu, run, repeatable, start_within } => {
                 let kind = Kind::ALL[*kind as usize];
                 let mut s = spec(kind, *tasks, *cpu, *run);
                 s.repeatable = *repeatable || kind == Kind::Service;
                 s.run_time_ms = if kind == Kind::Service { 0 } else { *run };
-                s.start_within_ms = *within;
+                s.start_within_ms = *start_within;
                 // The request may be refused.
                 let _ = sim.submit(&format!("r{}", self.submitted), &s);
                 self.submitted += 1;
--- a/crates/hollowford-engine/tests/recovery.rs
+++ b/crates/hollowford-engine/tests/recovery.rs
@@ -193,8 +193,8 @@
     panic!("no answer after twenty restarts");
 }
 
-// Guards against endless attempts of a task that crashes its worker: the restarted worker does not
-// know the task, so nothing reports its failure.
+/// Guards against endless attempts of a task that crashes its worker: the restarted worker does not
+/// know the task, so nothing reports its failure.
 #[test]
 fn a_repeatable_task_that_crashes_its_workers_fails() {
     for tasks in [1, 2] {
@@ -208,8 +208,8 @@
     }
 }
 
-// Guards against a crash count that is lost in a takeover: each restart is followed by one, so the
-// count must come from the ledger.
+/// Guards against a crash count that is lost in a takeover: each restart is followed by one, so the
+/// count must come from the ledger.
 #[test]
 fn crashes_of_a_task_are_counted_across_takeovers() {
     for from_snapshot in [false, true] {
--- a/crates/hollowford-server/src/ownership/lease_manager.rs
+++ b/crates/hollowford-server/src/ownership/lease_manager.rs
@@ -154,7 +154,7 @@
         let is_ours =
             observed.row.process == self.shared.settings.process && observed.row.epoch == epoch.0;
         match &mut self.ownership {
-            // Only the next renewal extends the lease itself.
+            // The lease itself is extended only when the next renewal is committed.
             Some(ownership) if is_ours => ownership.version = observed.version,
             _ => self.record_deposed(),
         }
--- a/crates/hollowford-server/src/ownership/takeover.rs
+++ b/crates/hollowford-server/src/ownership/takeover.rs
@@ -110,8 +110,8 @@
     }
 
     /// Returns true if this process may still be unknown to an owner that relies on the promises
-    /// of the members it knows. Such a process must not take over a row whose lease
-    /// has expired.
+    /// of the members it knows. Such a process must not take over a row whose lease has
+    /// expired.
     fn has_started_recently(&self) -> bool {
         let lease = &self.shared.settings.lease;
         self.shared.clock.now() < lease.ownership + lease.promise
