--- a/crates/hollowford-accounts/src/credential.rs
+++ b/crates/hollowford-accounts/src/credential.rs
@@ -56,8 +56,8 @@
         self.list.push((credential, account));
     }
 
-    /// Returns the account of a credential, or `None` if it is unknown. Compares with all credentials,
-    /// so that the time taken does not reveal which one matched.
+    /// Returns the account of a credential, or `None` if it is unknown. Compares with all
+    /// credentials, so that the time taken does not reveal which one matched.
     pub fn account_of(&self, credential: &Credential) -> Option<&Arc<str>> {
         let mut found = None;
         for (known, account) in &self.list {
--- a/crates/hollowford-config/src/settings.rs
+++ b/crates/hollowford-config/src/settings.rs
@@ -29,7 +29,7 @@
     pub peer_key: Secret,
     /// SHA-256 of the operator token, in lower-case hex.
     pub operator_token_sha256: String,
-    /// Times of partition ownership.
+    /// Durations of ownership leases and promises.
     pub lease: Lease,
     /// Limits on the use of the store.
     pub store: StoreBudget,
@@ -78,7 +78,7 @@
     Zone,
 }
 
-/// Times of partition ownership.
+/// Durations of ownership leases and promises.
 #[derive(Clone, Copy, Debug)]
 pub struct Lease {
     /// Time for which an owner may make decisions after the last renewal of its row.
@@ -88,7 +88,7 @@
     /// Time for which a process that gets no answer from the store promises its peers not to take
     /// over a partition.
     pub promise: Millis,
-    /// Age from which the known configuration must be confirmed before use.
+    /// Age above which the active configuration must be confirmed before it is used.
     pub config_fresh: Millis,
 }
 
--- a/crates/hollowford-core/src/id.rs
+++ b/crates/hollowford-core/src/id.rs
@@ -35,7 +35,7 @@
     AccountId
 }
 text_id! {
-    /// Id of an instance, which runs either a worker or an entry process of the scheduler.
+    /// Id of an instance, which runs either a worker or a process of the scheduler.
     InstanceId
 }
 
--- a/crates/hollowford-engine/tests/recovery.rs
+++ b/crates/hollowford-engine/tests/recovery.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_task_behind_a_network_partition_is_kept_while_other_work_starts() {
+fn a_task_behind_a_network_partition_stays_on_its_worker_while_other_work_starts() {
     let mut sim = Simulation::new(policy(), 2);
     sim.submit("far", &spec(Kind::Batch, 8, 1_000, 30_000)).unwrap();
     sim.run_briefly();
--- a/crates/hollowford-platform/src/store.rs
+++ b/crates/hollowford-platform/src/store.rs
@@ -1,4 +1,5 @@
-//! Access to the table, the object store and the instance list for the processes of `serve`.
+//! Access to the table, the object store and the instance list, for processes started by
+//! `hollowford serve`.
 //!
 //! Wraps the store client of `hollowford-adapter`, and adds the names of the table and part that
 //! contain the rows, a timeout and counters of the calls.
--- a/crates/hollowford-protocol/src/peer.rs
+++ b/crates/hollowford-protocol/src/peer.rs
@@ -86,12 +86,12 @@
     /// Last `stamp` that the sender received from the receiver; 0 if there is none.
     #[prost(uint64, tag = "7")]
     pub echo: u64,
-    /// Time in milliseconds, counted from when the sender received `echo`, for which it promises not
-    /// to take over a partition because the store does not answer it; 0 means no promise.
+    /// Time in milliseconds, counted from when the sender received `echo`, for which it promises
+    /// not to take over a partition because the store does not answer it; 0 means no promise.
     #[prost(uint64, tag = "8")]
     pub promise_ms: u64,
-    /// Partitions that the sender owns. A peer that has missed a takeover can't read the new owner
-    /// from the store while that is unavailable.
+    /// Partitions that the sender owns. A peer that has missed a takeover learns the new owner
+    /// from this while the store is unavailable.
     #[prost(message, repeated, tag = "9")]
     pub owns: Vec<OwnedPartition>,
 }
--- a/crates/hollowford-server/src/ledger/writer.rs
+++ b/crates/hollowford-server/src/ledger/writer.rs
@@ -131,7 +131,7 @@
         let write_interval = self.write_interval();
         let mut lookahead = None;
         loop {
-            let wrote_at = self.shared.clock.now();
+            let started_at = self.shared.clock.now();
             let next = self.next_write(&mut lookahead).await;
             let done = match next {
                 NextWrite::Write { seq, batch } => self.write(&store, seq, &batch).await,
@@ -147,7 +147,7 @@
                 self.shared.decide.wake();
                 return;
             }
-            let spent = self.shared.clock.now().since(wrote_at);
+            let spent = self.shared.clock.now().since(started_at);
             tokio::time::sleep(write_interval.since(spent).duration()).await;
         }
     }
--- a/crates/hollowford-server/src/ownership/no_takeover_promise.rs
+++ b/crates/hollowford-server/src/ownership/no_takeover_promise.rs
@@ -32,7 +32,8 @@
         if self.open_takeovers.load(Ordering::SeqCst) > 0 { Millis(0) } else { length }
     }
 
-    /// Begins a takeover of a row whose lease has expired. Returns false if this process has promised not to.
+    /// Begins a takeover of a row whose lease has expired. Returns false if this process has
+    /// promised not to.
     pub fn begin_takeover(&self, now: Millis) -> bool {
         self.open_takeovers.fetch_add(1, Ordering::SeqCst);
         let is_allowed = now.0 >= self.until.load(Ordering::SeqCst);
--- a/crates/hollowford-server/src/shared.rs
+++ b/crates/hollowford-server/src/shared.rs
@@ -64,7 +64,7 @@
     next_id: AtomicU64,
 }
 
-/// Capacities of the rings, in items.
+// Capacities of the rings, in items.
 const DECIDE_RING_CAPACITY: usize = 32_768;
 const LEDGER_RING_CAPACITY: usize = 64;
 const PEERS_RING_CAPACITY: usize = 8_192;
