--- a/crates/hollowford-engine/src/feasibility.rs
+++ b/crates/hollowford-engine/src/feasibility.rs
@@ -12,8 +12,8 @@
     /// # Errors
     /// `Impossible` with what would fit.
     pub(crate) fn check_feasible(&self, spec: &Spec) -> Result<(), Error> {
-        let unknown = |w: &Worker| w.listed && !w.leaving && !w.claimed;
-        if self.workers.len() == 0 || self.workers.iter().any(|(_, w)| unknown(w)) {
+        let is_unclaimed = |w: &Worker| w.listed && !w.leaving && !w.claimed;
+        if self.workers.len() == 0 || self.workers.iter().any(|(_, w)| is_unclaimed(w)) {
             return Ok(());
         }
         let possible = if spec.placement.is_unrestricted() {
@@ -28,8 +28,8 @@
     }
 
     fn max_concurrent_tasks(&self, spec: &Spec) -> u64 {
-        let caps = self.workers.capacity_counts().iter();
-        caps.map(|(cap, n)| u64::from(fit_count(&spec.per_task, cap)) * u64::from(*n)).sum()
+        let capacities = self.workers.capacity_counts().iter();
+        capacities.map(|(cap, n)| u64::from(fit_count(&spec.per_task, cap)) * u64::from(*n)).sum()
     }
 
     fn max_concurrent_tasks_constrained(&self, spec: &Spec) -> u64 {
@@ -53,8 +53,8 @@
     }
 
     fn impossible_message(&self, spec: &Spec) -> String {
-        let caps = self.workers.capacity_counts().iter().filter(|(_, n)| **n > 0);
-        let Some((cap, _)) = caps.max_by_key(|(c, _)| (c.accelerators, c.cpu_milli)) else {
+        let capacities = self.workers.capacity_counts().iter().filter(|(_, n)| **n > 0);
+        let Some((cap, _)) = capacities.max_by_key(|(c, _)| (c.accelerators, c.cpu_milli)) else {
             return "the partition has no usable instance".to_owned();
         };
         format!(
@@ -78,12 +78,12 @@
     if spec.kind == Kind::Gang { spec.tasks } else { 1 }
 }
 
-/// Returns how many times `need` fits into `room`.
-pub(crate) fn fit_count(need: &Resources, room: &Resources) -> u32 {
+/// Returns how many times `need` fits into `available`.
+pub(crate) fn fit_count(need: &Resources, available: &Resources) -> u32 {
     let ratio = |n: u32, r: u32| r.checked_div(n).unwrap_or(u32::MAX);
-    ratio(need.cpu_milli, room.cpu_milli)
-        .min(ratio(need.memory_mib, room.memory_mib))
-        .min(ratio(need.accelerators, room.accelerators))
+    ratio(need.cpu_milli, available.cpu_milli)
+        .min(ratio(need.memory_mib, available.memory_mib))
+        .min(ratio(need.accelerators, available.accelerators))
 }
 
 /// Returns true if the placement of the request allows the worker's availability zone and
--- a/crates/hollowford-engine/src/gang.rs
+++ b/crates/hollowford-engine/src/gang.rs
@@ -4,7 +4,7 @@
 //! to fit earliest. Until the gang has waited for `Policy::gang_drain_after`, other work may
 //! use these workers if it is expected to end before that time (backfill). A worker is
 //! reserved for one gang at a time, and a reservation is made only if its workers have
-//! room for the whole gang. So two gangs never block each other with half of their workers.
+//! room for the whole gang, so two gangs never block each other with partial reservations.
 
 use crate::engine::Engine;
 use crate::event::{Action, Change};
@@ -134,7 +134,6 @@
         TryOutcome::Waits(WaitCause::GangReservation)
     }
 
-    /// Releases the reservation of a gang.
     pub(crate) fn drop_reservation(&mut self, no: RequestNo) {
         if let Some(reservation) = self.reservations.remove(&no) {
             for idx in reservation.workers {
@@ -284,9 +283,9 @@
     }
 }
 
-/// Returns how many tasks of the request a worker can run in `room`.
-fn slot_count(r: &Request, w: &Worker, room: &Resources) -> u32 {
-    let n = fit_count(&r.spec.per_task, room);
+/// Returns how many tasks of the request a worker can run with the resources `available`.
+fn slot_count(r: &Request, w: &Worker, available: &Resources) -> u32 {
+    let n = fit_count(&r.spec.per_task, available);
     match r.spec.placement.spread {
         Spread::Instance | Spread::Rack => n.min(1),
         Spread::None if w.probing => n.min(1),
--- a/crates/hollowford-server/src/ledger/writer.rs
+++ b/crates/hollowford-server/src/ledger/writer.rs
@@ -73,7 +73,6 @@
     }
 }
 
-/// The writer of one partition's ledger.
 #[derive(Debug)]
 pub(crate) struct Writer {
     pub shared: Arc<Shared>,
@@ -93,7 +92,6 @@
 /// Another process has taken over the partition.
 struct Deposed;
 
-/// The next operation of the writer.
 enum NextWrite {
     Write { seq: u64, batch: Batch },
     Snapshot(Vec<Record>),
@@ -133,7 +131,7 @@
         let write_interval = self.write_interval();
         let mut lookahead = None;
         loop {
-            let wrote_at = self.shared.clock.now();
+            let started_at = self.shared.clock.now();
             let next = self.next_write(&mut lookahead).await;
             let done = match next {
                 NextWrite::Write { seq, batch } => self.write(&store, seq, &batch).await,
@@ -149,7 +147,7 @@
                 self.shared.decide.wake();
                 return;
             }
-            let spent = self.shared.clock.now().since(wrote_at);
+            let spent = self.shared.clock.now().since(started_at);
             tokio::time::sleep(write_interval.since(spent).duration()).await;
         }
     }
