--- a/crates/hollowford-node/src/owner.rs
+++ b/crates/hollowford-node/src/owner.rs
@@ -297,8 +297,8 @@
 
     fn apply_config(&mut self, now: Millis) {
         if self.settings.has_changed().unwrap_or(false) {
-            let bounds = self.settings.borrow_and_update().time_limits;
-            self.engine.set_time_limits(bounds);
+            let time_limits = self.settings.borrow_and_update().time_limits;
+            self.engine.set_time_limits(time_limits);
         }
         let version = self.cx.shared.config_version();
         if version != self.config_version
--- a/crates/hollowford-node/src/reachability.rs
+++ b/crates/hollowford-node/src/reachability.rs
@@ -67,7 +67,7 @@
         handed_over
     }
 
-    /// Returns true if neither the store nor a member has been heard for [`ISOLATED_OWNER`].
+    /// Returns true if neither the store nor a member has been heard for [`OWNER_ISOLATION_TIMEOUT`].
     fn is_isolated(&self, members: &Members) -> bool {
         let members_silent_for = self.shared.clock.now().since(self.last_member_heard);
         let members_silent = members.had_members() && members_silent_for >= OWNER_ISOLATION_TIMEOUT;
