--- a/crates/hollowford-engine/benches/memory.rs
+++ b/crates/hollowford-engine/benches/memory.rs
@@ -1,5 +1,5 @@
-//! Memory of one partition's engine over running tasks, queued tasks, workers and
-//! kept answers: resident bytes, each size in an engine of its own.
+//! Resident memory of one engine by number of running tasks, queued requests, workers and
+//! kept answers. Each measurement uses a new engine.
 //!
 //! `cargo bench -p hollowford-engine --bench memory`
 
@@ -8,12 +8,12 @@
 use hollowford_core::prelude::*;
 use hollowford_core::{Kind, Placement};
 use hollowford_engine::{
-    Action, Authority, Claim, EndReport, Engine, Listed, Policy, TaskEnd, TaskResult,
+    Action, Authority, ClaimReport, EndReport, Engine, Policy, TaskEnd, TaskResult, WorkerListing,
 };
 
 const PAGE_BYTES: usize = 4_096;
 
-fn resident() -> usize {
+fn resident_bytes() -> usize {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap();
     text.split_whitespace().nth(1).unwrap().parse::<usize>().unwrap() * PAGE_BYTES
 }
@@ -39,15 +39,15 @@
     let mut out = Vec::new();
     e.activate(Millis(0), &mut out);
     let ids: Vec<InstanceId> = (0..workers).map(|i| format!("w{i}").as_str().into()).collect();
-    let listed = |id: &InstanceId| Listed {
+    let listed = |id: &InstanceId| WorkerListing {
         id: id.clone(),
         zone: "z".into(),
         rack: "r".into(),
         leaving: false,
     };
-    e.listed(Millis(0), &ids.iter().map(listed).collect::<Vec<_>>(), &mut out);
+    e.set_worker_list(Millis(0), &ids.iter().map(listed).collect::<Vec<_>>(), &mut out);
     for id in &ids {
-        let claim = Claim {
+        let claim = ClaimReport {
             incarnation: 1,
             clock: 1,
             capacity: Resources::new(cpu, 1_000_000, 0),
@@ -55,7 +55,7 @@
             running: Vec::new(),
             ended: Vec::new(),
         };
-        e.claimed(Millis(0), id, &claim, &mut out);
+        e.worker_claimed(Millis(0), id, &claim, &mut out);
     }
     e
 }
@@ -66,26 +66,26 @@
         let key = RequestKey::new(&account, &format!("request-{i}"));
         let mut out = Vec::new();
         e.submit(Millis(1), &key, &spec(tasks, cpu), &mut out).unwrap();
-        e.durable(e.last_seq(), &mut out);
+        e.set_durable(e.last_seq(), &mut out);
     }
 }
 
-/// Starts all that fits and returns what runs.
-fn start(e: &mut Engine) -> Vec<(InstanceId, TaskId)> {
+/// Starts all tasks that fit. Returns the running tasks.
+fn start_all(e: &mut Engine) -> Vec<(InstanceId, TaskId)> {
     let mut running = Vec::new();
     loop {
         let mut out = Vec::new();
         e.decide(Millis(1), Authority::Full, &mut out);
-        e.durable(e.last_seq(), &mut out);
+        e.set_durable(e.last_seq(), &mut out);
         e.decide(Millis(1), Authority::Full, &mut out);
         let before = running.len();
         for action in out {
             if let Action::Start { worker, task, .. } = action {
-                e.started(Millis(1), &worker, &task, &mut Vec::new());
+                e.task_started(Millis(1), &worker, &task, &mut Vec::new());
                 running.push((worker, task));
             }
         }
-        if running.len() == before && !e.has_more(Millis(1)) {
+        if running.len() == before && !e.needs_decide(Millis(1)) {
             return running;
         }
     }
@@ -95,17 +95,17 @@
     for (worker, task) in running {
         let report = EndReport { task, end: TaskEnd::Done(TaskResult::default()), ran: Millis(1) };
         let mut out = Vec::new();
-        e.ended(Millis(1), &worker, &report, &mut out);
-        e.durable(e.last_seq(), &mut out);
+        e.task_ended(Millis(1), &worker, &report, &mut out);
+        e.set_durable(e.last_seq(), &mut out);
     }
 }
 
-fn measure(what: &str, size: usize, make: impl FnOnce() -> Engine) {
-    let before = resident();
+fn measure(case: &str, size: usize, make: impl FnOnce() -> Engine) {
+    let before = resident_bytes();
     let e = make();
-    let bytes = resident().saturating_sub(before);
-    println!("{what:<44} {size:>8} {:>9} {:>8}", bytes / 1_024, bytes / size);
-    // Kept alive and never given back, so that no measure reuses another's memory.
+    let bytes = resident_bytes().saturating_sub(before);
+    println!("{case:<44} {size:>8} {:>9} {:>8}", bytes / 1_024, bytes / size);
+    // Leaked on purpose, so that no measurement reuses the memory of another one.
     std::mem::forget(e);
 }
 
@@ -118,7 +118,7 @@
         measure("running tasks, ten to a request", n, || {
             let mut e = engine(700, 1_000_000);
             submit(&mut e, n / 10, 10, 1);
-            assert_eq!(start(&mut e).len(), n);
+            assert_eq!(start_all(&mut e).len(), n);
             e
         });
     }
@@ -141,7 +141,7 @@
         measure("kept answers of one task", n, || {
             let mut e = engine(700, 1_000_000);
             submit(&mut e, n, 1, 1);
-            let running = start(&mut e);
+            let running = start_all(&mut e);
             end(&mut e, running);
             e
         });
--- a/crates/hollowford-engine/src/claim.rs
+++ b/crates/hollowford-engine/src/claim.rs
@@ -1,23 +1,24 @@
-//! The platform's list, claims of workers, and what a claim settles.
+//! The list of workers, and the claims that reconcile the engine's tasks with those on a worker.
 
 use crate::engine::Engine;
-use crate::event::{Action, Claim, Listed, TaskEnd};
+use crate::event::{Action, ClaimReport, TaskEnd, WorkerListing};
 use crate::request::TaskState;
-use crate::worker::{Held, WorkerIdx};
+use crate::worker::{HeldTask, WorkerIdx};
 use hollowford_core::{InstanceId, Millis, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A worker that restarts within this time of a start, its own time to come back included, may have
-/// crashed by it; later, a task that runs for hours must not be ended for restarts that are days apart.
-const CRASHES_WITHIN: Millis = Millis(20_000);
+/// Maximum time from a start to the claim of the restarted worker for which the task counts as
+/// the cause of a crash. Later restarts do not count, since a task that runs for hours must not
+/// fail because of restarts that are days apart.
+const CRASH_WINDOW: Millis = Millis(20_000);
 
 impl Engine {
-    /// Takes in the partition's part of the instance list.
-    pub fn listed(&mut self, now: Millis, list: &[Listed], out: &mut Vec<Action>) {
-        let mut gone: BTreeSet<WorkerIdx> = self.workers.iter().map(|(idx, _)| idx).collect();
+    /// Applies the entries of the instance list that belong to the partition.
+    pub fn set_worker_list(&mut self, now: Millis, list: &[WorkerListing], out: &mut Vec<Action>) {
+        let mut unlisted: BTreeSet<WorkerIdx> = self.workers.iter().map(|(idx, _)| idx).collect();
         for item in list {
             let idx = self.workers.intern(&item.id);
-            gone.remove(&idx);
+            unlisted.remove(&idx);
             let w = self.workers.get(idx);
             let was_leaving = w.leaving;
             if w.listed && w.leaving == item.leaving {
@@ -27,28 +28,27 @@
                 w.listed = true;
                 w.zone = item.zone.clone();
                 w.rack = item.rack.clone();
-                // The worker itself may have said so before the list does.
+                // The worker may have reported this before the list shows it.
                 w.leaving |= item.leaving;
             });
             if item.leaving && !was_leaving {
-                self.move_services(now, idx, out);
+                self.stop_services(now, idx, out);
             }
-            self.dirty = true;
+            self.needs_pass = true;
         }
-        for idx in gone {
+        for idx in unlisted {
             if self.workers.get(idx).listed {
                 self.workers.update(idx, |w| w.listed = false);
             }
         }
     }
 
-    /// Takes in a worker's reply to the claim, and settles every task that it should
-    /// hold.
-    pub fn claimed(
+    /// Applies a worker's reply to a claim and reconciles its tasks.
+    pub fn worker_claimed(
         &mut self,
         now: Millis,
         worker: &InstanceId,
-        claim: &Claim,
+        claim: &ClaimReport,
         out: &mut Vec<Action>,
     ) {
         let idx = self.workers.intern(worker);
@@ -58,49 +58,61 @@
             w.capacity = claim.capacity;
             w.leaving |= claim.leaving;
             w.clock = claim.clock;
-            w.clock_at = now;
+            w.clock_read_at = now;
             w.renewed_at = Millis(0);
             w.foreign.clear();
         });
-        self.settle_ended(now, idx, claim, out);
-        self.settle_held(now, idx, claim, out);
-        self.settle_foreign(idx, claim, out);
+        self.reconcile_ended(now, idx, claim, out);
+        self.reconcile_held(now, idx, claim, out);
+        self.reconcile_foreign(idx, claim, out);
         if claim.leaving {
-            self.move_services(now, idx, out);
+            self.stop_services(now, idx, out);
         }
-        self.dirty = true;
+        self.needs_pass = true;
     }
 
-    fn settle_ended(&mut self, now: Millis, idx: WorkerIdx, claim: &Claim, out: &mut Vec<Action>) {
+    fn reconcile_ended(
+        &mut self,
+        now: Millis,
+        idx: WorkerIdx,
+        claim: &ClaimReport,
+        out: &mut Vec<Action>,
+    ) {
         let worker = self.workers.get(idx).id.clone();
         for report in &claim.ended {
-            self.ended(now, &worker, report, out);
+            self.task_ended(now, &worker, report, out);
         }
     }
 
-    /// Settles what this owner believes the worker holds.
-    fn settle_held(&mut self, now: Millis, idx: WorkerIdx, claim: &Claim, out: &mut Vec<Action>) {
+    /// Reconciles the tasks that are placed on the worker with those that it is running.
+    fn reconcile_held(
+        &mut self,
+        now: Millis,
+        idx: WorkerIdx,
+        claim: &ClaimReport,
+        out: &mut Vec<Action>,
+    ) {
         let running: BTreeSet<TaskId> = claim.running.iter().map(|c| c.task).collect();
         let held = self.workers.get(idx).held.clone();
         for h in held {
-            if self.holder(&h.task) != Some(idx) {
+            if self.worker_of(&h.task) != Some(idx) {
                 continue;
             }
             if running.contains(&h.task) {
-                self.found_running(now, idx, &h.task, out);
+                self.task_found(now, idx, &h.task, out);
             } else {
-                self.found_absent(now, idx, &h, claim.incarnation, out);
+                self.task_missing(now, idx, &h, claim.incarnation, out);
             }
         }
     }
 
-    fn found_running(&mut self, now: Millis, idx: WorkerIdx, task: &TaskId, out: &mut Vec<Action>) {
+    fn task_found(&mut self, now: Millis, idx: WorkerIdx, task: &TaskId, out: &mut Vec<Action>) {
         let worker = self.workers.get(idx).id.clone();
-        self.started(now, &worker, task, out);
+        self.task_started(now, &worker, task, out);
         let Some(r) = self.requests.get(&task.request) else {
             return;
         };
-        let unwanted = r.cancelled || r.regroup || r.answer.is_some();
+        let unwanted = r.cancelled || r.restarting || r.answer.is_some();
         let state = r.state_of(task.index);
         if state == TaskState::Stopping(idx) {
             out.push(Action::Stop { worker, task: *task, checkpoint: r.is_preemptible() });
@@ -109,13 +121,13 @@
         }
     }
 
-    /// A task is not on its worker. With the incarnation that the intent names, it
-    /// was never started; after a restart of the worker it may have run.
-    fn found_absent(
+    /// Handles a placed task that is not on its worker. In the incarnation that the intent
+    /// names, it was never started; after a restart of the worker it may have run.
+    fn task_missing(
         &mut self,
         now: Millis,
         idx: WorkerIdx,
-        held: &Held,
+        held: &HeldTask,
         incarnation: u64,
         out: &mut Vec<Action>,
     ) {
@@ -124,36 +136,36 @@
         };
         let state = r.state_of(held.task.index);
         let unsent = state == TaskState::Placed(idx);
-        let same = held.incarnation == incarnation;
-        let ran = state == TaskState::Running(idx);
-        if unsent && same {
+        let same_incarnation = held.incarnation == incarnation;
+        let was_running = state == TaskState::Running(idx);
+        if unsent && same_incarnation {
             return;
         }
-        if unsent || (same && !ran) {
+        if unsent || (same_incarnation && !was_running) {
             self.withdraw(now, &held.task, out);
         } else {
             let started = r.tasks[held.task.index as usize].since;
-            let soon = !same && now.since(started) < CRASHES_WITHIN;
-            let end = if soon { TaskEnd::Crashed } else { TaskEnd::Lost };
+            let is_crash = !same_incarnation && now.since(started) < CRASH_WINDOW;
+            let end = if is_crash { TaskEnd::Crashed } else { TaskEnd::Lost };
             self.end_attempt(now, &held.task, end, out);
         }
     }
 
-    /// Stops tasks that run and that the ledger doesn't know. Their resources count
-    /// as taken until they have stopped.
-    fn settle_foreign(&mut self, idx: WorkerIdx, claim: &Claim, out: &mut Vec<Action>) {
+    /// Stops running tasks without an intent in the ledger. Their resources stay occupied
+    /// until they have stopped.
+    fn reconcile_foreign(&mut self, idx: WorkerIdx, claim: &ClaimReport, out: &mut Vec<Action>) {
         let mut foreign = BTreeMap::new();
         for c in &claim.running {
-            if self.holder(&c.task) == Some(idx) {
+            if self.worker_of(&c.task) == Some(idx) {
                 continue;
             }
-            let held = Held {
+            let held = HeldTask {
                 task: c.task,
                 resources: c.resources,
                 incarnation: claim.incarnation,
                 preemptible: false,
-                since: Millis(0),
-                ends: Millis::MAX,
+                placed_at: Millis(0),
+                expected_end: Millis::MAX,
             };
             foreign.insert(c.task, held);
         }
@@ -165,9 +177,10 @@
         self.workers.update(idx, |w| w.foreign = foreign.into_values().collect());
     }
 
-    /// Notes that the session with a worker ended. It takes no new work until it is
-    /// claimed again; what it runs is settled then, or when its leases have ended.
-    pub fn lost(&mut self, now: Millis, worker: &InstanceId, out: &mut Vec<Action>) {
+    /// Records that the session with a worker has ended. It gets no new tasks until it is
+    /// claimed again. Its running tasks are reconciled then, or count as lost once its
+    /// leases have ended.
+    pub fn session_ended(&mut self, now: Millis, worker: &InstanceId, out: &mut Vec<Action>) {
         let Some(idx) = self.workers.find(worker) else {
             return;
         };
--- a/crates/hollowford-engine/src/durable.rs
+++ b/crates/hollowford-engine/src/durability.rs
@@ -1,4 +1,4 @@
-//! What waits for the ledger: starts, answers, and what workers may forget.
+//! Actions that wait for records to become durable: starts, answers and acknowledgements.
 
 use crate::engine::{Engine, PendingStart};
 use crate::event::Action;
@@ -6,8 +6,8 @@
 use hollowford_core::Millis;
 
 impl Engine {
-    /// Notes that the ledger holds every record up to `seq`.
-    pub fn durable(&mut self, seq: u64, out: &mut Vec<Action>) {
+    /// Records that every ledger record up to `seq` is durable.
+    pub fn set_durable(&mut self, seq: u64, out: &mut Vec<Action>) {
         self.durable_seq = self.durable_seq.max(seq);
         while let Some((s, worker, task)) = self.pending_forgets.pop_front() {
             if s > self.durable_seq {
@@ -21,31 +21,31 @@
                 self.pending_changes.push_front((s, no));
                 break;
             }
-            self.changed(no, out);
+            self.mark_changed(no, out);
         }
     }
 
-    /// Notes whether the ledger can be written now. While it can't, nothing new is
-    /// accepted or placed.
-    pub fn set_stalled(&mut self, stalled: bool) {
-        if self.stalled && !stalled {
-            self.dirty = true;
+    /// Sets whether the ledger is stalled, that is, can't be written. While it is, nothing
+    /// is accepted or placed except write-behind requests.
+    pub fn set_ledger_stalled(&mut self, stalled: bool) {
+        if self.ledger_stalled && !stalled {
+            self.needs_pass = true;
         }
-        self.stalled = stalled;
+        self.ledger_stalled = stalled;
     }
 
-    /// Tells whether the ledger can't be written now.
-    pub fn is_stalled(&self) -> bool {
-        self.stalled
+    /// Returns true if the ledger is stalled, that is, can't be written.
+    pub fn is_ledger_stalled(&self) -> bool {
+        self.ledger_stalled
     }
 
-    /// Returns the position of the newest record.
+    /// Returns the position of the last appended record; 0 if there is none.
     pub fn last_seq(&self) -> u64 {
         self.next_seq - 1
     }
 
-    /// Returns how many records the ledger doesn't hold yet.
-    pub fn unsynced(&self) -> u64 {
+    /// Returns the number of records that are not durable yet.
+    pub fn unsynced_records(&self) -> u64 {
         self.next_seq - 1 - self.durable_seq
     }
 
@@ -63,26 +63,26 @@
     pub(crate) fn send_start(&mut self, now: Millis, start: &PendingStart, out: &mut Vec<Action>) {
         let task = &start.task;
         let state = self.requests.get(&task.request).map(|r| r.state_of(task.index));
-        let stands = self.holder(task) == Some(start.worker)
+        let is_current = self.worker_of(task) == Some(start.worker)
             && state == Some(TaskState::Placed(start.worker));
-        if !stands {
+        if !is_current {
             return;
         }
         let w = self.workers.get(start.worker);
         let held = w.held.iter().find(|h| h.task == *task);
-        let same = held.is_some_and(|h| h.incarnation == w.incarnation);
-        if !w.claimed || w.leaving || !same {
+        let same_incarnation = held.is_some_and(|h| h.incarnation == w.incarnation);
+        if !w.claimed || w.leaving || !same_incarnation {
             self.withdraw(now, task, out);
             return;
         }
-        let Some((spec, checkpoint)) = self.start_of(start) else {
+        let Some((spec, checkpoint)) = self.start_payload(start) else {
             return;
         };
-        // An intent that is in no ledger: the start goes by the promises.
+        // The start does not wait for its intent, so its lease must end before a takeover.
         let fixed_lease = start.seq == 0;
         let lease_until = match fixed_lease {
-            true => self.fixed_lease(start.worker),
-            false => self.lease(start.worker),
+            true => self.grant_fixed_lease(start.worker),
+            false => self.grant_lease(start.worker),
         };
         let worker = self.workers.get(start.worker).id.clone();
         if let Some(r) = self.requests.get_mut(&task.request) {
--- a/crates/hollowford-engine/tests/common/mod.rs
+++ b/crates/hollowford-engine/tests/common/mod.rs
@@ -1,53 +1,54 @@
-//! A small world around engines: a ledger, workers with clocks of their own, and a
-//! judge that sees what really runs. Time is virtual, and nothing is random here.
+//! A deterministic simulation around engines with virtual time: a ledger, workers with their
+//! own clocks, and a checker that observes the workers and verifies invariants.
 
 #![allow(dead_code, clippy::unwrap_used, clippy::expect_used)]
 
-pub mod judge;
+pub mod invariants;
 pub mod worker;
 
 use hollowford_core::prelude::*;
 use hollowford_core::{Kind, Placement};
-use hollowford_engine::{Action, Authority, Engine, FinalAnswer, Listed, Policy, Record};
-use judge::Judge;
+use hollowford_engine::{Action, Authority, Engine, FinalAnswer, Policy, Record, WorkerListing};
+use invariants::InvariantChecker;
 use std::collections::{BTreeMap, VecDeque};
 use worker::{FakeWorker, Order};
 
-/// How far each step of time goes.
-const STEP: Millis = Millis(50);
+const STEP_DURATION: Millis = Millis(50);
 
-/// An owner, or one that still believes that it is.
+/// The owner of the partition, or an earlier one that does not know that it was replaced.
 pub struct Owner {
     pub engine: Engine,
     pub epoch: Epoch,
     /// Records that are not durable yet.
     pub pending: VecDeque<(u64, Record)>,
     pub deposed: bool,
-    /// Paused: it does nothing until it is resumed.
+    /// Whether the process is paused and does nothing.
     pub paused: bool,
-    /// Orders on their way, by worker and session.
+    /// Orders in transit, by worker.
     pub orders: BTreeMap<InstanceId, VecDeque<Order>>,
-    /// Session that stands with each worker.
+    /// Open sessions by worker.
     pub sessions: BTreeMap<InstanceId, u64>,
-    /// What its lease lets it do, while no one has taken over.
+    /// Authority until another owner takes over.
     pub authority: Authority,
-    /// When its lease lapsed, at the latest: another has taken over.
-    pub lapsed_at: Option<Millis>,
+    /// When another owner took over. The lease of this one had expired by then.
+    pub lease_expired_at: Option<Millis>,
 }
 
-/// Everything outside the engines.
-pub struct World {
+/// The simulated cell: owners with their engines, the ledger and the workers.
+pub struct Simulation {
     pub now: Millis,
     pub policy: Policy,
     pub owners: Vec<Owner>,
-    /// The ledger: the epoch in force and what is durable.
+    /// Current epoch of the ledger.
     pub epoch: Epoch,
+    /// Durable records.
     pub ledger: Vec<Record>,
+    /// Whether the ledger can't be written.
     pub stalled: bool,
-    /// Until when no one takes over.
-    pub promised_until: Millis,
+    /// Time until which every member has promised not to take over.
+    pub no_takeover_until: Millis,
     pub workers: BTreeMap<InstanceId, FakeWorker>,
-    pub judge: Judge,
+    pub checker: InvariantChecker,
     next_session: u64,
 }
 
@@ -74,27 +75,27 @@
     }
 }
 
-impl World {
-    /// Makes a world with so many workers of 4 cores, two to a rack, and one owner.
-    pub fn new(policy: Policy, workers: usize) -> World {
-        let mut world = World {
+impl Simulation {
+    /// Creates a cell with one owner and `workers` workers of 4 cores, two in each rack.
+    pub fn new(policy: Policy, workers: usize) -> Simulation {
+        let mut sim = Simulation {
             now: Millis(1_000),
             policy,
             owners: Vec::new(),
             epoch: Epoch(0),
             ledger: Vec::new(),
             stalled: false,
-            promised_until: Millis(0),
+            no_takeover_until: Millis(0),
             workers: BTreeMap::new(),
-            judge: Judge::default(),
+            checker: InvariantChecker::default(),
             next_session: 1,
         };
         for i in 0..workers {
-            world.add_worker(i, Resources::new(4_000, 16_000, 0));
+            sim.add_worker(i, Resources::new(4_000, 16_000, 0));
         }
-        world.takeover();
-        world.settle();
-        world
+        sim.takeover();
+        sim.run_briefly();
+        sim
     }
 
     pub fn add_worker(&mut self, i: usize, capacity: Resources) {
@@ -108,11 +109,11 @@
         self.workers.keys().nth(n).cloned().unwrap()
     }
 
-    fn listed(&self) -> Vec<Listed> {
+    fn listed(&self) -> Vec<WorkerListing> {
         self.workers
             .iter()
             .filter(|(_, w)| !w.unlisted)
-            .map(|(id, w)| Listed {
+            .map(|(id, w)| WorkerListing {
                 id: id.clone(),
                 zone: "zone".into(),
                 rack: w.rack.as_str().into(),
@@ -121,7 +122,7 @@
             .collect()
     }
 
-    /// A new owner takes over, at the next epoch, from what is durable.
+    /// Lets a new owner take over at the next epoch, with the durable records.
     pub fn takeover(&mut self) {
         self.epoch = Epoch(self.epoch.0 + 1);
         let mut engine = Engine::new(PartitionId(0), self.epoch, self.policy.clone());
@@ -130,7 +131,7 @@
         }
         let mut out = Vec::new();
         engine.activate(self.now, &mut out);
-        engine.listed(self.now, &self.listed(), &mut out);
+        engine.set_worker_list(self.now, &self.listed(), &mut out);
         let owner = Owner {
             engine,
             epoch: self.epoch,
@@ -140,24 +141,24 @@
             orders: BTreeMap::new(),
             sessions: BTreeMap::new(),
             authority: Authority::Full,
-            lapsed_at: None,
+            lease_expired_at: None,
         };
         for earlier in &mut self.owners {
-            earlier.lapsed_at.get_or_insert(self.now);
+            earlier.lease_expired_at.get_or_insert(self.now);
         }
         self.owners.push(owner);
         let last = self.owners.len() - 1;
-        self.carry_out(last, out);
+        self.execute(last, out);
     }
 
-    /// Every member promises the newest owner not to take over for so long.
-    pub fn promise(&mut self, ms: u64) {
-        self.promised_until = self.promised_until.max(self.now + Millis(ms));
-        let until = self.promised_until;
-        self.engine().set_promised(until);
+    /// Lets every member promise the newest owner not to take over for `ms` milliseconds.
+    pub fn promise_no_takeover(&mut self, ms: u64) {
+        self.no_takeover_until = self.no_takeover_until.max(self.now + Millis(ms));
+        let until = self.no_takeover_until;
+        self.engine().set_no_takeover_until(until);
     }
 
-    /// The newest owner.
+    /// Returns the engine of the newest owner.
     pub fn engine(&mut self) -> &mut Engine {
         &mut self.owners.last_mut().unwrap().engine
     }
@@ -173,10 +174,10 @@
         let now = self.now;
         let result = self.owners[last].engine.submit(now, &key, spec, &mut out);
         if let Ok(no) = &result {
-            self.judge.asked(&key, spec);
-            self.judge.number(&key, *no);
+            self.checker.record_submitted(&key, spec);
+            self.checker.record_number(&key, *no);
         }
-        self.carry_out(last, out);
+        self.execute(last, out);
         result
     }
 
@@ -184,15 +185,15 @@
         let last = self.owners.len() - 1;
         let mut out = Vec::new();
         let now = self.now;
-        // An unknown id is no fault of the test.
+        // The id may be unknown, for example after a takeover without the record.
         let _ = self.owners[last].engine.cancel(now, &key(id), &mut out);
-        self.carry_out(last, out);
+        self.execute(last, out);
     }
 
-    /// Lets an owner decide.
+    /// Runs the periodic work and the decisions of an owner with its current authority.
     pub fn decide(&mut self, i: usize) {
         let owner = &self.owners[i];
-        let authority = match owner.lapsed_at {
+        let authority = match owner.lease_expired_at {
             None => owner.authority,
             Some(at) if self.now < at + self.policy.renewal_bound => Authority::RenewOnly,
             Some(_) => Authority::None,
@@ -200,7 +201,8 @@
         self.decide_as(i, authority);
     }
 
-    /// Lets an owner decide with an authority that it may not have any more.
+    /// Runs the periodic work and the decisions of an owner with an authority that may be
+    /// out of date.
     pub fn decide_as(&mut self, i: usize, authority: Authority) {
         let now = self.now;
         let stalled = self.stalled;
@@ -209,13 +211,13 @@
             return;
         }
         let mut out = Vec::new();
-        owner.engine.set_stalled(stalled);
+        owner.engine.set_ledger_stalled(stalled);
         owner.engine.tick(now, authority, &mut out);
         owner.engine.decide(now, authority, &mut out);
-        self.carry_out(i, out);
+        self.execute(i, out);
     }
 
-    /// Writes what an owner has appended, as far as its epoch is in force.
+    /// Makes the appended records of an owner durable, unless its epoch is out of date.
     pub fn write_ledger(&mut self, i: usize) {
         let owner = &mut self.owners[i];
         if self.stalled || owner.paused || owner.pending.is_empty() || owner.deposed {
@@ -231,32 +233,31 @@
             self.ledger.push(record);
         }
         let mut out = Vec::new();
-        owner.engine.durable(seq, &mut out);
-        self.carry_out(i, out);
+        owner.engine.set_durable(seq, &mut out);
+        self.execute(i, out);
     }
 
-    /// Does what an engine asks for.
-    pub fn carry_out(&mut self, i: usize, actions: Vec<Action>) {
+    pub fn execute(&mut self, i: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Append { seq, record } => self.owners[i].pending.push_back((seq, record)),
-                Action::Changed(no) => self.see_answer(i, no),
-                Action::Waited { .. } => {}
+                Action::Changed(no) => self.check_answer(i, no),
+                Action::FirstStart { .. } => {}
                 order => self.send(i, order),
             }
         }
     }
 
-    fn see_answer(&mut self, i: usize, no: RequestNo) {
+    fn check_answer(&mut self, i: usize, no: RequestNo) {
         let engine = &self.owners[i].engine;
         if let Some(view) = engine.view(no)
             && let Some(answer) = view.answer
         {
-            // An answer that is not durable says so, and may be lost.
+            // An answer that is not durable is marked as such and may be lost.
             if view.durable {
                 let answer: FinalAnswer = answer.clone();
                 let key = view.key.clone();
-                self.judge.answered(&key, &answer);
+                self.checker.answered(&key, &answer);
             }
         }
     }
@@ -266,15 +267,16 @@
         let (worker, order) = Order::from_action(action);
         let started = matches!(order, Order::Start { .. });
         if started {
-            self.judge.sent_start(self.workers[&worker].told_leaving.contains(&owner.epoch));
+            self.checker
+                .start_sent(self.workers[&worker].epochs_aware_of_leaving.contains(&owner.epoch));
         }
-        // Without a session the order is dropped, as in the server.
+        // Orders without a session are dropped, as in the server.
         if owner.sessions.contains_key(&worker) {
             owner.orders.entry(worker).or_default().push_back(order);
         }
     }
 
-    /// Lets an owner claim a worker, if both can.
+    /// Lets an owner claim a worker if both are able to.
     pub fn claim(&mut self, i: usize, id: &InstanceId) {
         let now = self.now;
         let session = self.next_session;
@@ -283,22 +285,22 @@
         if owner.paused || owner.deposed || worker.frozen || worker.unreachable || worker.unlisted {
             return;
         }
-        let Some(claim) = worker.claim(now, owner.epoch, session, &mut self.judge) else {
+        let Some(claim) = worker.claim(now, owner.epoch, session, &mut self.checker) else {
             return;
         };
         self.next_session += 1;
         if claim.leaving {
-            worker.told_leaving.insert(owner.epoch);
+            worker.epochs_aware_of_leaving.insert(owner.epoch);
         }
         owner.sessions.insert(id.clone(), session);
         owner.orders.insert(id.clone(), VecDeque::new());
         let mut out = Vec::new();
-        owner.engine.claimed(now, id, &claim, &mut out);
-        self.carry_out(i, out);
+        owner.engine.worker_claimed(now, id, &claim, &mut out);
+        self.execute(i, out);
     }
 
-    /// Ends the session of an owner with a worker; orders on their way are lost.
-    pub fn cut(&mut self, i: usize, id: &InstanceId) {
+    /// Ends the session of an owner with a worker. Orders in transit are lost.
+    pub fn disconnect(&mut self, i: usize, id: &InstanceId) {
         let now = self.now;
         let owner = &mut self.owners[i];
         if owner.sessions.remove(id).is_none() || owner.deposed {
@@ -306,32 +308,32 @@
         }
         owner.orders.remove(id);
         let mut out = Vec::new();
-        owner.engine.lost(now, id, &mut out);
-        self.carry_out(i, out);
+        owner.engine.session_ended(now, id, &mut out);
+        self.execute(i, out);
     }
 
-    /// Delivers all orders that are on their way to a worker, and its reports.
+    /// Delivers all orders in transit to a worker, and its reports to the owner.
     pub fn deliver(&mut self, i: usize, id: &InstanceId) {
         let now = self.now;
         let worker = self.workers.get_mut(id).unwrap();
         if worker.frozen || worker.unreachable {
             return;
         }
-        worker.wake(now, &mut self.judge);
+        worker.end_due_tasks(now, &mut self.checker);
         let owner = &mut self.owners[i];
         let Some(&session) = owner.sessions.get(id) else {
             return;
         };
         if worker.session != session {
-            // The worker has ended this session.
-            self.cut(i, id);
+            // The worker has a newer session.
+            self.disconnect(i, id);
             return;
         }
         for order in std::mem::take(owner.orders.entry(id.clone()).or_default()) {
-            worker.obey(now, order, &mut self.judge);
+            worker.execute_order(now, order, &mut self.checker);
         }
         if !owner.paused && !owner.deposed {
-            worker.stamp(now);
+            worker.stamp_reports(now);
             let reports = worker.take_reports();
             self.report(i, id, reports);
         }
@@ -341,31 +343,31 @@
         let now = self.now;
         let mut out = Vec::new();
         let engine = &mut self.owners[i].engine;
-        engine.heard(now, id, reports.clock);
+        engine.record_clock(now, id, reports.clock);
         for task in &reports.started {
-            engine.started(now, id, task, &mut out);
+            engine.task_started(now, id, task, &mut out);
         }
         for end in &reports.ended {
-            engine.ended(now, id, end, &mut out);
+            engine.task_ended(now, id, end, &mut out);
         }
         for task in &reports.refused {
-            engine.refused(now, id, task, &mut out);
+            engine.start_refused(now, id, task, &mut out);
         }
-        engine.usage(now, id, reports.leaving, &[], &mut out);
+        engine.usage_reported(now, id, reports.leaving, &[], &mut out);
         if reports.leaving {
             let epoch = self.owners[i].epoch;
-            self.workers.get_mut(id).unwrap().told_leaving.insert(epoch);
+            self.workers.get_mut(id).unwrap().epochs_aware_of_leaving.insert(epoch);
         }
-        self.carry_out(i, out);
+        self.execute(i, out);
     }
 
-    /// Lets a step of time pass, in which everything that can happen does.
+    /// Advances time by one step and processes everything that can happen in it.
     pub fn step(&mut self) {
-        self.now = self.now + STEP;
+        self.now = self.now + STEP_DURATION;
         let ids: Vec<InstanceId> = self.workers.keys().cloned().collect();
         for id in &ids {
             let worker = self.workers.get_mut(id).unwrap();
-            worker.pass_time(self.now, &mut self.judge);
+            worker.advance_time(self.now, &mut self.checker);
         }
         for i in 0..self.owners.len() {
             self.decide(i);
@@ -378,7 +380,7 @@
                     session.is_some_and(|s| *s != w.session)
                 };
                 if ended {
-                    self.cut(i, id);
+                    self.disconnect(i, id);
                 }
                 self.deliver(i, id);
             }
@@ -392,7 +394,7 @@
         self.check();
     }
 
-    /// Lets time pass.
+    /// Runs steps for `ms` milliseconds.
     pub fn run(&mut self, ms: u64) {
         let until = self.now + Millis(ms);
         while self.now < until {
@@ -400,14 +402,13 @@
         }
     }
 
-    /// Lets enough time pass for claims and starts.
-    pub fn settle(&mut self) {
-        self.run(STEP.0 * 6);
+    /// Runs enough steps for claims and starts.
+    pub fn run_briefly(&mut self) {
+        self.run(STEP_DURATION.0 * 6);
     }
 
-    /// Checks what must always hold.
     pub fn check(&self) {
-        self.judge.check(&self.workers, self.now);
+        self.checker.check(&self.workers, self.now);
     }
 
     pub fn answer(&mut self, id: &str) -> Option<FinalAnswer> {
--- a/crates/hollowford-engine/tests/common/worker.rs
+++ b/crates/hollowford-engine/tests/common/worker.rs
@@ -1,12 +1,12 @@
-//! A worker of the small world.
+//! A simulated worker.
 
-use super::judge::Judge;
+use super::invariants::InvariantChecker;
 use hollowford_core::prelude::*;
-use hollowford_engine::{Action, Claim, ClaimedTask, EndReport, TaskEnd, TaskResult};
+use hollowford_engine::{Action, ClaimReport, ClaimedTask, EndReport, TaskEnd, TaskResult};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// An order on its way.
+/// An order in transit to a worker.
 #[derive(Clone, Debug)]
 pub enum Order {
     Start { task: TaskId, lease_until: u64, fixed_lease: bool, spec: Arc<Spec> },
@@ -26,12 +26,12 @@
             Action::Stop { worker, task, .. } => (worker, Order::Stop { task }),
             Action::Forget { worker, task } => (worker, Order::Forget { task }),
             Action::Throttle { worker, .. } => (worker, Order::Throttle),
-            other => panic!("{other:?} is no order"),
+            other => panic!("{other:?} is not an order"),
         }
     }
 }
 
-/// A task that runs.
+/// A task that runs on the worker. Times are on its clock.
 #[derive(Clone, Debug)]
 pub struct Running {
     pub spec: Arc<Spec>,
@@ -41,7 +41,7 @@
     pub started_at: u64,
 }
 
-/// Reports on their way.
+/// Reports in transit to the owner.
 #[derive(Clone, Debug, Default)]
 pub struct Reports {
     pub clock: u64,
@@ -51,7 +51,8 @@
     pub refused: Vec<TaskId>,
 }
 
-/// A worker: leases on its own clock, epochs, sessions and remembered outcomes.
+/// A worker with its own clock. It enforces leases and epochs, has one session, and keeps
+/// outcomes until they are acknowledged.
 pub struct FakeWorker {
     pub capacity: Resources,
     pub rack: String,
@@ -65,10 +66,10 @@
     pub frozen: bool,
     pub unreachable: bool,
     pub unlisted: bool,
-    /// Every task fails at once.
-    pub bad: bool,
-    /// Owners, by epoch, that know that this worker is leaving.
-    pub told_leaving: BTreeSet<Epoch>,
+    /// Whether every task fails at once.
+    pub fails_all: bool,
+    /// Epochs of the owners that know that this worker is leaving.
+    pub epochs_aware_of_leaving: BTreeSet<Epoch>,
     offset: u64,
 }
 
@@ -87,8 +88,8 @@
             frozen: false,
             unreachable: false,
             unlisted: false,
-            bad: false,
-            told_leaving: BTreeSet::new(),
+            fails_all: false,
+            epochs_aware_of_leaving: BTreeSet::new(),
             offset: 1_000_000 * (i + 1),
         }
     }
@@ -97,32 +98,32 @@
         now.0 + self.offset
     }
 
-    /// Stops what has lapsed and ends what is done, as a worker that wakes does.
-    pub fn wake(&mut self, now: Millis, judge: &mut Judge) {
+    /// Ends tasks whose lease has expired or that are complete.
+    pub fn end_due_tasks(&mut self, now: Millis, checker: &mut InvariantChecker) {
         let clock = self.clock(now);
-        let over: Vec<TaskId> = self
+        let due: Vec<TaskId> = self
             .running
             .iter()
             .filter(|(_, r)| r.lease_until.min(r.ends_at) <= clock)
             .map(|(task, _)| *task)
             .collect();
-        for task in over {
+        for task in due {
             let r = &self.running[&task];
-            let lapsed = r.lease_until < r.ends_at;
-            let end = if lapsed { TaskEnd::Lost } else { TaskEnd::Done(TaskResult::default()) };
-            self.end(now, &task, end, judge);
+            let expired = r.lease_until < r.ends_at;
+            let end = if expired { TaskEnd::Lost } else { TaskEnd::Done(TaskResult::default()) };
+            self.end(now, &task, end, checker);
         }
     }
 
-    pub fn pass_time(&mut self, now: Millis, judge: &mut Judge) {
+    pub fn advance_time(&mut self, now: Millis, checker: &mut InvariantChecker) {
         if !self.frozen {
-            self.wake(now, judge);
+            self.end_due_tasks(now, checker);
         }
     }
 
-    fn end(&mut self, now: Millis, task: &TaskId, end: TaskEnd, judge: &mut Judge) {
+    fn end(&mut self, now: Millis, task: &TaskId, end: TaskEnd, checker: &mut InvariantChecker) {
         if let Some(r) = self.running.remove(task) {
-            judge.ended(task, &end);
+            checker.ended(task, &end);
             let ran = Millis(self.clock(now).saturating_sub(r.started_at));
             let report = EndReport { task: *task, end, ran };
             self.ended.insert(*task, report.clone());
@@ -135,12 +136,12 @@
         now: Millis,
         epoch: Epoch,
         session: u64,
-        judge: &mut Judge,
-    ) -> Option<Claim> {
+        checker: &mut InvariantChecker,
+    ) -> Option<ClaimReport> {
         if epoch < self.epoch {
             return None;
         }
-        self.wake(now, judge);
+        self.end_due_tasks(now, checker);
         self.epoch = epoch;
         self.session = session;
         self.reports = Reports::default();
@@ -148,7 +149,7 @@
             .running
             .iter()
             .map(|(task, r)| ClaimedTask { task: *task, resources: r.spec.per_task });
-        Some(Claim {
+        Some(ClaimReport {
             incarnation: self.incarnation,
             clock: self.clock(now),
             capacity: self.capacity,
@@ -158,10 +159,10 @@
         })
     }
 
-    pub fn obey(&mut self, now: Millis, order: Order, judge: &mut Judge) {
+    pub fn execute_order(&mut self, now: Millis, order: Order, checker: &mut InvariantChecker) {
         match order {
             Order::Start { task, lease_until, fixed_lease, spec } => {
-                self.start(now, task, lease_until, spec, judge);
+                self.start(now, task, lease_until, spec, checker);
                 if let Some(r) = self.running.get_mut(&task) {
                     r.fixed_lease = fixed_lease;
                 }
@@ -171,7 +172,7 @@
                     r.lease_until = r.lease_until.max(lease_until);
                 }
             }
-            Order::Stop { task } => self.end(now, &task, TaskEnd::Stopped("".into()), judge),
+            Order::Stop { task } => self.end(now, &task, TaskEnd::Stopped("".into()), checker),
             Order::Forget { task } => {
                 self.ended.remove(&task);
             }
@@ -185,28 +186,28 @@
         task: TaskId,
         lease_until: u64,
         spec: Arc<Spec>,
-        judge: &mut Judge,
+        checker: &mut InvariantChecker,
     ) {
         let clock = self.clock(now);
         if lease_until <= clock {
             self.reports.refused.push(task);
             return;
         }
-        judge.started(&task, &spec);
+        checker.started(&task, &spec);
         let run = if spec.run_time_ms == 0 { u64::MAX - clock } else { spec.run_time_ms };
         let (ends_at, started_at) = (clock + run, clock);
         let r = Running { spec, ends_at, lease_until, fixed_lease: false, started_at };
         self.running.insert(task, r);
         self.reports.started.push(task);
-        if self.bad {
-            self.end(now, &task, TaskEnd::Failed("bad worker".into()), judge);
+        if self.fails_all {
+            self.end(now, &task, TaskEnd::Failed("failing worker".into()), checker);
         }
     }
 
-    /// Loses all memory, as a restart does.
-    pub fn restart(&mut self, judge: &mut Judge) {
+    /// Restarts the worker: it loses its tasks, outcomes and session.
+    pub fn restart(&mut self, checker: &mut InvariantChecker) {
         for task in self.running.keys() {
-            judge.ended(task, &TaskEnd::Lost);
+            checker.ended(task, &TaskEnd::Lost);
         }
         self.running.clear();
         self.ended.clear();
@@ -221,8 +222,8 @@
 }
 
 impl FakeWorker {
-    /// Takes the reports with the clock at the time they are sent.
-    pub fn stamp(&mut self, now: Millis) {
+    /// Sets the clock reading and the leaving flag of the reports that are about to be sent.
+    pub fn stamp_reports(&mut self, now: Millis) {
         self.reports.clock = self.clock(now);
         self.reports.leaving = self.leaving;
     }
--- a/crates/hollowford-jobs/src/audit.rs
+++ b/crates/hollowford-jobs/src/audit.rs
@@ -1,90 +1,96 @@
-//! A look over the whole state for tasks that wait for what can't come.
+//! Consistency check that finds tasks waiting for something that can't happen.
 
 use crate::engine::Engine;
 use crate::job::{Job, Task};
 use crate::spec::{StepKey, TaskKey};
 use std::fmt::{self, Display};
 
-/// Why a task can never be started again.
+/// A task that can never be started again, and why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stuck {
-    /// It is placed on a worker that doesn't hold it, so no end of it will be told.
+pub enum StuckTask {
+    /// The task is placed on a worker that doesn't hold it, so its end will never be reported.
     NotHeld {
-        /// The task.
+        /// The task that waits.
         task: TaskKey,
-        /// Number of the start.
+        /// Number of its current run.
         run: u32,
     },
-    /// It waits for a row of its job's progress that nobody will write.
-    Unwritten {
-        /// The task.
+    /// The task waits for a progress row of its job that will never be written.
+    RowNeverWritten {
+        /// The task that waits.
         task: TaskKey,
-        /// Number of the row.
+        /// Number of the progress row.
         row: u64,
     },
-    /// It waits for what became of a run that no worker holds or has lost.
-    OpenNowhere {
-        /// The task.
+    /// The task waits for the outcome of a run that no worker holds or has lost.
+    UntrackedRun {
+        /// The task that waits.
         task: TaskKey,
-        /// Number of the start.
+        /// Number of the open run.
         run: u32,
     },
 }
 
-impl Display for Stuck {
+impl Display for StuckTask {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Stuck::NotHeld { task, run } => write!(f, "{task} run {run} is held nowhere"),
-            Stuck::Unwritten { task, row } => {
-                write!(f, "{task} waits for row {row}, never written")
+            StuckTask::NotHeld { task, run } => {
+                write!(f, "{task} run {run} is not held by its worker")
+            }
+            StuckTask::RowNeverWritten { task, row } => {
+                write!(f, "{task} waits for row {row}, which will never be written")
+            }
+            StuckTask::UntrackedRun { task, run } => {
+                write!(f, "{task} run {run} is open, but no worker tracks it")
             }
-            Stuck::OpenNowhere { task, run } => write!(f, "{task} run {run} is open nowhere"),
         }
     }
 }
 
 impl Engine {
-    /// Returns the tasks that wait for what can't come; none as long as the engine is right.
-    pub fn stuck_tasks(&self) -> Vec<Stuck> {
+    /// Returns the tasks that can never be started again. A task in the list is a bug in the
+    /// engine.
+    pub fn stuck_tasks(&self) -> Vec<StuckTask> {
         let open = self.jobs.open().filter(|j| j.end.is_none());
-        open.flat_map(|job| self.stuck_of_job(job)).collect()
+        open.flat_map(|job| self.stuck_tasks_of_job(job)).collect()
     }
 
-    fn stuck_of_job(&self, job: &Job) -> Vec<Stuck> {
+    fn stuck_tasks_of_job(&self, job: &Job) -> Vec<StuckTask> {
         let mut out = Vec::new();
         for round in &job.rounds {
             for (step, s) in round.steps.iter().enumerate() {
                 let key = StepKey { job: job.id, round: round.number, step: step as u32 };
                 for (index, t) in s.tasks.iter().enumerate().filter(|(_, t)| !t.done) {
                     let task = key.task(index as u32);
-                    self.stuck_of_task(task, t, &mut out);
-                    out.extend(stuck_of_row(job, task, t));
+                    self.check_task(task, t, &mut out);
+                    out.extend(check_awaited_row(job, task, t));
                 }
             }
         }
         out
     }
 
-    fn stuck_of_task(&self, task: TaskKey, t: &Task, out: &mut Vec<Stuck>) {
-        if let Some(idx) = t.at {
+    fn check_task(&self, task: TaskKey, t: &Task, out: &mut Vec<StuckTask>) {
+        if let Some(idx) = t.worker {
             let held = self.workers.get(idx).and_then(|w| w.find(task, t.run));
             if held.is_none() {
-                out.push(Stuck::NotHeld { task, run: t.run });
+                out.push(StuckTask::NotHeld { task, run: t.run });
             }
         }
-        for r in t.suspicion.iter().flat_map(|s| &s.open_runs) {
+        for r in t.crash_record.iter().flat_map(|c| &c.open_runs) {
             let idx = self.workers.find(&r.worker);
             let w = idx.and_then(|idx| self.workers.get(idx));
-            if !w.is_some_and(|w| w.may_tell_of(task, r.run)) {
-                out.push(Stuck::OpenNowhere { task, run: r.run });
+            if !w.is_some_and(|w| w.tracks_run(task, r.run)) {
+                out.push(StuckTask::UntrackedRun { task, run: r.run });
             }
         }
     }
 }
 
-/// Tells whether a task waits for a row that is not to come: none is under way or to be cut.
-fn stuck_of_row(job: &Job, task: TaskKey, t: &Task) -> Option<Stuck> {
-    let row = t.suspicion.as_ref()?.unwritten_row?;
-    let to_come = job.progressed || row <= job.rows_cut;
-    (!to_come).then_some(Stuck::Unwritten { task, row })
+/// Returns a finding if a task waits for a progress row that is neither in flight nor to be
+/// written.
+fn check_awaited_row(job: &Job, task: TaskKey, t: &Task) -> Option<StuckTask> {
+    let row = t.crash_record.as_ref()?.awaited_row?;
+    let is_pending = job.progress_unwritten || row <= job.progress_rows_built;
+    (!is_pending).then_some(StuckTask::RowNeverWritten { task, row })
 }
--- a/crates/hollowford-jobs/src/lib.rs
+++ b/crates/hollowford-jobs/src/lib.rs
@@ -1,78 +1,78 @@
-//! The decisions about jobs: what runs where, and when.
+//! The scheduling engine of one partition: which tasks run, where and when.
 //!
-//! A job has steps that may depend on earlier ones; a step has equal tasks, which may have
-//! to run together as a gang. The engine does no I/O, reads no clock and starts no thread:
-//! the owner of the partition tells it what happened and at what time, carries out the
-//! orders that come back, and writes the batches of rows that it asks for.
+//! A job has steps that may depend on earlier steps. A step has identical tasks, which may have
+//! to run together as a gang. The engine does no I/O, reads no clock and starts no threads. The
+//! owner of the partition passes it events with the time of each, executes the orders that it
+//! returns, and writes the batches of rows that it produces.
 //!
-//! Time is the store's steady clock in milliseconds, so that an owner can compare what an
-//! earlier one wrote down.
+//! All times are readings of the store's steady clock, in milliseconds, so that an owner can
+//! compare its own times with those that an earlier owner stored.
 
 mod accounts;
 mod advice;
-mod answers;
-mod asking;
+mod advice_calls;
+mod advice_selection;
+mod answer_timeouts;
 mod audit;
 mod batch;
-mod choose;
+mod candidate;
+mod crash_record;
 mod crashes;
-mod dirty;
-mod ends;
 mod engine;
 mod evacuate;
+mod event;
 mod gang;
-mod gang_asking;
-mod gone;
+mod gang_advice_selection;
 mod health;
 #[cfg(test)]
 mod health_tests;
-mod held;
+mod held_task;
 mod job;
 mod jobs;
 mod lease;
-mod life;
 mod listing;
-mod lives;
-mod note;
 mod order;
 mod pacing;
 mod pass;
-mod place;
+mod placement;
 mod progress_rows;
 mod queue;
 mod recover;
-mod reserve;
+mod reservation;
 mod rows;
-mod seats;
 mod spec;
 mod stall;
 mod starts;
 mod submit;
-mod suspicion;
+mod task_ends;
 mod urgency;
 mod view;
-mod waits;
+mod wait_causes;
 mod worker;
+mod worker_life;
+mod worker_removal;
+mod worker_restart;
 mod workers;
+mod write_queue;
 
-pub use accounts::{Account, AccountUse, NO_ACCOUNT};
-pub use audit::Stuck;
+pub use accounts::{Account, AccountUsage, NO_ACCOUNT};
+pub use advice_calls::AdviceChannel;
+pub use audit::StuckTask;
 pub use batch::{Batch, RowWrite};
-pub use choose::rack_label;
-pub use engine::{Bounds, Engine, Stats};
+pub use candidate::rack_label;
+pub use engine::{Engine, Stats, TimeLimits};
+pub use event::{Event, GiveUpCause, WorkerExit};
 pub use job::JobState;
 pub use lease::LookAnswer;
-pub use life::{Incarnation, WorkerLife};
-pub use note::{GiveUp, LifeEnd, Note};
 pub use order::{
-    Advised, End, EndKind, Look, Order, Running, StartAnswer, WorkerCall, WorkerListing,
+    End, EndKind, Look, Order, Running, StartAnswer, WorkerCall, WorkerListing, WorkerTickets,
 };
 pub use queue::{AdviceCost, Queue};
 pub use recover::Recovered;
 pub use rows::{RowError, WorkerAddress, decode_spec, decode_workers, encode_spec, encode_workers};
-pub use seats::Seat;
 pub use spec::{JobId, JobSpec, RawJob, RawStep, Schedule, SpecError, StepKey, StepSpec, TaskKey};
 pub use submit::{CancelAnswer, SubmitAnswer};
 pub use view::EngineView;
-pub use waits::{StepWait, WaitCause};
-pub use worker::SLOWEST_CLOCK_PERCENT;
+pub use wait_causes::{StepWait, WaitCause};
+pub use worker::MIN_CLOCK_RATE_PERCENT;
+pub use worker_life::{Incarnation, WorkerLife};
--- a/crates/hollowford-jobs/src/recover.rs
+++ b/crates/hollowford-jobs/src/recover.rs
@@ -1,8 +1,8 @@
-//! A new owner takes over what the store holds.
+//! Restores a partition's state from the store for a new owner.
 
 use crate::engine::Engine;
 use crate::job::{JobState, Round};
-use crate::jobs::Ended;
+use crate::jobs::EndedJob;
 use crate::progress_rows::{ProgressRow, RoundRow};
 use crate::rows::{JobRow, RowError, WorkerAddress, decode_workers};
 use crate::spec::{JobId, StepKey};
@@ -12,24 +12,26 @@
 use prost::Message;
 use std::sync::Arc;
 
-/// How much a recovery found.
+/// Counts of what a recovery found in the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Recovered {
-    /// Jobs that have not ended.
+    /// Open jobs.
     pub open: usize,
-    /// Jobs that have.
+    /// Ended jobs that are still retained.
     pub ended: usize,
-    /// Workers that an earlier owner may have used.
+    /// Workers that earlier owners may have used.
     pub workers: usize,
-    /// Rows that are none of the above.
+    /// Rows of other kinds.
     pub other: usize,
 }
 
 impl Engine {
-    /// Takes in the partition's rows, once, before anything else but the queues.
+    /// Restores the state from the partition's rows. Called once, before anything else but setting
+    /// the queues.
     ///
     /// # Errors
-    /// When a row can't be read: the partition must not be served without it.
+    /// Returns an error if a row can't be decoded. The partition must not be served without that
+    /// row.
     pub fn recover(
         &mut self,
         rows: &[(String, Vec<u8>)],
@@ -52,7 +54,7 @@
                 self.recover_progress(id.parse()?, &ProgressRow::decode(&value[..])?, now);
             }
         }
-        self.tasks_unsettled = !self.unsettled.is_empty();
+        self.tasks_unsettled = !self.unsettled_workers.is_empty();
         if !self.tasks_unsettled {
             self.mark_settled();
         }
@@ -71,7 +73,7 @@
         if state.is_final() {
             found.ended += 1;
             let account = self.accounts.intern(&row.account);
-            self.jobs.close(id, Ended { state, at: Millis(row.ended_at), account });
+            self.jobs.close(id, EndedJob { state, at: Millis(row.ended_at), account });
             return Ok(());
         }
         found.open += 1;
@@ -79,8 +81,8 @@
         let name: Arc<str> = row.queue.as_str().into();
         let account = self.accounts.intern(&row.account);
         let mut job = new_job(id, (account, name), spec, row.epoch, Millis(row.accepted_at));
-        job.kept = true;
-        job.unwritten = false;
+        job.durable = true;
+        job.acceptance_unwritten = false;
         if job.spec.schedule.is_none() {
             job.add_round(job.accepted_at);
         }
@@ -91,8 +93,8 @@
 
     fn recover_progress(&mut self, id: JobId, row: &ProgressRow, now: Millis) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        job.has_progress = true;
-        job.begun = row.begun;
+        job.has_progress_row = true;
+        job.started = row.started;
         if job.spec.schedule.is_some() {
             for r in &row.rounds {
                 job.due_rounds = r.number;
@@ -102,9 +104,9 @@
         }
         for r in &row.rounds {
             self.recover_round(id, r);
-            self.recover_suspicions(id, r, now);
+            self.recover_crash_records(id, r, now);
         }
-        self.jobs.rounds_wait(id);
+        self.jobs.mark_all_steps_waiting(id);
         self.mark_job_unsettled(id);
     }
 
@@ -114,7 +116,7 @@
         };
         for g in &row.gangs {
             if let Some(step) = round.steps.get_mut(g.step as usize) {
-                step.gang_failed = g.failed_runs.clone();
+                step.failed_gang_runs = g.failed_runs.clone();
             }
         }
         for t in &row.tasks {
@@ -124,15 +126,15 @@
             task.failed_runs = t.failed_runs.clone();
             task.done = t.done;
             task.saved = (!t.saved.is_empty()).then(|| t.saved.as_str().into());
-            step.left -= u32::from(t.done);
+            step.remaining -= u32::from(t.done);
         }
     }
 
-    fn recover_suspicions(&mut self, job: JobId, row: &RoundRow, now: Millis) {
+    fn recover_crash_records(&mut self, job: JobId, row: &RoundRow, now: Millis) {
         for t in &row.tasks {
             let step = StepKey { job, round: row.number, step: t.step };
-            if let Some(suspicion) = &t.suspicion {
-                self.recover_suspicion(step.task(t.index), suspicion.into(), now);
+            if let Some(crash_record) = &t.crash_record {
+                self.recover_crash_record(step.task(t.index), crash_record.into(), now);
             }
         }
     }
@@ -148,8 +150,8 @@
             let mut w = Worker::new(a.life.clone(), a.address.clone(), now);
             w.recorded = true;
             let idx = self.workers.insert(w);
-            self.unsettled.insert(idx);
+            self.unsettled_workers.insert(idx);
         }
-        self.recorded = list;
+        self.recorded_workers = list;
     }
 }
--- a/crates/hollowford-jobs/src/rows.rs
+++ b/crates/hollowford-jobs/src/rows.rs
@@ -1,27 +1,27 @@
-//! The rows of jobs and workers in the store, as bytes.
+//! Encoding of the stored rows of jobs and workers.
 
 use crate::job::{Job, JobState};
-use crate::life::{Incarnation, WorkerLife};
 use crate::spec::{JobSpec, RawJob, RawStep, Schedule, SpecError};
+use crate::worker_life::{Incarnation, WorkerLife};
 use hollowford_core::Resources;
 use prost::Message;
 use std::sync::Arc;
 
-/// Why a row can't be read.
+/// An error in decoding a row.
 #[derive(Debug, thiserror::Error)]
 pub enum RowError {
-    /// The bytes are not the message.
-    #[error("row: {0}")]
+    /// The bytes are not a valid message.
+    #[error("malformed message: {0}")]
     Decode(#[from] prost::DecodeError),
-    /// The job in it is not valid.
-    #[error("row: {0}")]
+    /// The job specification is not valid.
+    #[error("invalid job: {0}")]
     Spec(#[from] SpecError),
-    /// It names a state that there isn't.
-    #[error("row: no state {0}")]
+    /// The number of a job state is unknown.
+    #[error("unknown job state: {0}")]
     State(u32),
 }
 
-/// A job. One that has ended keeps `state`, `ended_at` and `account` only.
+/// Row of a job. For an ended job only `state`, `ended_at` and `account` are set.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct JobRow {
     #[prost(uint32, tag = "1")]
@@ -40,7 +40,8 @@
     pub epoch: u64,
     #[prost(uint64, tag = "8")]
     pub accepted_at: u64,
-    /// The client account that handed it in; empty: none, or a row of a version before.
+    /// The client account that submitted the job; empty if there is none or the row was written by
+    /// an earlier release.
     #[prost(string, tag = "9")]
     pub account: String,
 }
@@ -68,34 +69,34 @@
     #[prost(uint64, tag = "5")]
     pub estimate_ms: u64,
     #[prost(uint32, repeated, tag = "6")]
-    pub depends: Vec<u32>,
+    pub depends_on: Vec<u32>,
     #[prost(bool, tag = "7")]
-    pub checkpoints: bool,
+    pub resumable: bool,
     #[prost(bool, tag = "8")]
     pub gang: bool,
     #[prost(bool, tag = "9")]
-    pub one_rack: bool,
+    pub prefer_one_rack: bool,
     #[prost(string, tag = "10")]
-    pub requires: String,
+    pub required_label: String,
     #[prost(string, tag = "11")]
     pub data_rack: String,
     #[prost(uint32, tag = "12")]
-    pub spread: u32,
+    pub max_per_worker: u32,
     #[prost(bool, tag = "13")]
     pub speculative: bool,
     #[prost(bool, tag = "14")]
-    pub lasting: bool,
+    pub service: bool,
     #[prost(uint32, tag = "15")]
-    pub may_miss: u32,
+    pub max_unavailable: u32,
     #[prost(bool, tag = "16")]
-    pub filler: bool,
+    pub best_effort: bool,
     #[prost(string, tag = "17")]
     pub image: String,
     #[prost(uint64, tag = "18")]
-    pub latency_ms: u64,
+    pub latency_target_ms: u64,
 }
 
-/// The workers that may hold a lease.
+/// Row of the workers that may hold a lease.
 #[derive(Clone, PartialEq, Message)]
 struct WorkersRow {
     #[prost(message, repeated, tag = "1")]
@@ -108,21 +109,21 @@
     id: String,
     #[prost(string, tag = "2")]
     address: String,
-    /// Tells lives under one id apart; rows of earlier releases lack it.
+    /// Distinguishes incarnations with the same id; missing in rows of earlier releases.
     #[prost(uint64, optional, tag = "3")]
     incarnation: Option<u64>,
 }
 
-/// Where a worker is found.
+/// A worker incarnation and its address.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerAddress {
-    /// This life of the worker.
+    /// The worker incarnation.
     pub life: WorkerLife,
-    /// `IP:port`.
+    /// `IP:port` of the worker.
     pub address: Arc<str>,
 }
 
-/// Writes the row of workers.
+/// Encodes the row of workers.
 pub fn encode_workers(list: &[WorkerAddress]) -> Vec<u8> {
     let row = |w: &WorkerAddress| WorkerRow {
         id: w.life.id().as_str().to_owned(),
@@ -132,10 +133,10 @@
     WorkersRow { workers: list.iter().map(row).collect() }.encode_to_vec()
 }
 
-/// Reads the row of workers.
+/// Decodes the row of workers.
 ///
 /// # Errors
-/// `Decode` when the bytes are not such a row.
+/// `RowError::Decode` if the bytes are not such a row.
 pub fn decode_workers(bytes: &[u8]) -> Result<Vec<WorkerAddress>, RowError> {
     let row = WorkersRow::decode(bytes)?;
     let life =
@@ -145,7 +146,7 @@
 }
 
 impl JobState {
-    /// Returns its number in rows and messages.
+    /// Returns the number that rows and messages use for the state.
     pub fn code(self) -> u32 {
         match self {
             JobState::Queued => 0,
@@ -156,10 +157,10 @@
         }
     }
 
-    /// Returns the state of a number.
+    /// Returns the state with this number.
     ///
     /// # Errors
-    /// `State` when no state has it.
+    /// `RowError::State` if there is no such state.
     pub fn from_code(code: u32) -> Result<JobState, RowError> {
         match code {
             0 => Ok(JobState::Queued),
@@ -176,23 +177,23 @@
     fn from(s: &RawStep) -> StepRow {
         StepRow {
             count: s.count,
-            cpu_milli: s.need.cpu_milli,
-            memory_mib: s.need.memory_mib,
-            accelerators: s.need.accelerators,
+            cpu_milli: s.resources.cpu_milli,
+            memory_mib: s.resources.memory_mib,
+            accelerators: s.resources.accelerators,
             estimate_ms: s.estimate_ms,
-            depends: s.depends.clone(),
-            checkpoints: s.checkpoints,
+            depends_on: s.depends_on.clone(),
+            resumable: s.resumable,
             gang: s.gang,
-            one_rack: s.one_rack,
-            requires: s.requires.clone(),
+            prefer_one_rack: s.prefer_one_rack,
+            required_label: s.required_label.clone(),
             data_rack: s.data_rack.clone(),
-            spread: s.spread,
+            max_per_worker: s.max_per_worker,
             speculative: s.speculative,
-            lasting: s.lasting,
-            may_miss: s.may_miss,
-            filler: s.filler,
+            service: s.service,
+            max_unavailable: s.max_unavailable,
+            best_effort: s.best_effort,
             image: s.image.clone(),
-            latency_ms: s.latency_ms,
+            latency_target_ms: s.latency_target_ms,
         }
     }
 }
@@ -201,27 +202,27 @@
     fn from(r: StepRow) -> RawStep {
         RawStep {
             count: r.count,
-            need: Resources::new(r.cpu_milli, r.memory_mib, r.accelerators),
+            resources: Resources::new(r.cpu_milli, r.memory_mib, r.accelerators),
             estimate_ms: r.estimate_ms,
-            depends: r.depends,
-            checkpoints: r.checkpoints,
+            depends_on: r.depends_on,
+            resumable: r.resumable,
             gang: r.gang,
-            one_rack: r.one_rack,
-            requires: r.requires,
+            prefer_one_rack: r.prefer_one_rack,
+            required_label: r.required_label,
             data_rack: r.data_rack,
-            spread: r.spread,
+            max_per_worker: r.max_per_worker,
             speculative: r.speculative,
-            lasting: r.lasting,
-            may_miss: r.may_miss,
-            filler: r.filler,
+            service: r.service,
+            max_unavailable: r.max_unavailable,
+            best_effort: r.best_effort,
             image: r.image,
-            latency_ms: r.latency_ms,
+            latency_target_ms: r.latency_target_ms,
         }
     }
 }
 
 impl JobRow {
-    /// Returns the row of an open job.
+    /// Creates the row of an open job.
     pub fn open(job: &Job, account: &str) -> JobRow {
         let schedule = job.spec.schedule.map(ScheduleRow::from);
         JobRow {
@@ -237,13 +238,14 @@
         }
     }
 
-    /// Returns the row of a job that has ended.
+    /// Creates the row of an ended job; `at` is the time of its end in milliseconds of the store's
+    /// clock.
     pub fn ended(state: JobState, at: u64, account: &str) -> JobRow {
         let account = account.to_owned();
         JobRow { state: state.code(), ended_at: at, account, ..JobRow::default() }
     }
 
-    /// Returns the job that the row describes.
+    /// Takes the job specification out of the row and validates it.
     pub fn spec(&mut self) -> Result<JobSpec, SpecError> {
         let schedule = self.schedule.take().map(|s| Schedule {
             first_unix_ms: s.first_unix_ms,
@@ -255,7 +257,7 @@
     }
 }
 
-/// Writes a job's specification, for messages between processes.
+/// Encodes a job specification for messages between processes.
 pub fn encode_spec(spec: &JobSpec) -> Vec<u8> {
     let schedule = spec.schedule.map(ScheduleRow::from);
     let steps = spec.steps.iter().map(StepRow::from).collect();
@@ -263,10 +265,10 @@
         .encode_to_vec()
 }
 
-/// Reads a job's specification.
+/// Decodes a job specification.
 ///
 /// # Errors
-/// When the bytes are not one, or it is not valid.
+/// `RowError::Decode` if the bytes are not a specification, `RowError::Spec` if it is not valid.
 pub fn decode_spec(bytes: &[u8]) -> Result<JobSpec, RowError> {
     Ok(JobRow::decode(bytes)?.spec()?)
 }
--- a/crates/hollowford-node/src/callers.rs
+++ b/crates/hollowford-node/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers' requests at the owner, and those that wait for the store.
+//! Handles callers' requests at the owner and keeps those that wait for the store.
 
 use crate::inbox::Reply;
 use crate::wire::{Call, Said, Verb};
@@ -7,27 +7,26 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// A caller is answered so long before its time is up, so that the answer reaches it in time.
-const WAY_BACK: Millis = Millis(20);
-/// How long a caller waits that doesn't tell.
-const UNTOLD: Millis = Millis(1_200);
-/// A question for a state waits so long for an end that is decided to be in the store, since
-/// a caller that is told an older state asks again much later.
-const STATE_WITHIN: Millis = Millis(150);
+/// How long before its time limit a caller is answered, so that the answer arrives in time.
+const ANSWER_MARGIN: Millis = Millis(20);
+/// Time limit for callers that set none.
+const DEFAULT_CALL_TIMEOUT: Millis = Millis(1_200);
+/// How long a state request waits for a decided end of the job to be committed. A caller that gets
+/// an older state asks again much later.
+const MAX_STATE_WAIT: Millis = Millis(150);
 
-/// A caller that waits until its request is in the store.
+/// A request that waits to be committed.
 #[derive(Debug)]
-struct Waiter {
+struct WaitingCall {
     id: u64,
     verb: Verb,
     reply: Reply,
-    /// When it is answered as things stand then.
-    until: Millis,
+    /// When the request is answered even if it is not committed.
+    deadline: Millis,
 }
 
-impl Waiter {
-    /// Answers a question for a state with what is in the store now, anything else with
-    /// `said`.
+impl WaitingCall {
+    /// Answers a state request with the committed state, and any other request with `said`.
     fn answer(self, engine: &Engine, job: JobId, said: Said) {
         match engine.state(job).filter(|_| self.verb == Verb::State) {
             Some(state) => self.reply.send(self.id, Said::Value, state.code().into()),
@@ -36,21 +35,21 @@
     }
 }
 
-/// Callers that wait, by job.
+/// Waiting requests by job.
 #[derive(Debug, Default)]
-pub struct Waiters {
-    by_job: HashMap<JobId, Vec<Waiter>>,
+pub struct WaitingCalls {
+    by_job: HashMap<JobId, Vec<WaitingCall>>,
 }
 
-impl Waiters {
-    /// Tells whether nobody waits.
+impl WaitingCalls {
+    /// Returns true if no request is waiting.
     pub fn is_empty(&self) -> bool {
         self.by_job.is_empty()
     }
 
-    /// Takes a call and answers it, at once or once its batch is made. A new job is refused
-    /// unless `admitted`.
-    pub fn take(
+    /// Handles a call. Answers it at once or once its batch is committed. Refuses a new job unless
+    /// `admitted` is true.
+    pub fn handle(
         &mut self,
         engine: &mut Engine,
         call: Call,
@@ -60,96 +59,98 @@
     ) {
         let job = JobId(call.job);
         let verb = call.verb();
-        if verb != Verb::Waiting && !engine.may_touch(job, &call.account) {
-            // Nobody is told of another account's job, nor whether there is one, but by handing in
-            // the same id.
+        if verb != Verb::Waiting && !engine.may_access(job, &call.account) {
+            // Other accounts' jobs are not disclosed, except that submitting an id in use is
+            // rejected.
             let said = if verb == Verb::Submit { Said::NotYours } else { Said::NoJob };
             return reply.send(call.id, said, 0);
         }
         let said = match verb {
-            // Its end is on the way to the store, which takes some milliseconds.
+            // The end of the job is being written, which takes a few milliseconds.
             Verb::State if engine.is_ending(job) => None,
             Verb::State => match engine.state(job) {
                 Some(state) => return reply.send(call.id, Said::Value, state.code().into()),
                 None => Some(Said::NoJob),
             },
             Verb::Waiting => {
-                return reply.send(call.id, Said::Value, engine.waiting(&call.queue) as u64);
+                return reply.send(call.id, Said::Value, engine.waiting_jobs(&call.queue) as u64);
             }
             Verb::Cancel => match engine.cancel(job, now) {
                 CancelAnswer::Ended => Some(Said::Done),
-                CancelAnswer::Unknown => Some(Said::NoJob),
+                CancelAnswer::UnknownJob => Some(Said::NoJob),
                 CancelAnswer::Pending => None,
             },
-            Verb::Submit if !admitted && engine.is_kept(job).is_none() => Some(Said::Unavailable),
+            Verb::Submit if !admitted && engine.is_durable(job).is_none() => {
+                Some(Said::Unavailable)
+            }
             Verb::Submit => submit(engine, job, &call, now),
         };
         match said {
             Some(said) => reply.send(call.id, said, 0),
             None => {
-                let until = now + patience(&call);
-                let waiter = Waiter { id: call.id, verb, reply, until };
-                self.by_job.entry(job).or_default().push(waiter);
+                let deadline = now + call_timeout(&call);
+                let waiting = WaitingCall { id: call.id, verb, reply, deadline };
+                self.by_job.entry(job).or_default().push(waiting);
             }
         }
     }
 
-    /// Answers those whose requests are in the store now.
-    pub fn committed(&mut self, engine: &Engine) {
-        self.by_job.retain(|&job, waiters| {
+    /// Answers the requests that are committed now.
+    pub fn answer_committed(&mut self, engine: &Engine) {
+        self.by_job.retain(|&job, calls| {
             let state = engine.state(job);
             let ended = state.is_some_and(JobState::is_final);
-            let kept = engine.is_kept(job) == Some(true);
-            let ready = |w: &mut Waiter| if w.verb == Verb::Submit { kept } else { ended };
-            for w in waiters.extract_if(.., ready) {
+            let durable = engine.is_durable(job) == Some(true);
+            let ready = |w: &mut WaitingCall| if w.verb == Verb::Submit { durable } else { ended };
+            for w in calls.extract_if(.., ready) {
                 w.answer(engine, job, Said::Done);
             }
-            !waiters.is_empty()
+            !calls.is_empty()
         });
     }
 
-    /// Tells those that have waited for too long that nothing was done, if that is so, or that
-    /// the effect is not known, or the state as it is in the store.
-    pub fn give_up(&mut self, engine: &mut Engine, now: Millis) {
+    /// Answers the requests whose deadline has passed: with `Unavailable` if the job was not sent
+    /// to the store, otherwise with `Unsure`, or with the committed state.
+    pub fn answer_expired(&mut self, engine: &mut Engine, now: Millis) {
         if self.by_job.is_empty() {
             return;
         }
         let mut unsent = Vec::new();
-        self.by_job.retain(|&job, waiters| {
-            let late = |w: &Waiter| w.until <= now;
-            if waiters.iter().any(|w| w.verb == Verb::Submit && late(w)) && engine.withdraw(job) {
+        self.by_job.retain(|&job, calls| {
+            let expired = |w: &WaitingCall| w.deadline <= now;
+            if calls.iter().any(|w| w.verb == Verb::Submit && expired(w)) && engine.withdraw(job) {
                 unsent.push(job);
                 return true;
             }
-            for w in waiters.extract_if(.., |w| late(w)) {
+            for w in calls.extract_if(.., |w| expired(w)) {
                 w.answer(engine, job, Said::Unsure);
             }
-            !waiters.is_empty()
+            !calls.is_empty()
         });
         unsent.into_iter().for_each(|job| self.refuse(job));
     }
 
-    /// Refuses all that wait for a job that was taken back.
+    /// Refuses all requests for a job that was withdrawn.
     pub fn refuse(&mut self, job: JobId) {
         for w in self.by_job.remove(&job).unwrap_or_default() {
             w.reply.send(w.id, Said::Unavailable, 0);
         }
     }
 
-    /// Sends all to the next owner.
-    pub fn fail_all(&mut self) {
-        for w in self.by_job.drain().flat_map(|(_, waiters)| waiters) {
+    /// Answers all waiting calls with `Deposed` because this owner has lost the partition.
+    pub fn answer_deposed(&mut self) {
+        for w in self.by_job.drain().flat_map(|(_, calls)| calls) {
             w.reply.send(w.id, Said::Deposed, 0);
         }
     }
 }
 
 /// Returns how long a call may wait for the store.
-pub fn patience(call: &Call) -> Millis {
+pub fn call_timeout(call: &Call) -> Millis {
     match (call.verb(), call.limit_ms) {
-        (Verb::State, _) => STATE_WITHIN,
-        (_, 0) => UNTOLD,
-        (_, ms) => Millis(ms).since(WAY_BACK),
+        (Verb::State, _) => MAX_STATE_WAIT,
+        (_, 0) => DEFAULT_CALL_TIMEOUT,
+        (_, ms) => Millis(ms).since(ANSWER_MARGIN),
     }
 }
 
@@ -162,9 +163,9 @@
         }
     };
     match engine.submit(job, &call.account, &call.queue, spec, now) {
-        SubmitAnswer::Kept => Some(Said::Done),
+        SubmitAnswer::Durable => Some(Said::Done),
         SubmitAnswer::Pending => None,
-        SubmitAnswer::NoQueue => Some(Said::NoQueue),
-        SubmitAnswer::NotYours => Some(Said::NotYours),
+        SubmitAnswer::UnknownQueue => Some(Said::NoQueue),
+        SubmitAnswer::OtherAccount => Some(Said::NotYours),
     }
 }
--- a/crates/hollowford-node/src/delegate_wire/convert.rs
+++ b/crates/hollowford-node/src/delegate_wire/convert.rs
@@ -1,7 +1,7 @@
-//! From calls to workers and their answers to messages, and back.
+//! Conversion between worker calls or their answers and messages.
 
 use super::*;
-use hollowford_adapter::Called;
+use hollowford_adapter::WorkerAnswer;
 use hollowford_core::Millis;
 use hollowford_jobs::{
     End, EndKind, Incarnation, JobId, Look, LookAnswer, Running, StartAnswer, StepKey, TaskKey,
@@ -22,19 +22,18 @@
 }
 
 impl Delegated {
-    /// Makes an empty frame of calls of the owner at `epoch`.
+    /// Creates an empty frame for calls of the owner with this epoch.
     pub fn new(epoch: u64) -> Delegated {
         Delegated { epoch, templates: Vec::new(), calls: Vec::new() }
     }
 
-    /// Adds a call.
     pub fn add(&mut self, id: u64, call: &WorkerCall, limit: Millis) {
         let what = match call {
             WorkerCall::Start { task, run, lease_until, template, saved, ticket, .. } => {
                 What::Start(StartCall {
                     run: TaskRun::new(*task, *run),
                     lease_until: *lease_until,
-                    template: self.template(template),
+                    template: self.template_index(template),
                     saved: saved.to_string(),
                     ticket: ticket.to_string(),
                 })
@@ -59,8 +58,8 @@
         });
     }
 
-    /// Returns the position of a template, which is added unless it was the last one.
-    fn template(&mut self, template: &Arc<str>) -> u32 {
+    /// Returns the index of a template. Adds it unless it equals the last one.
+    fn template_index(&mut self, template: &Arc<str>) -> u32 {
         if self.templates.last().is_none_or(|t| **t != **template) {
             self.templates.push(template.to_string());
         }
@@ -69,11 +68,11 @@
 }
 
 impl DelegatedCall {
-    /// Reads the call, with the templates of its frame.
+    /// Converts the message to a call, using the templates of its frame.
     ///
     /// # Errors
-    /// When a part is missing.
-    pub fn read(&self, templates: &[Arc<str>]) -> Result<WorkerCall, DelegateError> {
+    /// Returns an error if the operation is missing or the template is not in the frame.
+    pub fn parse(&self, templates: &[Arc<str>]) -> Result<WorkerCall, DelegateError> {
         let incarnation = self.incarnation.map(Incarnation);
         let worker = WorkerLife::new(self.worker.as_str().into(), incarnation);
         let address = self.address.as_str().into();
@@ -111,27 +110,27 @@
 }
 
 impl Outcome {
-    /// Makes the outcome of a call.
-    pub fn new(id: u64, called: &Called) -> Outcome {
+    /// Creates the message for the outcome of a call.
+    pub fn new(id: u64, called: &WorkerAnswer) -> Outcome {
         let of = match called {
-            Called::Start(answer) => OutcomeOf::Start(start_outcome(answer)),
-            Called::Stop(answered) => OutcomeOf::Stop(*answered),
-            Called::Pace(answered) => OutcomeOf::Pace(*answered),
-            Called::Look(answer) => OutcomeOf::Look(look_outcome(answer)),
+            WorkerAnswer::Start(answer) => OutcomeOf::Start(start_outcome(answer)),
+            WorkerAnswer::Stop(answered) => OutcomeOf::Stop(*answered),
+            WorkerAnswer::Pace(answered) => OutcomeOf::Pace(*answered),
+            WorkerAnswer::Look(answer) => OutcomeOf::Look(look_outcome(answer)),
         };
         Outcome { id, of: Some(of) }
     }
 
-    /// Reads it.
+    /// Converts the message to the outcome of a call.
     ///
     /// # Errors
-    /// When it has no content.
-    pub fn read(self) -> Result<Called, DelegateError> {
+    /// Returns an error if the outcome is missing.
+    pub fn parse(self) -> Result<WorkerAnswer, DelegateError> {
         Ok(match self.of.ok_or(DelegateError::Empty)? {
-            OutcomeOf::Start(s) => Called::Start(start_answer(s)),
-            OutcomeOf::Stop(answered) => Called::Stop(answered),
-            OutcomeOf::Pace(answered) => Called::Pace(answered),
-            OutcomeOf::Look(l) => Called::Look(look_answer(l)),
+            OutcomeOf::Start(s) => WorkerAnswer::Start(start_answer(s)),
+            OutcomeOf::Stop(answered) => WorkerAnswer::Stop(answered),
+            OutcomeOf::Pace(answered) => WorkerAnswer::Pace(answered),
+            OutcomeOf::Look(l) => WorkerAnswer::Look(look_answer(l)),
         })
     }
 }
--- a/crates/hollowford-node/src/front.rs
+++ b/crates/hollowford-node/src/http_endpoints.rs
@@ -1,13 +1,13 @@
-//! Callers' HTTP.
+//! HTTP endpoints for callers, readiness probes and metrics.
 
 use crate::access::{self, Access};
-use crate::relay::{Relayed, relay};
+use crate::relay::{RelayOutcome, relay};
 use crate::shared::Shared;
 use crate::wire::{Call, Said, Verb};
 use futures::future::join_all;
 use hollowford_adapter::{
     CallerRequest, Config, READY_PATH, Route, client_credential, client_timeout, decode_job,
-    encode_state, encode_waiting, parse_request_path,
+    encode_job_state, encode_waiting_count, parse_request_path,
 };
 use hollowford_core::Millis;
 use hollowford_jobs::{JobId, JobState, encode_spec};
@@ -16,88 +16,88 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// How long a call is tried for whose caller doesn't tell how long it waits. Takeovers take less.
-const PATIENCE: Millis = Millis(2_500);
-/// Left of a caller's own time limit for the answer's way back.
-const WAY_BACK: Millis = Millis(60);
-/// When to come back after a refusal, in seconds.
-const RETRY_AFTER: &str = "1";
-/// A process that has not reached an owner for so long gets no new channels.
-const OWNER_OUT_OF_REACH: Millis = Millis(2_500);
+/// Time limit for calls whose caller sets none. It covers a takeover.
+const DEFAULT_CALL_TIMEOUT: Millis = Millis(2_500);
+/// Part of the caller's time limit that is reserved for returning the answer.
+const ANSWER_MARGIN: Millis = Millis(60);
+/// Value of the `Retry-After` header, in seconds.
+const RETRY_AFTER_SECONDS: &str = "1";
+/// A process that has not reached an owner for this long reports that it isn't ready.
+const OWNER_UNREACHABLE_TIMEOUT: Millis = Millis(2_500);
 
-/// Answers callers.
+/// Endpoint for callers.
 #[derive(Debug)]
-pub struct Front {
+pub struct CallerEndpoint {
     shared: Arc<Shared>,
 }
 
-impl Front {
-    /// Makes the endpoint.
-    pub fn new(shared: Arc<Shared>) -> Front {
-        Front { shared }
+impl CallerEndpoint {
+    pub fn new(shared: Arc<Shared>) -> CallerEndpoint {
+        CallerEndpoint { shared }
     }
 
     async fn answer(&self, mut req: Request) -> Response {
-        let began = self.shared.clock.now();
-        let limit = deadline(&req, began);
-        let call = match self.understand(&mut req).await {
+        let started_at = self.shared.clock.now();
+        let limit = deadline(&req, started_at);
+        let call = match self.parse_call(&mut req).await {
             Ok(call) => call,
             Err(status) => {
                 log::info!("call.refused path={} status={}", req.uri().path(), status.as_u16());
-                return self.plain(status, "refused", began);
+                return self.respond_empty(status, "refused", started_at);
             }
         };
         let (verb, job, config) = (call.verb(), JobId(call.job), call.config);
         let relayed = self.relay(call, limit).await;
-        let resp = self.respond(verb, relayed, began);
+        let resp = self.respond(verb, relayed, started_at);
         let status = resp.status();
         let changes = matches!(verb, Verb::Submit | Verb::Cancel);
         if changes || status.is_server_error() {
-            let took = self.shared.clock.now().since(began);
+            let took = self.shared.clock.now().since(started_at);
             log::info!(
                 "call.answered verb={} job={job} status={} config={config} owner={relayed:?} \
                  took_ms={} limit_ms={}",
                 verb.name(),
                 status.as_u16(),
                 took.0,
-                limit.since(began).0
+                limit.since(started_at).0
             );
         }
         resp
     }
 
-    /// Sends a call to the owner of its job's partition, or a count to all owners.
-    async fn relay(&self, call: Call, limit: Millis) -> Relayed {
+    /// Relays a call to the owner of the job's partition, or a count to all owners.
+    async fn relay(&self, call: Call, limit: Millis) -> RelayOutcome {
         if call.verb() == Verb::Waiting {
-            return self.count(call, limit).await;
+            return self.count_waiting(call, limit).await;
         }
         match self.shared.partition_of(&call.account, JobId(call.job)) {
             Some(partition) => relay(&self.shared, partition, call, limit).await,
-            None => Relayed::NotSent,
+            None => RelayOutcome::NotSent,
         }
     }
 
-    /// Adds up the counts of all partitions; if one of them isn't told, none is.
-    async fn count(&self, call: Call, limit: Millis) -> Relayed {
+    /// Returns the sum of the counts of all partitions, or the first failure.
+    async fn count_waiting(&self, call: Call, limit: Millis) -> RelayOutcome {
         let partitions = self.shared.partitions();
         let counts = partitions.iter().map(|p| relay(&self.shared, p, call.clone(), limit));
         let mut sum = None;
         for counted in join_all(counts).await {
             match counted {
-                Relayed::Said(Said::Value, n) => sum = Some(sum.unwrap_or(0) + n),
+                RelayOutcome::Said(Said::Value, n) => sum = Some(sum.unwrap_or(0) + n),
                 other => return other,
             }
         }
-        sum.map_or(Relayed::NotSent, |n| Relayed::Said(Said::Value, n))
+        sum.map_or(RelayOutcome::NotSent, |n| RelayOutcome::Said(Said::Value, n))
     }
 
-    /// Reads what the caller wants of the owner, or the status that refuses it.
-    async fn understand(&self, req: &mut Request) -> Result<Call, StatusCode> {
+    /// Parses a request into a call to the owner. Returns the status to answer if the request is
+    /// rejected.
+    async fn parse_call(&self, req: &mut Request) -> Result<Call, StatusCode> {
         let config = self.shared.config.load_full().ok_or(StatusCode::SERVICE_UNAVAILABLE)?;
         let (route, rest) = find_route(&config, req).ok_or(StatusCode::NOT_FOUND)?;
-        let what = parse_request_path(&rest).ok_or(StatusCode::BAD_REQUEST)?;
-        let mut call = self.identify(&config, route, req)?;
-        let CallerRequest::Job(JobId(job)) = what else {
+        let request = parse_request_path(&rest).ok_or(StatusCode::BAD_REQUEST)?;
+        let mut call = self.authorize(&config, route, req)?;
+        let CallerRequest::Job(JobId(job)) = request else {
             call.set_verb(Verb::Waiting);
             let get = *req.method() == Method::GET;
             return if get { Ok(call) } else { Err(StatusCode::METHOD_NOT_ALLOWED) };
@@ -110,14 +110,14 @@
             _ => return Err(StatusCode::METHOD_NOT_ALLOWED),
         });
         if call.verb() == Verb::Submit {
-            call.spec = read_job(req, JobId(job), config.limits.body_bytes).await?;
+            call.spec = read_job(req, JobId(job), config.limits.max_body_bytes).await?;
         }
         Ok(call)
     }
 
-    /// Begins a call with the client account that it is made for. An unknown key is refused at once,
-    /// unless this process knows that it is behind: then the owner decides.
-    fn identify(&self, config: &Config, route: &Route, req: &Request) -> Result<Call, StatusCode> {
+    /// Creates a call for the client account of the request. An unknown key is rejected at once,
+    /// unless this process knows that its configuration is outdated; then the owner decides.
+    fn authorize(&self, config: &Config, route: &Route, req: &Request) -> Result<Call, StatusCode> {
         let credential = client_credential(|name| req.header(name));
         let mut call =
             Call { queue: route.queue.to_string(), config: config.version, ..Call::default() };
@@ -130,49 +130,63 @@
         Ok(call)
     }
 
-    fn respond(&self, verb: Verb, relayed: Relayed, began: Millis) -> Response {
+    fn respond(&self, verb: Verb, relayed: RelayOutcome, started_at: Millis) -> Response {
         let verb_name = verb.name();
         match relayed {
-            Relayed::Said(Said::Done, _) => self.plain(StatusCode::OK, verb_name, began),
-            Relayed::Said(Said::Value, value) => {
+            RelayOutcome::Said(Said::Done, _) => {
+                self.respond_empty(StatusCode::OK, verb_name, started_at)
+            }
+            RelayOutcome::Said(Said::Value, value) => {
                 let body = if verb == Verb::State {
-                    state_of(value).map(encode_state)
+                    decode_state(value).map(encode_job_state)
                 } else {
-                    Some(encode_waiting(value))
+                    Some(encode_waiting_count(value))
                 };
                 match body {
-                    Some(body) => self.finish(StatusCode::OK, verb_name, began, body),
-                    None => self.plain(StatusCode::INTERNAL_SERVER_ERROR, verb_name, began),
+                    Some(body) => self.respond_with(StatusCode::OK, verb_name, started_at, body),
+                    None => {
+                        self.respond_empty(StatusCode::INTERNAL_SERVER_ERROR, verb_name, started_at)
+                    }
                 }
             }
-            Relayed::Said(Said::UnknownKey, _) => {
-                self.plain(StatusCode::UNAUTHORIZED, verb_name, began)
+            RelayOutcome::Said(Said::UnknownKey, _) => {
+                self.respond_empty(StatusCode::UNAUTHORIZED, verb_name, started_at)
+            }
+            RelayOutcome::Said(Said::NotYours, _) => {
+                self.respond_empty(StatusCode::CONFLICT, verb_name, started_at)
+            }
+            RelayOutcome::Said(Said::NoJob, _) => {
+                self.respond_empty(StatusCode::GONE, verb_name, started_at)
             }
-            Relayed::Said(Said::NotYours, _) => self.plain(StatusCode::CONFLICT, verb_name, began),
-            Relayed::Said(Said::NoJob, _) => self.plain(StatusCode::GONE, verb_name, began),
-            Relayed::Said(Said::Unavailable, _) | Relayed::NotSent => {
-                self.plain(StatusCode::SERVICE_UNAVAILABLE, verb_name, began)
+            RelayOutcome::Said(Said::Unavailable, _) | RelayOutcome::NotSent => {
+                self.respond_empty(StatusCode::SERVICE_UNAVAILABLE, verb_name, started_at)
             }
-            Relayed::Said(..) | Relayed::Unsure => {
-                self.plain(StatusCode::GATEWAY_TIMEOUT, verb_name, began)
+            RelayOutcome::Said(..) | RelayOutcome::Unsure => {
+                self.respond_empty(StatusCode::GATEWAY_TIMEOUT, verb_name, started_at)
             }
         }
     }
 
-    fn plain(&self, status: StatusCode, verb: &str, began: Millis) -> Response {
-        self.finish(status, verb, began, "{}".to_owned())
+    fn respond_empty(&self, status: StatusCode, verb: &str, started_at: Millis) -> Response {
+        self.respond_with(status, verb, started_at, "{}".to_owned())
     }
 
-    fn finish(&self, status: StatusCode, verb: &str, began: Millis, body: String) -> Response {
+    fn respond_with(
+        &self,
+        status: StatusCode,
+        verb: &str,
+        started_at: Millis,
+        body: String,
+    ) -> Response {
         let m = &self.shared.metrics;
         m.calls.with_label_values(&[verb, status.as_str()]).inc();
-        let took = self.shared.clock.now().since(began);
+        let took = self.shared.clock.now().since(started_at);
         m.call_seconds.observe(took.duration().as_secs_f64());
         let mut resp =
             Response::builder().status(status).content_type("application/json").body(body);
         if status == StatusCode::SERVICE_UNAVAILABLE {
             resp.headers_mut()
-                .insert(header::RETRY_AFTER, header::HeaderValue::from_static(RETRY_AFTER));
+                .insert(header::RETRY_AFTER, header::HeaderValue::from_static(RETRY_AFTER_SECONDS));
         }
         if self.shared.is_stopping() {
             resp.headers_mut()
@@ -182,40 +196,40 @@
     }
 }
 
-/// Counts a request as open for as long as it lives, also when its caller goes away.
-struct OpenCall<'a>(&'a Shared);
+/// Counts a request as open until it is dropped, including when the caller disconnects.
+struct OpenCallGuard<'a>(&'a Shared);
 
-impl OpenCall<'_> {
-    fn new(shared: &Shared) -> OpenCall<'_> {
+impl OpenCallGuard<'_> {
+    fn new(shared: &Shared) -> OpenCallGuard<'_> {
         shared.open_calls.fetch_add(1, Ordering::Relaxed);
-        OpenCall(shared)
+        OpenCallGuard(shared)
     }
 }
 
-impl Drop for OpenCall<'_> {
+impl Drop for OpenCallGuard<'_> {
     fn drop(&mut self) {
         self.0.open_calls.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-impl Endpoint for Front {
+impl Endpoint for CallerEndpoint {
     type Output = Response;
 
     async fn call(&self, req: Request) -> poem::Result<Response> {
-        let _open = OpenCall::new(&self.shared);
+        let _open = OpenCallGuard::new(&self.shared);
         Ok(self.answer(req).await)
     }
 }
 
-/// Returns until when a call is tried for.
+/// Returns when the call's time limit ends.
 fn deadline(req: &Request, now: Millis) -> Millis {
     let limit = client_timeout(|name| req.header(name));
-    now + limit.map_or(PATIENCE, |l| l.since(WAY_BACK))
+    now + limit.map_or(DEFAULT_CALL_TIMEOUT, |l| l.since(ANSWER_MARGIN))
 }
 
-/// Reads a job that is handed in, or the status that refuses it.
-async fn read_job(req: &mut Request, job: JobId, most: usize) -> Result<Vec<u8>, StatusCode> {
-    let body = req.take_body().into_bytes_limit(most).await;
+/// Reads the body of a submitted job. Returns the status to answer if the job is rejected.
+async fn read_job(req: &mut Request, job: JobId, max_bytes: usize) -> Result<Vec<u8>, StatusCode> {
+    let body = req.take_body().into_bytes_limit(max_bytes).await;
     let body = body.map_err(|_| StatusCode::PAYLOAD_TOO_LARGE)?;
     let spec = decode_job(&body).map_err(|e| {
         log::info!("job.invalid job={job} error=\"{e}\"");
@@ -224,7 +238,7 @@
     Ok(encode_spec(&spec))
 }
 
-/// Finds the route with the longest prefix of the path, and what follows the prefix.
+/// Returns the route with the longest matching prefix and the rest of the path.
 fn find_route<'a>(config: &'a Config, req: &Request) -> Option<(&'a Route, String)> {
     let host = req.header(header::HOST)?;
     let host = host.split(':').next()?;
@@ -234,30 +248,29 @@
     Some((route, path[route.prefix.len()..].to_owned()))
 }
 
-/// Reads a state that the owner told.
-fn state_of(value: u64) -> Option<JobState> {
+/// Decodes a job state sent by the owner.
+fn decode_state(value: u64) -> Option<JobState> {
     JobState::from_code(u32::try_from(value).ok()?).ok()
 }
 
-/// Answers the balancer.
+/// Endpoint for the load balancer's readiness probes.
 #[derive(Debug)]
-pub struct Readiness {
+pub struct ReadinessEndpoint {
     shared: Arc<Shared>,
 }
 
-impl Readiness {
-    /// Makes the endpoint.
-    pub fn new(shared: Arc<Shared>) -> Readiness {
-        Readiness { shared }
+impl ReadinessEndpoint {
+    pub fn new(shared: Arc<Shared>) -> ReadinessEndpoint {
+        ReadinessEndpoint { shared }
     }
 }
 
-impl Endpoint for Readiness {
+impl Endpoint for ReadinessEndpoint {
     type Output = Response;
 
     async fn call(&self, req: Request) -> poem::Result<Response> {
         let s = &self.shared;
-        let reached = s.owners_age() < OWNER_OUT_OF_REACH;
+        let reached = s.max_owner_contact_age() < OWNER_UNREACHABLE_TIMEOUT;
         let ready = s.config_version() > 0 && !s.is_stopping() && reached;
         let status = match req.uri().path() {
             READY_PATH if ready => StatusCode::OK,
@@ -268,24 +281,23 @@
     }
 }
 
-/// Answers questions for the metrics.
+/// Endpoint for Prometheus metrics.
 #[derive(Debug)]
-pub struct MetricsPage {
+pub struct MetricsEndpoint {
     shared: Arc<Shared>,
 }
 
-impl MetricsPage {
-    /// Makes the endpoint.
-    pub fn new(shared: Arc<Shared>) -> MetricsPage {
-        MetricsPage { shared }
+impl MetricsEndpoint {
+    pub fn new(shared: Arc<Shared>) -> MetricsEndpoint {
+        MetricsEndpoint { shared }
     }
 }
 
-impl Endpoint for MetricsPage {
+impl Endpoint for MetricsEndpoint {
     type Output = Response;
 
     async fn call(&self, _req: Request) -> poem::Result<Response> {
-        self.shared.metrics.set_log_dropped(crate::logs::dropped());
+        self.shared.metrics.set_log_dropped(crate::logs::dropped_lines());
         Ok(match self.shared.metrics.text() {
             Ok(text) => Response::builder().content_type("text/plain; version=0.0.4").body(text),
             Err(e) => {
--- a/crates/hollowford-node/src/lib.rs
+++ b/crates/hollowford-node/src/lib.rs
@@ -1,6 +1,7 @@
-//! A process on the users' platform: entry for callers, adviser, and owner in its turn.
+//! The hollowford node process: it serves callers, requests advice, and owns partitions.
 //!
-//! Its duties are tasks of one thread, joined by bounded channels; see docs/PLATFORM.md.
+//! Its duties run as tasks on one thread and communicate through bounded channels; see
+//! docs/PLATFORM.md.
 
 mod access;
 #[cfg(test)]
@@ -8,12 +9,21 @@
 mod announce;
 #[cfg(test)]
 mod announce_tests;
+mod assignment;
+#[cfg(test)]
+mod assignment_tests;
 mod batches;
 mod callers;
 mod calls;
-mod config_told;
+mod compression;
+#[cfg(test)]
+mod compression_tests;
+mod config_freshness;
 #[cfg(test)]
-mod config_told_tests;
+mod config_freshness_tests;
+mod config_watch;
+#[cfg(test)]
+mod config_watch_tests;
 mod delegate;
 mod delegate_wire;
 #[cfg(test)]
@@ -21,11 +31,7 @@
 mod delegation;
 #[cfg(test)]
 mod delegation_tests;
-mod front;
-mod giving_up;
-mod homes;
-#[cfg(test)]
-mod homes_tests;
+mod http_endpoints;
 mod inbox;
 mod lane;
 mod link;
@@ -33,6 +39,8 @@
 mod link_tests;
 mod load;
 pub mod logs;
+#[cfg(test)]
+mod mass_join_tests;
 mod member;
 #[cfg(test)]
 mod member_tests;
@@ -44,15 +52,12 @@
 mod owner;
 mod owner_row;
 mod ownership;
-mod packed;
-#[cfg(test)]
-mod packed_tests;
 mod partition;
 mod peers;
 mod plan;
 #[cfg(test)]
 mod plan_tests;
-mod reach;
+mod reachability;
 mod registry;
 #[cfg(test)]
 mod registry_tests;
@@ -63,19 +68,15 @@
 mod retries;
 #[cfg(test)]
 mod retries_tests;
-#[cfg(test)]
-mod settling_tests;
 mod shared;
 #[cfg(test)]
 mod shared_tests;
-mod succession;
-#[cfg(test)]
-mod succession_tests;
+mod step_down;
 #[cfg(test)]
 mod suspension_tests;
-mod watch;
+mod takeover;
 #[cfg(test)]
-mod watch_tests;
+mod takeover_tests;
 mod wire;
 mod worker_changes;
 mod writer;
@@ -83,4 +84,4 @@
 mod writer_tests;
 
 pub use node::{NodeError, NodeOptions, run};
-pub use plan::WORKERS_EACH;
+pub use plan::DEFAULT_WORKERS_PER_PARTITION;
--- a/crates/hollowford-node/src/load.rs
+++ b/crates/hollowford-node/src/load.rs
@@ -1,64 +1,72 @@
-//! What a new owner starts from: the partition's rows.
+//! Loads a partition's rows and recovers the engine of a new owner from them.
 
 use crate::lane::lane_versions;
-use crate::owner::Start;
-use crate::owner_row::{OWNER_KEY, RETRY, TABLE, read_owner};
-use crate::partition::Cx;
+use crate::owner::RecoveredState;
+use crate::owner_row::{OWNER_KEY, RETRY_PAUSE, SYSTEM_TABLE, decode_owner};
+use crate::partition::PartitionContext;
 use crate::wire::OwnerInfo;
-use hollowford_adapter::Feed;
+use hollowford_adapter::VersionedRows;
 use hollowford_core::Millis;
 use hollowford_jobs::Engine;
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Longest time for reading the partition's rows.
-const LOAD_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// An owner that lives for so long after an outage of the store has written all that it knew.
-const OUTAGE_COUNTS_FOR: Millis = Millis(2_000);
-/// An owner without the partition's rows for so long gives it up.
-const LOAD_PATIENCE: Millis = Millis(4_000);
+/// Timeout of one attempt to read the partition's rows.
+const LOAD_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// How long an outage of the store matters after its end: the previous owner may have lost changes
+/// that it could not write. An owner that survives the outage by this time has written them all.
+const RECENT_OUTAGE_WINDOW: Millis = Millis(2_000);
+/// An owner that can't read the partition's rows within this time gives the partition up.
+const MAX_LOAD_TIME: Millis = Millis(4_000);
 
-/// Reads what the store holds of the partition.
-pub async fn load(cx: &Cx, info: &OwnerInfo) -> Option<Start> {
-    let began = cx.shared.clock.now();
+/// Loads the partition's rows and recovers the owner's state. Returns `None` if the rows can't be
+/// read or another process owns the partition.
+pub async fn load(cx: &PartitionContext, info: &OwnerInfo) -> Option<RecoveredState> {
+    let started_at = cx.shared.clock.now();
     loop {
-        match cx.shared.store.read_all(TABLE, &cx.partition.part, LOAD_TIMEOUT).await {
+        match cx.shared.store.read_all(SYSTEM_TABLE, &cx.partition.part, LOAD_ATTEMPT_TIMEOUT).await
+        {
             Ok(feed) => {
-                cx.shared.note_store();
-                return start_from(cx, info, feed);
+                cx.shared.record_store_answer();
+                return recover_state(cx, info, feed);
             }
             Err(e) => log::warn!("owner.load failed epoch={} error=\"{e}\"", info.epoch),
         }
-        if cx.shared.clock.now().since(began) > LOAD_PATIENCE {
+        if cx.shared.clock.now().since(started_at) > MAX_LOAD_TIME {
             return None;
         }
-        sleep(RETRY).await;
+        sleep(RETRY_PAUSE).await;
     }
 }
 
-fn start_from(cx: &Cx, info: &OwnerInfo, feed: Feed) -> Option<Start> {
+fn recover_state(
+    cx: &PartitionContext,
+    info: &OwnerInfo,
+    feed: VersionedRows,
+) -> Option<RecoveredState> {
     let owner = feed.rows.iter().find(|r| r.key == OWNER_KEY)?;
     let lanes = lane_versions(&feed.rows);
-    let holder = read_owner(owner)?.owner?;
-    if holder != *info {
-        cx.partition.note_owner_info(&holder);
+    let current_owner = decode_owner(owner)?.owner?;
+    if current_owner != *info {
+        cx.partition.record_owner(&current_owner);
         return None;
     }
-    let offset = feed.now.0 as i64 - cx.shared.clock.now().0 as i64;
-    let mut engine = Engine::new(info.epoch, cx.shared.settings_changed.borrow().bounds, feed.now);
-    engine.set_unix_offset(cx.shared.clock.unix() as i64 - feed.now.0 as i64);
+    let clock_offset = feed.now.0 as i64 - cx.shared.clock.now().0 as i64;
+    let mut engine =
+        Engine::new(info.epoch, cx.shared.settings_changed.borrow().time_limits, feed.now);
+    engine.set_unix_offset(cx.shared.clock.unix_ms() as i64 - feed.now.0 as i64);
     if let Some(config) = cx.shared.config.load_full() {
         engine.set_queues(&config.queues, feed.now);
         let accounts = config.accounts.as_deref().unwrap_or_default();
         engine.set_accounts(accounts);
     }
-    if cx.shared.had_outage_within(OUTAGE_COUNTS_FOR) {
-        engine.note_outage_before();
+    if cx.shared.had_outage_within(RECENT_OUTAGE_WINDOW) {
+        engine.set_store_outage_before();
     }
     let rows: Vec<_> = feed.rows.into_iter().map(|r| (r.key, r.value)).collect();
     match engine.recover(&rows, feed.now) {
-        Ok(found) => log::info!(
-            "owner.recovered partition={} epoch={} {found:?}",
+        Ok(recovered) => log::info!(
+            "owner.recovered partition={} epoch={} {recovered:?}",
             info.partition,
             info.epoch
         ),
@@ -67,5 +75,5 @@
             return None;
         }
     }
-    Some(Start { info: info.clone(), lanes, engine, offset })
+    Some(RecoveredState { info: info.clone(), lanes, engine, clock_offset })
 }
--- a/crates/hollowford-node/src/members.rs
+++ b/crates/hollowford-node/src/members.rs
@@ -1,31 +1,32 @@
-//! The processes that have a link to the owner.
+//! The owner's members: the processes that have a link to it.
 
 mod heartbeats;
 
+use crate::assignment::{advice_partition, process_order};
 use crate::delegation::Delegate;
-use crate::homes::{home_of_seat, preference};
 use crate::link::Outbox;
 use crate::wire::{Ask, Body, ConfigRow, HandOver, Hello, MemberBeat, OwnerInfo};
 use crate::worker_changes::WorkerChanges;
-use heartbeats::HEARTBEAT;
+use heartbeats::BASE_HEARTBEAT_INTERVAL;
 use hollowford_core::Millis;
-use hollowford_jobs::{Seat, StepKey};
+use hollowford_jobs::{AdviceChannel, StepKey};
 use std::cmp::Reverse;
 use std::sync::Arc;
 
-/// A member that was not heard for so many heartbeats gets no work.
-const SILENT_BEATS: u64 = 9;
-/// A member that the store has answered within this time is served by it, when members are asked
-/// to find out.
-const SERVED: Millis = Millis(500);
-/// The same for members that are not asked: they read the configuration every 3 s.
-const SERVED_LATELY: Millis = Millis(3_500);
-/// An instance is much larger than another from this part of its processors on, in percent.
-const LARGER_PERCENT: u32 = 150;
-/// Longest time for a call for advice that a member makes.
-const ASK_TIMEOUT_MS: u64 = 3_000;
-
-/// Tells one link to the owner from another, also of the same member.
+/// Heartbeats that a member may miss before it gets no more work.
+const MAX_MISSED_HEARTBEATS: u64 = 9;
+/// Time since a member's last store answer up to which the store counts as serving it, while
+/// members probe the store on the owner's request.
+const MAX_PROBED_STORE_AGE: Millis = Millis(500);
+/// Value of [`MAX_PROBED_STORE_AGE`] while members don't probe on request: they then call the store
+/// every 3 s.
+const MAX_STORE_AGE: Millis = Millis(3_500);
+/// A member is much larger if its CPU share is at least this percentage of the owner's.
+const MIN_LARGER_PERCENT: u32 = 150;
+/// Time limit of an advice call that a member makes.
+const ADVICE_TIMEOUT_MS: u64 = 3_000;
+
+/// Identifies one link to the owner. A member that reconnects gets a new one.
 pub type LinkId = u64;
 
 #[derive(Debug)]
@@ -34,140 +35,147 @@
     address: Arc<str>,
     zone: Arc<str>,
     cpu_milli: u32,
-    /// When its process was started, by the owner's clock.
-    since: Millis,
+    /// When the member's process started, by the owner's clock.
+    started_at: Millis,
     outbox: Outbox,
-    heard: Millis,
+    last_heard: Millis,
+    /// Time since the store answered the member, as of its last heartbeat.
     store_age: Millis,
     stopping: bool,
-    /// How many partitions it owns.
-    owned: u32,
-    /// Version of the configuration that it has, once it has told.
-    config: Option<u64>,
-    /// Version of the configuration that was sent to it last; 0: none was.
-    config_sent: u64,
-    /// Which order of members it was told last.
-    order_told: u64,
-    /// When it was sent a heartbeat last.
-    beat_sent: Millis,
-    /// How soon after that one the next was said to come.
-    pace_told: Millis,
+    /// Number of partitions that the member owns.
+    owned_partitions: u32,
+    /// Version of the member's configuration; `None` until it has reported one.
+    config_version: Option<u64>,
+    /// Version of the configuration last sent to the member; 0 if none was.
+    sent_config_version: u64,
+    /// [`Members::order_number`] of the takeover order last sent to the member.
+    sent_order_number: u64,
+    /// When the last heartbeat was sent to the member.
+    heartbeat_sent_at: Millis,
+    /// Heartbeat interval announced with that heartbeat.
+    announced_interval: Millis,
 }
 
 impl Member {
-    /// Returns what one more partition would get of its processor, in thousandths of a core.
+    /// Returns the CPU that one more partition would get on this member, in thousandths of a core.
     fn share(&self) -> u32 {
-        self.cpu_milli / (self.owned + 1)
+        self.cpu_milli / (self.owned_partitions + 1)
     }
 
-    /// Returns its place among those that take over: the largest first, then the one that has run
+    /// Returns the sort key of the takeover order: larger members first, then those that have run
     /// longest.
     fn takeover_order(&self) -> (Reverse<u32>, Millis, &str) {
-        (Reverse(self.cpu_milli), self.since, &self.address)
+        (Reverse(self.cpu_milli), self.started_at, &self.address)
     }
 }
 
-/// What the owner knows of the configuration.
+/// The configuration that the owner knows.
 #[derive(Clone, Copy, Debug)]
-pub struct ConfigKnown {
-    /// Its version.
+pub struct KnownConfig {
+    /// Version of the configuration.
     pub version: u64,
-    /// Time since the owner read it in the store.
+    /// Time since the owner read it from the store.
     pub age: Millis,
 }
 
-/// The members.
+/// The members of one owner, in takeover order.
 #[derive(Debug)]
 pub struct Members {
     owner: OwnerInfo,
-    /// How many partitions there are.
+    /// Number of partitions in the cell.
     partitions: u32,
     list: Vec<Member>,
-    /// When it was looked last whose heartbeat is due.
-    looked: Millis,
-    /// When the round of heartbeats that is under way began.
-    round_began: Millis,
+    /// When the members were last checked for due heartbeats.
+    due_checked_at: Millis,
+    /// When the current round of heartbeats started.
+    round_started_at: Millis,
+    /// The store doesn't answer the owner, so members are asked to probe it.
     store_lost: bool,
+    /// Time of the last event, by the owner's clock.
     now: Millis,
-    had_any: bool,
-    /// The members that take over first, as heartbeats name them.
+    had_members: bool,
+    /// Addresses of the members that take over first, as named in heartbeats.
     order: Vec<String>,
-    /// Counts the changes of that, from 1.
+    /// Incremented with each change of `order`, from 1.
     order_number: u64,
 }
 
 impl Members {
-    /// Makes an empty list.
+    /// Creates an empty list.
     pub fn new(owner: OwnerInfo, partitions: u32) -> Members {
         Members {
             owner,
             partitions,
             list: Vec::new(),
-            looked: Millis(0),
-            round_began: Millis(0),
+            due_checked_at: Millis(0),
+            round_started_at: Millis(0),
             store_lost: false,
             now: Millis(0),
-            had_any: false,
+            had_members: false,
             order: Vec::new(),
             order_number: 0,
         }
     }
 
-    /// Adds a member, in the place of an earlier link from its address. The others hear of it with
-    /// their next heartbeat: where hundreds of links open at once, one more costs what the first did.
+    /// Adds a member, replacing an earlier link from the same address. The other members learn of
+    /// it with their next heartbeat, so that the cost of a join doesn't grow with the number of
+    /// members: hundreds of links may open at once.
     pub fn join(&mut self, link: LinkId, hello: Hello, outbox: Outbox, now: Millis) {
         self.now = now;
         self.list.retain(|m| *m.address != hello.address);
-        self.had_any = true;
+        self.had_members = true;
         let member = Member {
             link,
             address: hello.address.into(),
             zone: hello.zone.into(),
             cpu_milli: hello.cpu_milli,
-            since: now - Millis(hello.age_ms),
+            started_at: now - Millis(hello.age_ms),
             outbox,
-            heard: now,
+            last_heard: now,
             store_age: Millis(0),
             stopping: false,
-            owned: 0,
-            config: None,
-            config_sent: 0,
-            order_told: 0,
-            beat_sent: now,
-            pace_told: HEARTBEAT,
+            owned_partitions: 0,
+            config_version: None,
+            sent_config_version: 0,
+            sent_order_number: 0,
+            heartbeat_sent_at: now,
+            announced_interval: BASE_HEARTBEAT_INTERVAL,
         };
         let at = self.list.partition_point(|m| m.takeover_order() < member.takeover_order());
         self.list.insert(at, member);
     }
 
-    /// Removes the member of a link that has ended.
+    /// Removes the member whose link has ended.
     pub fn leave(&mut self, link: LinkId) {
         self.list.retain(|m| m.link != link);
     }
 
-    /// Tells whether there ever was a member.
-    pub fn had_any(&self) -> bool {
-        self.had_any
+    /// Returns true if a member ever joined.
+    pub fn had_members(&self) -> bool {
+        self.had_members
     }
 
-    /// Takes note of a member's heartbeat.
-    pub fn beat(&mut self, link: LinkId, beat: &MemberBeat, now: Millis) {
+    pub fn record_heartbeat(&mut self, link: LinkId, heartbeat: &MemberBeat, now: Millis) {
         self.now = now;
         if let Some(m) = self.list.iter_mut().find(|m| m.link == link) {
-            m.heard = now;
-            m.store_age = Millis(beat.store_age_ms);
-            m.stopping = beat.stopping;
-            m.owned = beat.owned;
-            m.config = Some(beat.config);
+            m.last_heard = now;
+            m.store_age = Millis(heartbeat.store_age_ms);
+            m.stopping = heartbeat.stopping;
+            m.owned_partitions = heartbeat.owned;
+            m.config_version = Some(heartbeat.config);
         }
     }
 
-    /// Returns the seats for calls for advice, this process first. Each member makes the calls
-    /// of one partition, since the service takes one call of an instance at a time.
-    pub fn seats(&self) -> Vec<Seat> {
-        let here = Seat { address: "".into() };
-        let ours = |m: &&Member| home_of_seat(&m.address, self.partitions) == self.owner.partition;
-        let others = self.live().filter(ours).map(|m| Seat { address: m.address.clone() });
+    /// Returns the channels for advice calls, that of this process first. Each member makes the
+    /// calls of one partition only, since the service accepts one call per instance at a time.
+    pub fn advice_channels(&self) -> Vec<AdviceChannel> {
+        let here = AdviceChannel { address: "".into() };
+        let of_this_partition =
+            |m: &&Member| advice_partition(&m.address, self.partitions) == self.owner.partition;
+        let others = self
+            .live()
+            .filter(of_this_partition)
+            .map(|m| AdviceChannel { address: m.address.clone() });
         std::iter::once(here).chain(others).collect()
     }
 
@@ -182,70 +190,72 @@
         self.live().map(delegate).collect()
     }
 
-    /// Has a member make a call for advice. Tells whether it was sent.
-    pub fn ask(&self, address: &str, step: StepKey, workers: Vec<String>) -> bool {
+    /// Asks a member to make an advice call. Returns true if the request was sent.
+    pub fn request_advice(&self, address: &str, step: StepKey, workers: Vec<String>) -> bool {
         let Some(m) = self.list.iter().find(|m| &*m.address == address) else { return false };
-        let ask = Ask { step: step.to_string(), workers, timeout_ms: ASK_TIMEOUT_MS };
+        let ask = Ask { step: step.to_string(), workers, timeout_ms: ADVICE_TIMEOUT_MS };
         m.outbox.send(Body::Ask(ask))
     }
 
     fn live(&self) -> impl Iterator<Item = &Member> {
-        let silent = Millis(self.every().0 * SILENT_BEATS);
-        self.list.iter().filter(move |m| !m.stopping && self.now.since(m.heard) < silent)
+        let silent_after = Millis(self.interval().0 * MAX_MISSED_HEARTBEATS);
+        self.list.iter().filter(move |m| !m.stopping && self.now.since(m.last_heard) < silent_after)
     }
 
-    /// Names the live member with the most processor for the partition as the next owner.
-    /// Of equal ones a stopping owner names the youngest: where processes are restarted in
-    /// turn, its turn is over. One that is `moving` names one by the partition, so that owners
-    /// that move together don't meet again. Returns its address.
-    pub fn hand_over(&self, rev: u64, moving: bool) -> Option<Arc<str>> {
+    /// Hands the partition over to the live member with the most CPU for it, preferring members
+    /// that the store serves, and returns its address. Of equal members a stopping owner chooses
+    /// the one started last: in a rolling restart it has already been restarted. If `is_moving`,
+    /// the choice among equal members depends on the partition, so that owners which move at the
+    /// same time choose different members.
+    pub fn hand_over(&self, rev: u64, is_moving: bool) -> Option<Arc<str>> {
         let order = |m: &&Member| {
-            let by_partition = preference(&m.address, self.owner.partition);
-            let tie = if moving { by_partition } else { m.since.0 };
-            (m.store_age < SERVED_LATELY, m.share(), tie)
+            let by_partition = process_order(&m.address, self.owner.partition);
+            let tie_break = if is_moving { by_partition } else { m.started_at.0 };
+            (m.store_age < MAX_STORE_AGE, m.share(), tie_break)
         };
         let next = self.live().max_by_key(order)?;
         next.outbox.send(Body::HandOver(HandOver { rev }));
         Some(next.address.clone())
     }
 
-    /// Sends the configuration in `row` to the members that have told of an older one than
-    /// `version`, to each once: a link loses nothing, and a configuration of a thousand routes may
-    /// take longer to arrive than the member's next heartbeat. While one is on its way no other
-    /// follows, or quick changes would fill the link.
+    /// Sends the configuration in `row` to the members that have reported a version older than
+    /// `version`, once to each: links are reliable, and a configuration with a thousand routes may
+    /// arrive later than the member's next heartbeat. Nothing newer is sent while one is in
+    /// transit, since frequent changes would saturate the link.
     pub fn send_config(&mut self, version: u64, row: &ConfigRow) {
         for m in &mut self.list {
-            let Some(has) = m.config else { continue };
-            let on_its_way = has < m.config_sent;
-            if has < version && !on_its_way && m.outbox.send(Body::Config(row.clone())) {
-                m.config_sent = version;
+            let Some(reported_version) = m.config_version else { continue };
+            let in_transit = reported_version < m.sent_config_version;
+            if reported_version < version && !in_transit && m.outbox.send(Body::Config(row.clone()))
+            {
+                m.sent_config_version = version;
             }
         }
     }
 
-    /// Sends changes of the list of workers to the members that own partitions.
-    pub fn send_workers(&self, changes: &WorkerChanges) {
-        for m in self.list.iter().filter(|m| m.owned > 0) {
-            // A link that has ended: that owner reads the list itself.
+    /// Sends worker list changes to the members that own partitions.
+    pub fn send_worker_changes(&self, changes: &WorkerChanges) {
+        for m in self.list.iter().filter(|m| m.owned_partitions > 0) {
+            // If the link has ended, that owner reads the list from the store itself.
             m.outbox.send(Body::Workers(changes.clone()));
         }
     }
 
-    /// Tells whether a live member has much more of a core for the partition than `cpu_milli`
-    /// thousandths, and is served by the store.
+    /// Returns true if a live member that the store serves has a much larger CPU share for the
+    /// partition than `cpu_milli` thousandths of a core.
     pub fn any_larger_than(&self, cpu_milli: u32) -> bool {
-        let larger = |m: &Member| m.share() * 100 >= cpu_milli * LARGER_PERCENT;
-        self.live().any(|m| larger(m) && m.store_age < SERVED_LATELY)
+        let larger = |m: &Member| m.share() * 100 >= cpu_milli * MIN_LARGER_PERCENT;
+        self.live().any(|m| larger(m) && m.store_age < MAX_STORE_AGE)
     }
 
-    /// Tells whether the store serves a live member.
-    pub fn any_served(&self) -> bool {
-        self.live().any(|m| m.store_age < SERVED)
+    /// Returns true if the store serves a live member.
+    pub fn any_served_by_store(&self) -> bool {
+        self.live().any(|m| m.store_age < MAX_PROBED_STORE_AGE)
     }
 
-    /// Names a member that the store serves as the next owner. Tells whether there is one.
-    pub fn hand_over_to_served(&self) -> bool {
-        let served = self.live().filter(|m| m.store_age < SERVED);
+    /// Hands the partition over to a member that the store serves. Returns true if there was one.
+    pub fn hand_over_to_served_member(&self) -> bool {
+        let served = self.live().filter(|m| m.store_age < MAX_PROBED_STORE_AGE);
         let next = served.max_by_key(|m| (m.share(), Reverse(m.store_age)));
         next.is_some_and(|m| m.outbox.send(Body::HandOver(HandOver { rev: 0 })))
     }
--- a/crates/hollowford-node/src/metrics.rs
+++ b/crates/hollowford-node/src/metrics.rs
@@ -1,12 +1,13 @@
-//! Counters and histograms of a process.
+//! Prometheus metrics of a process.
 
 use prometheus::{
     Encoder, Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, IntGaugeVec, Opts,
     Registry, TextEncoder,
 };
 
-/// Bounds of the latency histograms, in seconds.
-const BUCKETS: &[f64] = &[0.002, 0.005, 0.01, 0.02, 0.04, 0.08, 0.15, 0.25, 0.5, 1.0, 2.5, 5.0];
+/// Bucket bounds of the latency histograms, in seconds.
+const LATENCY_BUCKETS_S: &[f64] =
+    &[0.002, 0.005, 0.01, 0.02, 0.04, 0.08, 0.15, 0.25, 0.5, 1.0, 2.5, 5.0];
 
 /// All metrics of a process.
 #[derive(Debug)]
@@ -16,53 +17,52 @@
     pub calls: IntCounterVec,
     /// Time from a caller's request to its answer.
     pub call_seconds: Histogram,
-    /// Relayed calls that were sent again to another owner.
+    /// Calls relayed again to another owner.
     pub relayed_again: IntCounter,
-    /// Epoch that this process owns a partition in, by partition; 0: it doesn't.
+    /// Epoch in which this process owns a partition, or 0 if it doesn't, by partition.
     pub owned_epoch: IntGaugeVec,
     /// Takeovers, by cause.
     pub takeovers: IntCounterVec,
-    /// Times that a partition changed its owner within a minute, by partition, as this process
-    /// became its owner last.
+    /// Changes of owner within the last minute when this process last became owner, by partition.
     pub owner_changes: IntGaugeVec,
-    /// Time from a takeover's write to the first decision.
+    /// Time from the write of a takeover to the first scheduling decision.
     pub takeover_seconds: Histogram,
     /// Batches, by outcome.
     pub batches: IntCounterVec,
-    /// Time that a batch takes.
+    /// Time to write a batch.
     pub batch_seconds: Histogram,
-    /// Calls to workers, by call and outcome.
+    /// Calls to workers, by operation and outcome.
     pub worker_calls: IntCounterVec,
-    /// Time that an answered start takes.
+    /// Time of a task start that the worker answered.
     pub start_seconds: Histogram,
-    /// Calls for advice made here, by outcome.
+    /// Calls to the advice service made by this process, by outcome.
     pub advice_calls: IntCounterVec,
     /// Version of the configuration in force.
     pub config_version: IntGauge,
     /// Jobs that have not ended, by partition, while this process owns it.
     pub open_jobs: IntGaugeVec,
-    /// Workers that may get tasks, by partition, while this process owns it.
+    /// Workers that can be assigned tasks, by partition, while this process owns it.
     pub usable_workers: IntGaugeVec,
-    /// Steps that wait, by partition and cause, while this process owns it.
+    /// Waiting steps, by partition and cause, while this process owns it.
     pub waiting_steps: IntGaugeVec,
-    /// Thousandths of a core that a client account with a quota holds, by partition and account,
-    /// while this process owns it.
+    /// CPU in use by client accounts with a quota, in thousandths of a core, by partition and
+    /// account, while this process owns it.
     pub account_used_milli: IntGaugeVec,
-    /// Share of workers' answers that were lost lately, in thousandths, by partition.
+    /// Share of workers' answers lost recently, in thousandths, by partition.
     pub lost_permille: IntGaugeVec,
     /// Workers that crashed, by partition.
     pub worker_crashes: IntCounterVec,
-    /// Jobs given up since their tasks crash their workers, by partition.
+    /// Jobs given up because their tasks crash their workers, by partition.
     pub crashing_jobs: IntCounterVec,
-    /// Log lines that were dropped since the writer was behind.
+    /// Log lines dropped because the writer thread could not keep up.
     log_dropped: IntCounter,
 }
 
 impl Metrics {
-    /// Makes the metrics.
+    /// Creates and registers the metrics.
     ///
     /// # Errors
-    /// When two of them have one name, which is a fault in the program.
+    /// Returns an error if two metrics have the same name, which is a programming error.
     pub fn new() -> Result<Metrics, prometheus::Error> {
         let r = Registry::new_custom(Some("hollowford_node".to_owned()), None)?;
         let counters = |name: &str, help: &str, labels: &[&str]| {
@@ -87,7 +87,7 @@
         };
         let gauges = |name: &str, help: &str| gauges_by(name, help, &["partition"]);
         let seconds = |name: &str, help: &str| {
-            let opts = HistogramOpts::new(name, help).buckets(BUCKETS.to_vec());
+            let opts = HistogramOpts::new(name, help).buckets(LATENCY_BUCKETS_S.to_vec());
             let h = Histogram::with_opts(opts)?;
             r.register(Box::new(h.clone()))?;
             Ok::<_, prometheus::Error>(h)
@@ -134,15 +134,15 @@
         })
     }
 
-    /// Brings the count of dropped log lines up to date.
+    /// Updates the count of dropped log lines.
     pub fn set_log_dropped(&self, dropped: u64) {
         self.log_dropped.inc_by(dropped.saturating_sub(self.log_dropped.get()));
     }
 
-    /// Writes all of them as text.
+    /// Returns all metrics in the Prometheus text format.
     ///
     /// # Errors
-    /// When a metric can't be written as text.
+    /// Returns an error if a metric can't be encoded.
     pub fn text(&self) -> Result<String, prometheus::Error> {
         let mut buf = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut buf)?;
--- a/crates/hollowford-node/src/node.rs
+++ b/crates/hollowford-node/src/node.rs
@@ -1,11 +1,11 @@
-//! Starts and stops the duties of a process.
+//! Starts and stops the tasks of a process.
 
-use crate::front::{Front, MetricsPage, Readiness};
+use crate::http_endpoints::{CallerEndpoint, MetricsEndpoint, ReadinessEndpoint};
 use crate::inbox::OwnerMsg;
 use crate::metrics::Metrics;
-use crate::partition::{Cx, Route};
+use crate::partition::{PartitionContext, Route};
 use crate::shared::Shared;
-use crate::{announce, ownership, peers, plan, reload, watch};
+use crate::{announce, config_watch, ownership, peers, plan, reload};
 use futures::future::join_all;
 use hollowford_adapter::{
     AdviceClient, CallError, NodeSettings, StoreClient, StoreError, WorkerClient,
@@ -22,17 +22,17 @@
 use tokio::sync::{oneshot, watch as channel};
 use tokio::time::{sleep, timeout};
 
-/// Idle channels of callers are closed after this time.
-const CALLER_IDLE: Duration = Duration::from_secs(75);
-/// A stopping owner waits so long for its hand-over.
-const HAND_OVER: Duration = Duration::from_millis(1_600);
-/// A stopping process takes new channels for so long: the balancer asks every second, and
-/// stops sending after two refusals.
-const LINGER: Duration = Duration::from_millis(2_600);
-/// How often it looks whether requests are open, and the time for the last bytes to leave.
-const LAST_CHECK: Duration = Duration::from_millis(40);
-/// Longest time for answers that are open when it stops taking channels.
-const LAST_ANSWERS: Duration = Duration::from_millis(2_600);
+/// Idle connections of callers are closed after this time.
+const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(75);
+/// How long a stopping process waits for its owners to hand over.
+const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(1_600);
+/// How long a stopping process still accepts connections. The load balancer probes every second and
+/// stops routing after two failed probes.
+const DRAIN_TIME: Duration = Duration::from_millis(2_600);
+/// Interval of the checks for open requests, and time for the last bytes to be sent.
+const OPEN_CALLS_CHECK_INTERVAL: Duration = Duration::from_millis(40);
+/// Maximum time for open requests once no more connections are accepted.
+const OPEN_CALLS_TIMEOUT: Duration = Duration::from_millis(2_600);
 
 /// Why a process can't run.
 #[derive(Debug, thiserror::Error)]
@@ -40,18 +40,18 @@
     /// An address can't be bound.
     #[error("{addr}: {error}")]
     Bind {
-        /// The address.
+        /// The address that can't be bound.
         addr: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         error: std::io::Error,
     },
-    /// Signals can't be waited for.
+    /// A signal handler can't be installed.
     #[error("signals: {0}")]
     Signal(std::io::Error),
-    /// No client of the store can be made.
+    /// The client of the store can't be created.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// No client of the service for advice, or of the workers, can be made.
+    /// The client of the advice service or of the workers can't be created.
     #[error(transparent)]
     Client(#[from] CallError),
     /// The metrics can't be registered.
@@ -59,19 +59,20 @@
     Metrics(#[from] prometheus::Error),
 }
 
-/// What is said on the command line.
+/// Options from the command line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeOptions {
-    /// Metrics are served on this port of the process's address, if one is given.
+    /// Port on which the metrics are served, on the IP address for peers. Not served if `None`.
     pub metrics_port: Option<u16>,
-    /// Workers of one partition, when the cell first starts.
-    pub workers_each: NonZeroUsize,
+    /// Number of workers per partition, used to choose the number of partitions when the cell first
+    /// starts.
+    pub workers_per_partition: NonZeroUsize,
 }
 
-/// Runs a process until it is told to stop.
+/// Runs a process until it receives SIGTERM.
 ///
 /// # Errors
-/// When an address can't be bound, or a part can't be made.
+/// Returns an error if an address can't be bound or a client can't be created.
 pub async fn run(settings: NodeSettings, options: NodeOptions) -> Result<(), NodeError> {
     let mut term = signal(SignalKind::terminate()).map_err(NodeError::Signal)?;
     let hup = signal(SignalKind::hangup()).map_err(NodeError::Signal)?;
@@ -88,13 +89,17 @@
     );
     let (stop, stopped) = channel::channel(false);
     let mut servers = tokio::task::JoinSet::new();
-    servers.spawn(serve(addresses.callers, Front::new(shared.clone()), stopped.clone()));
-    servers.spawn(serve(addresses.readiness, Readiness::new(shared.clone()), stopped.clone()));
+    servers.spawn(serve(addresses.callers, CallerEndpoint::new(shared.clone()), stopped.clone()));
+    servers.spawn(serve(
+        addresses.readiness,
+        ReadinessEndpoint::new(shared.clone()),
+        stopped.clone(),
+    ));
     if let Some(port) = options.metrics_port {
         let addr = SocketAddr::new(addresses.peers.ip(), port);
-        servers.spawn(serve(addr, MetricsPage::new(shared.clone()), stopped));
+        servers.spawn(serve(addr, MetricsEndpoint::new(shared.clone()), stopped));
     }
-    start_duties(&shared, options.workers_each, listener, hup);
+    start_tasks(&shared, options.workers_per_partition, listener, hup);
     tokio::select! {
         _ = term.recv() => {}
         Some(ended) = servers.join_next() => {
@@ -104,45 +109,45 @@
             }
         }
     }
-    end(&shared, &stop).await;
+    shut_down(&shared, &stop).await;
     Ok(())
 }
 
-/// Starts what runs until the process ends.
-fn start_duties(
+/// Starts the tasks that run until the process ends.
+fn start_tasks(
     shared: &Arc<Shared>,
-    workers_each: NonZeroUsize,
+    workers_per_partition: NonZeroUsize,
     listener: TcpListener,
     hup: Signal,
 ) {
     tokio::spawn(peers::accept(shared.clone(), listener));
-    tokio::spawn(watch::read_config(shared.clone()));
-    tokio::spawn(watch::follow_config(shared.clone()));
+    tokio::spawn(config_watch::poll_config(shared.clone()));
+    tokio::spawn(config_watch::follow_config(shared.clone()));
     tokio::spawn(announce::register(shared.clone()));
-    tokio::spawn(join_partitions(shared.clone(), workers_each));
+    tokio::spawn(join_partitions(shared.clone(), workers_per_partition));
     tokio::spawn(reload::follow_settings(shared.clone(), hup));
 }
 
-/// Learns how many partitions there are, and joins or owns each from then on.
-async fn join_partitions(shared: Arc<Shared>, workers_each: NonZeroUsize) {
-    shared.set_partitions(plan::learn(&shared, workers_each).await);
+/// Determines the number of partitions, then joins or owns each of them.
+async fn join_partitions(shared: Arc<Shared>, workers_per_partition: NonZeroUsize) {
+    shared.set_partitions(plan::learn(&shared, workers_per_partition).await);
     for partition in shared.partitions() {
-        let cx = Cx { shared: shared.clone(), partition: partition.clone() };
+        let cx = PartitionContext { shared: shared.clone(), partition: partition.clone() };
         tokio::spawn(ownership::run(cx));
     }
-    watch::read_unless_told(&shared).await;
+    config_watch::poll_unless_confirmed(&shared).await;
 }
 
-/// Ends the process's service without cutting a request.
-async fn end(shared: &Shared, stop: &channel::Sender<bool>) {
+/// Stops serving without interrupting open requests.
+async fn shut_down(shared: &Shared, stop: &channel::Sender<bool>) {
     log::info!("process.stopping");
     shared.stopping.store(true, Ordering::Relaxed);
-    let began = shared.clock.now();
-    hand_over(shared).await;
-    sleep(LINGER.saturating_sub(shared.clock.now().since(began).duration())).await;
-    // No new channels from here on, and the channels that are idle are closed.
+    let started_at = shared.clock.now();
+    hand_over_partitions(shared).await;
+    sleep(DRAIN_TIME.saturating_sub(shared.clock.now().since(started_at).duration())).await;
+    // From here on, no connections are accepted and idle ones are closed.
     let _ = stop.send(true);
-    answer_the_last(shared).await;
+    drain_open_calls(shared).await;
     log::info!("process.stopped");
 }
 
@@ -162,29 +167,29 @@
     E: Endpoint<Output = poem::Response> + 'static,
 {
     let signal = async move {
-        // An error means that the process ends, too.
+        // An error means that the process is ending as well.
         let _ = stopped.wait_for(|&s| s).await;
     };
     poem::Server::new(PoemListener::bind(addr.to_string()))
-        .idle_timeout(CALLER_IDLE)
-        .run_with_graceful_shutdown(endpoint, signal, Some(LAST_ANSWERS))
+        .idle_timeout(CALLER_IDLE_TIMEOUT)
+        .run_with_graceful_shutdown(endpoint, signal, Some(OPEN_CALLS_TIMEOUT))
         .await
         .map_err(|error| NodeError::Bind { addr, error })
 }
 
-/// Waits until all requests are answered, and the answers are on their way.
-async fn answer_the_last(shared: &Shared) {
-    let began = shared.clock.now();
+/// Waits until all requests are answered and the answers are sent.
+async fn drain_open_calls(shared: &Shared) {
+    let started_at = shared.clock.now();
     while shared.open_calls.load(Ordering::Relaxed) > 0
-        && shared.clock.now().since(began).duration() < LAST_ANSWERS
+        && shared.clock.now().since(started_at).duration() < OPEN_CALLS_TIMEOUT
     {
-        sleep(LAST_CHECK).await;
+        sleep(OPEN_CALLS_CHECK_INTERVAL).await;
     }
-    sleep(LAST_CHECK).await;
+    sleep(OPEN_CALLS_CHECK_INTERVAL).await;
 }
 
 /// Hands over the partitions that this process owns.
-async fn hand_over(shared: &Shared) {
+async fn hand_over_partitions(shared: &Shared) {
     let mut handed_over = Vec::new();
     for partition in shared.partitions() {
         let Route::Local(owner) = partition.route.borrow().clone() else { continue };
@@ -192,7 +197,7 @@
         owner.send(OwnerMsg::Stop(tx)).await;
         handed_over.push(rx);
     }
-    if timeout(HAND_OVER, join_all(handed_over)).await.is_err() {
+    if timeout(HAND_OVER_TIMEOUT, join_all(handed_over)).await.is_err() {
         log::warn!("owner.hand_over timed_out=true");
     }
 }
--- a/crates/hollowford-node/src/owner.rs
+++ b/crates/hollowford-node/src/owner.rs
@@ -1,4 +1,4 @@
-//! The owner of the partition: one task that drives the engine and carries out its orders.
+//! The partition owner: one task that drives the scheduling engine and executes its orders.
 
 mod caller_calls;
 #[cfg(test)]
@@ -7,19 +7,19 @@
 mod worker_calls;
 
 use crate::batches::Batches;
-use crate::callers::Waiters;
-use crate::delegation::{Delegation, Delivered};
-use crate::giving_up::GivingUp;
+use crate::callers::WaitingCalls;
+use crate::delegation::{CallOutcome, Delegation};
 use crate::inbox::{OwnerHandle, OwnerMsg};
-use crate::lane::LANES;
+use crate::lane::LANE_COUNT;
 use crate::logs::DecisionLog;
 use crate::members::{LinkId, Members};
-use crate::partition::Cx;
-use crate::reach::Reach;
+use crate::partition::PartitionContext;
+use crate::reachability::Reachability;
 use crate::registry;
 use crate::shared::Shared;
+use crate::step_down::StepDown;
 use crate::wire::{MemberBeat, OwnerInfo, Said};
-use crate::writer::Written;
+use crate::writer::BatchOutcome;
 use hollowford_adapter::{Config, NodeSettings, Version, WorkerClient};
 use hollowford_core::Millis;
 use hollowford_jobs::{Engine, Order, Stats};
@@ -27,279 +27,284 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
 
-/// Messages taken before the engine is polled.
-const DRAIN: usize = 256;
-/// Longest time between two polls of the engine.
-const TICK: Duration = Duration::from_millis(10);
-/// Members that come or go within this time are taken in together: what uses them is told the
-/// whole list each time.
-const MEMBERS_GATHER: Millis = Millis(20);
-/// Members are asked whether the store answers them once a batch hangs for so long.
-const PROBE_AFTER: Millis = Millis(300);
+/// Maximum number of messages handled between two polls of the engine.
+const MAX_MESSAGES_PER_POLL: usize = 256;
+/// Maximum time between two polls of the engine.
+const MAX_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Minimum time between two membership updates, so that members that join or leave together cause
+/// one update. Each update passes on the whole member list.
+const MEMBER_UPDATE_INTERVAL: Millis = Millis(20);
+/// Once no batch has been committed for this long, heartbeats ask the members whether the store
+/// answers them.
+const STORE_LOST_TIMEOUT: Millis = Millis(300);
 
-/// Why an owner ended.
+/// The reason an owner ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OwnerEnd {
     /// Another process owns the partition.
     Deposed,
-    /// It was handed over.
+    /// The partition was handed over to a member.
     HandedOver,
-    /// It gave up: what the store holds can't be read, or nobody was within reach.
+    /// The owner gave up because the stored data is unreadable or neither the store nor a member
+    /// could be reached.
     GaveUp,
 }
 
-/// What the owner starts from.
-pub struct Start {
-    /// Who it is.
+/// The state from which a new owner starts.
+pub struct RecoveredState {
+    /// The epoch, partition and process of the owner.
     pub info: OwnerInfo,
     /// Version of each lane's row.
-    pub lanes: [Version; LANES],
-    /// The engine, with what the store held.
+    pub lanes: [Version; LANE_COUNT],
+    /// The engine, recovered from the stored rows.
     pub engine: Engine,
-    /// The engine's time less the process's.
-    pub offset: i64,
+    /// Engine time minus process time, in milliseconds.
+    pub clock_offset: i64,
 }
 
-/// The owner.
+/// Owner of one partition. Holds the engine and everything that executes its orders.
 pub struct Owner {
-    cx: Cx,
+    cx: PartitionContext,
     info: OwnerInfo,
     engine: Engine,
-    /// The engine's time less the process's.
-    offset: i64,
+    /// Engine time minus process time, in milliseconds.
+    clock_offset: i64,
     workers: WorkerClient,
     delegation: Delegation,
     handle: OwnerHandle,
     members: Members,
-    /// Members have come or gone since those who use them were told last.
+    /// Whether members have joined or left since the last membership update.
     members_changed: bool,
-    /// When they were told last.
-    members_told: Millis,
-    waiters: Waiters,
-    /// Empty between two polls; kept for its room.
+    members_updated_at: Millis,
+    waiting_calls: WaitingCalls,
+    /// Buffer reused across polls; empty between them.
     orders: Vec<Order>,
     decisions: DecisionLog,
     batches: Batches,
-    reach: Reach,
-    /// Version of the configuration that the engine has.
-    config: u64,
+    reachability: Reachability,
+    /// Version of the configuration that the engine uses.
+    config_version: u64,
     settings: watch::Receiver<NodeSettings>,
-    /// When the gauges were renewed last.
-    viewed: Millis,
-    /// The engine's counters as they were then.
-    shown: Stats,
-    giving_up: GivingUp,
+    /// Time of the last update of the gauges.
+    view_updated_at: Millis,
+    /// Engine counters at the last update of the gauges.
+    reported_stats: Stats,
+    step_down: StepDown,
     end: Option<OwnerEnd>,
 }
 
 impl Owner {
-    /// Makes an owner.
-    pub fn new(cx: Cx, start: Start, handle: OwnerHandle) -> Owner {
-        let Start { info, lanes, engine, offset } = start;
+    /// Creates the owner from the recovered state.
+    pub fn new(cx: PartitionContext, state: RecoveredState, handle: OwnerHandle) -> Owner {
+        let RecoveredState { info, lanes, engine, clock_offset } = state;
         let (shared, part) = (&cx.shared, cx.partition.part.clone());
-        let giving_up = GivingUp::new(shared.clone(), info.epoch);
+        let step_down = StepDown::new(shared.clone(), info.epoch);
         let workers = shared.workers.with_fence(info.epoch);
-        let delegation = Delegation::new(info.epoch, engine_time(shared, offset));
+        let delegation = Delegation::new(info.epoch, engine_time(shared, clock_offset));
         let batches = Batches::new(shared.clone(), info.clone(), part, lanes, handle.clone());
         Owner {
             members: Members::new(info.clone(), shared.partition_count()),
-            reach: Reach::new(shared.clone(), info.epoch),
+            reachability: Reachability::new(shared.clone(), info.epoch),
             settings: shared.settings_changed.subscribe(),
             cx,
             info,
             engine,
-            offset,
+            clock_offset,
             workers,
             delegation,
             handle,
             members_changed: false,
-            members_told: Millis(0),
-            waiters: Waiters::default(),
+            members_updated_at: Millis(0),
+            waiting_calls: WaitingCalls::default(),
             orders: Vec::new(),
             decisions: DecisionLog::default(),
             batches,
-            config: 0,
-            viewed: Millis(0),
-            shown: Stats::default(),
-            giving_up,
+            config_version: 0,
+            view_updated_at: Millis(0),
+            reported_stats: Stats::default(),
+            step_down,
             end: None,
         }
     }
 
-    /// Returns the engine's time.
+    /// Returns the current engine time.
     fn now(&self) -> Millis {
-        engine_time(&self.cx.shared, self.offset)
+        engine_time(&self.cx.shared, self.clock_offset)
     }
 
-    /// Owns the partition until it is lost or given up.
+    /// Runs the owner until it loses the partition or steps down.
     pub async fn run(mut self, mut rx: mpsc::Receiver<OwnerMsg>) -> OwnerEnd {
         tokio::spawn(registry::follow(self.cx.clone(), self.handle.clone()));
-        self.engine.set_seats(&self.members.seats());
+        self.engine.set_advice_channels(&self.members.advice_channels());
         while self.end.is_none() {
-            if let Ok(Some(msg)) = timeout(TICK, rx.recv()).await {
-                self.take(msg);
-                for _ in 0..DRAIN {
+            if let Ok(Some(msg)) = timeout(MAX_POLL_INTERVAL, rx.recv()).await {
+                self.handle_message(msg);
+                for _ in 0..MAX_MESSAGES_PER_POLL {
                     let Ok(msg) = rx.try_recv() else { break };
-                    self.take(msg);
+                    self.handle_message(msg);
                 }
             }
-            self.act(rx.is_empty());
+            self.poll_engine(rx.is_empty());
         }
-        self.finish(rx)
+        self.shut_down(rx)
     }
 
-    /// Sends all that wait to the next owner, and tells why this one ended.
-    fn finish(mut self, mut rx: mpsc::Receiver<OwnerMsg>) -> OwnerEnd {
+    /// Refers the remaining callers to the next owner and returns why this one ended.
+    fn shut_down(mut self, mut rx: mpsc::Receiver<OwnerMsg>) -> OwnerEnd {
         rx.close();
         while let Ok(msg) = rx.try_recv() {
             if let OwnerMsg::Call(call, reply) = msg {
                 reply.send(call.id, Said::NotOwner, 0);
             }
         }
-        self.waiters.fail_all();
-        self.giving_up.tell_ended();
+        self.waiting_calls.answer_deposed();
+        self.step_down.report_ended();
         self.end.unwrap_or(OwnerEnd::GaveUp)
     }
 
-    fn take(&mut self, msg: OwnerMsg) {
+    fn handle_message(&mut self, msg: OwnerMsg) {
         let now = self.now();
         match msg {
-            OwnerMsg::Call(call, reply) => self.take_call(call, reply, now),
-            OwnerMsg::Worker { call, called, sent, at } => {
-                self.take_worker(Delivered { call, called, sent, at }, now);
+            OwnerMsg::Call(call, reply) => self.handle_call(call, reply, now),
+            OwnerMsg::WorkerAnswer { call, called, sent, timing } => {
+                self.handle_worker_answer(CallOutcome { call, called, sent, timing }, now);
             }
             OwnerMsg::Outcomes(link, outcomes) => {
-                for delivered in self.delegation.take(link, outcomes, now) {
-                    self.take_worker(delivered, now);
+                for outcome in self.delegation.receive_outcomes(link, outcomes, now) {
+                    self.handle_worker_answer(outcome, now);
                 }
             }
-            OwnerMsg::Advised { seat, step, answer } => {
-                self.engine.advised(&seat, step, answer, now);
+            OwnerMsg::AdviceAnswered { advice_channel, step, answer } => {
+                self.engine.advice_answered(&advice_channel, step, answer, now);
             }
-            OwnerMsg::Written { batch, written } => self.take_written(batch, written, now),
-            OwnerMsg::Listings(list) => {
+            OwnerMsg::BatchFinished { batch, outcome } => {
+                self.handle_batch_outcome(batch, outcome, now)
+            }
+            OwnerMsg::WorkerList(list) => {
                 self.delegation.set_workers(&list);
-                self.engine.list_workers(&list, now);
+                self.engine.set_worker_list(&list, now);
             }
-            OwnerMsg::WorkerChanges(changes) => self.members.send_workers(&changes),
+            OwnerMsg::WorkerChanges(changes) => self.members.send_worker_changes(&changes),
             OwnerMsg::Joined(link, hello, outbox) => {
                 let (address, age) = (&hello.address, hello.age_ms);
                 log::info!("member.joined link={link} address={address} age_ms={age}");
                 self.members.join(link, hello, outbox, self.cx.shared.clock.now());
-                self.members.greet(link, self.cx.shared.config_known());
+                self.members.send_first_heartbeat(link, self.cx.shared.known_config());
                 self.members_changed = true;
             }
             OwnerMsg::Left(link) => {
                 log::info!("member.left link={link}");
                 self.members.leave(link);
-                self.delegation.left(link, now);
+                self.delegation.member_left(link, now);
                 self.members_changed = true;
             }
-            OwnerMsg::Beat(link, beat) => self.take_beat(link, &beat),
-            OwnerMsg::Stop(done) => self.giving_up.stop(done),
+            OwnerMsg::HeartbeatReceived(link, heartbeat) => self.handle_heartbeat(link, &heartbeat),
+            OwnerMsg::Stop(done) => self.step_down.stop(done),
         }
     }
 
-    /// Sends the heartbeats that are due, and tells those who use the members which of them can be
-    /// used, if that may have changed.
-    fn tend_members(&mut self, now: Millis) {
-        let lost = self.batches.is_unmade_for(PROBE_AFTER, now);
+    /// Sends the heartbeats that are due. After a full round of heartbeats or a change of
+    /// membership, passes the list of usable members to the engine and the delegation.
+    fn update_members(&mut self, now: Millis) {
+        let store_lost = self.batches.is_uncommitted_for(STORE_LOST_TIMEOUT, now);
         let shared = &self.cx.shared;
-        let all_told = self.members.tick(shared.clock.now(), shared.config_known(), lost);
-        let gathered = now.since(self.members_told) >= MEMBERS_GATHER;
-        if all_told || (self.members_changed && gathered) {
+        let round_complete =
+            self.members.tick(shared.clock.now(), shared.known_config(), store_lost);
+        let update_due = now.since(self.members_updated_at) >= MEMBER_UPDATE_INTERVAL;
+        if round_complete || (self.members_changed && update_due) {
             self.members_changed = false;
-            self.members_told = now;
-            self.engine.set_seats(&self.members.seats());
+            self.members_updated_at = now;
+            self.engine.set_advice_channels(&self.members.advice_channels());
             self.delegation.set_members(self.members.delegates(), now);
         }
     }
 
-    fn take_beat(&mut self, link: LinkId, beat: &MemberBeat) {
+    fn handle_heartbeat(&mut self, link: LinkId, heartbeat: &MemberBeat) {
         let heard = self.cx.shared.clock.now();
-        self.reach.member_heard(heard);
-        self.members.beat(link, beat, heard);
+        self.reachability.record_member_heard(heard);
+        self.members.record_heartbeat(link, heartbeat, heard);
         let version = self.cx.shared.config_version();
-        if beat.config > version {
+        if heartbeat.config > version {
             self.cx.shared.config_wanted.notify_one();
-        } else if beat.config < version {
+        } else if heartbeat.config < version {
             self.send_config();
         }
-        if beat.epoch > self.info.epoch {
-            log::warn!("owner.deposed epoch={} newer={}", self.info.epoch, beat.epoch);
+        if heartbeat.epoch > self.info.epoch {
+            log::warn!("owner.deposed epoch={} newer={}", self.info.epoch, heartbeat.epoch);
             self.end = Some(OwnerEnd::Deposed);
         }
     }
 
-    fn take_written(&mut self, batch: u64, written: Written, now: Millis) {
-        self.batches.note(batch, &written, now);
-        match written {
-            Written::Made { .. } => {
-                self.engine.committed(batch, now);
-                self.waiters.committed(&self.engine);
+    fn handle_batch_outcome(&mut self, batch: u64, outcome: BatchOutcome, now: Millis) {
+        self.batches.record_outcome(batch, &outcome, now);
+        match outcome {
+            BatchOutcome::Made { .. } => {
+                self.engine.batch_committed(batch, now);
+                self.waiting_calls.answer_committed(&self.engine);
             }
-            Written::Deposed(by) => {
+            BatchOutcome::Deposed(by) => {
                 log::warn!(
                     "owner.deposed epoch={} by={} at={}",
                     self.info.epoch,
                     by.epoch,
                     by.address
                 );
-                self.cx.partition.note_owner_info(&by);
+                self.cx.partition.record_owner(&by);
                 self.end = Some(OwnerEnd::Deposed);
             }
-            Written::Refused => self.engine.batch_refused(batch),
-            Written::Inconsistent => self.end = Some(OwnerEnd::GaveUp),
+            BatchOutcome::Refused => self.engine.batch_refused(batch),
+            BatchOutcome::Inconsistent => self.end = Some(OwnerEnd::GaveUp),
         }
     }
 
-    /// Lets the engine decide, carries out its orders and writes the next batch. `heard_all` tells
-    /// that no message waits.
-    fn act(&mut self, heard_all: bool) {
+    /// Polls the engine, executes its orders and writes the next batch. `inbox_is_empty` is true if
+    /// no message is waiting to be handled.
+    fn poll_engine(&mut self, inbox_is_empty: bool) {
         let now = self.now();
-        self.take_config(now);
-        self.cx.note_owner();
-        self.tend_members(now);
-        for delivered in self.delegation.overdue(heard_all, now) {
-            self.take_worker(delivered, now);
+        self.apply_config(now);
+        self.cx.record_owner_contact();
+        self.update_members(now);
+        for outcome in self.delegation.take_overdue(inbox_is_empty, now) {
+            self.handle_worker_answer(outcome, now);
         }
         let mut orders = std::mem::take(&mut self.orders);
         if self.end.is_none() && !self.delegation.awaits_members(now) {
             self.engine.poll(now, &mut orders);
         }
         for order in orders.drain(..) {
-            self.carry_out(order, now);
+            self.execute_order(order, now);
         }
         self.orders = orders;
         self.delegation.send(now);
-        self.decisions.write(&self.engine.take_notes(), now);
-        self.refuse_unsent(now);
-        let last_sent = self.giving_up.since().is_some() && self.waiters.is_empty();
-        if !last_sent {
+        self.decisions.write(&self.engine.take_events(), now);
+        self.refuse_unsent_jobs(now);
+        let all_answered = self.step_down.since().is_some() && self.waiting_calls.is_empty();
+        if !all_answered {
             self.batches.write_next(&mut self.engine, now);
         }
-        self.waiters.give_up(&mut self.engine, now);
-        if let Some(end) = self.reach.check(&self.batches, &self.members, now) {
+        self.waiting_calls.answer_expired(&mut self.engine, now);
+        if let Some(end) = self.reachability.check(&self.batches, &self.members, now) {
             self.end = Some(end);
         }
-        self.giving_up.check_size(&self.members);
-        let end = self.giving_up.hand_over_if_due(&self.batches, &self.waiters, &self.members);
+        self.step_down.check_for_larger_member(&self.members);
+        let end =
+            self.step_down.hand_over_if_due(&self.batches, &self.waiting_calls, &self.members);
         if let Some(end) = end {
             self.end = Some(end);
         }
-        self.renew_view(now);
+        self.update_view(now);
     }
 
-    fn take_config(&mut self, now: Millis) {
+    fn apply_config(&mut self, now: Millis) {
         if self.settings.has_changed().unwrap_or(false) {
-            let bounds = self.settings.borrow_and_update().bounds;
-            self.engine.set_bounds(bounds);
+            let time_limits = self.settings.borrow_and_update().time_limits;
+            self.engine.set_time_limits(time_limits);
         }
         let version = self.cx.shared.config_version();
-        if version != self.config
+        if version != self.config_version
             && let Some(config) = self.cx.shared.config.load_full()
         {
-            self.config = version;
+            self.config_version = version;
             self.engine.set_queues(&config.queues, now);
             self.set_accounts(&config);
             self.send_config();
@@ -318,7 +323,7 @@
     }
 }
 
-/// Returns the engine's time, which is ahead of the process's by `offset`.
-fn engine_time(shared: &Shared, offset: i64) -> Millis {
-    Millis((shared.clock.now().0 as i64 + offset).max(0) as u64)
+/// Returns the engine time, which is `clock_offset` ahead of the process's clock.
+fn engine_time(shared: &Shared, clock_offset: i64) -> Millis {
+    Millis((shared.clock.now().0 as i64 + clock_offset).max(0) as u64)
 }
--- a/crates/hollowford-node/src/registry.rs
+++ b/crates/hollowford-node/src/registry.rs
@@ -1,10 +1,10 @@
-//! Keeps the list of workers up to date while this process owns the partition.
+//! Keeps the worker list up to date while this process owns the partition.
 
-use crate::homes::home_of_worker;
+use crate::assignment::partition_of_worker;
 use crate::inbox::{OwnerHandle, OwnerMsg};
-use crate::partition::Cx;
+use crate::partition::PartitionContext;
 use crate::shared::Shared;
-use crate::worker_changes::{READER, WorkerChanges, WorkerRow};
+use crate::worker_changes::{READER_PARTITION, WorkerChanges, WorkerRow};
 use hollowford_adapter::{REGISTRY_TABLE, Row, StoreError, Version, decode_listing};
 use hollowford_core::Millis;
 use hollowford_jobs::WorkerListing;
@@ -15,178 +15,196 @@
 use tokio::sync::broadcast::Receiver;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// How long a call to the feed waits for a change. Kept short, since a feed may go silent.
-const FEED_WAIT: Duration = Duration::from_millis(200);
-/// Pause between two calls. Entries change with each sign of life of a worker, so the feed
-/// answers at once, some thirty times a second, if it is asked as often.
-const PAUSE: Duration = Duration::from_millis(250);
-/// Longest time for a reading.
+/// How long a feed call waits for a change. Short, since a feed may stop sending changes without an
+/// error.
+const MAX_FEED_WAIT: Duration = Duration::from_millis(200);
+/// Pause between two feed calls. Entries change with each heartbeat of a worker, so without a pause
+/// the feed would answer about thirty times a second.
+const FEED_PAUSE: Duration = Duration::from_millis(250);
+/// Time limit of a read of the whole list.
 const READ_TIMEOUT: Duration = Duration::from_millis(700);
-/// Pause after a failure.
-const RETRY: Duration = Duration::from_millis(200);
-/// The list is read whole so often while workers are few: a feed may go silent.
-const READ_EVERY: Millis = Millis(2_000);
-/// With many workers it is read more rarely, so that all owners together don't take megabytes
-/// a second. A feed whose history is lost says so.
-const READ_EVERY_FOR_EACH: Millis = Millis(4);
-/// After the store was away, entries that lapsed meanwhile are back within 2 s.
-const TRUST_MISSING_AFTER: Millis = Millis(2_500);
-/// The list is read here once nothing has been told for so long. The owner that reads for all tells
-/// of each reading, also of one that has changed nothing, some twice a second.
-const TOLD_WITHIN: Millis = Millis(1_000);
-/// The store counts as having been away when it did not answer for so long.
-const AWAY: Millis = Millis(1_000);
+/// Pause after a failed call.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Minimum interval between reads of the whole list, which make up for a feed that has stopped
+/// sending changes.
+const MIN_READ_INTERVAL: Millis = Millis(2_000);
+/// Interval between reads of the whole list per worker, where that exceeds [`MIN_READ_INTERVAL`]:
+/// all owners together must not read megabytes a second. A feed that has lost its history reports
+/// it.
+const READ_INTERVAL_PER_WORKER: Millis = Millis(4);
+/// How long removed entries are kept after a store outage. Workers whose entries expired during the
+/// outage are back on the list within 2 s.
+const MISSING_ENTRY_GRACE: Millis = Millis(2_500);
+/// This process reads the list itself if no forwarded changes arrive within this time. The reader
+/// partition's owner forwards every read, even without changes, about twice a second.
+const CHANGES_TIMEOUT: Millis = Millis(1_000);
+/// Time without an answer from the store from which it counts as an outage.
+const MIN_STORE_OUTAGE: Millis = Millis(1_000);
 
-/// The list, and what the store's absence means for it.
+/// The worker list of one owner.
 #[derive(Debug)]
 pub(crate) struct Registry {
     rows: BTreeMap<String, WorkerListing>,
     version: Version,
+    /// When the whole list was last read.
     read_at: Millis,
+    /// When the store last answered.
     answered_at: Millis,
-    /// Missing entries are not believed before.
-    believe_missing_at: Millis,
-    /// An entry may be missing that was not believed to be; a whole reading tells.
-    doubtful: bool,
-    /// Rows that could not be read and have been logged.
+    /// Removals are ignored until the store has answered at or after this time.
+    trust_missing_from: Millis,
+    /// The list may hold entries that the store has removed; the next read of the whole list
+    /// decides.
+    has_unconfirmed_entries: bool,
+    /// Keys of malformed rows that have been logged.
     malformed: FxHashSet<String>,
-    /// When the owner that reads for all has told something last that followed on what is known.
-    told_at: Option<Millis>,
+    /// When the last forwarded changes that could be applied arrived.
+    changes_received_at: Option<Millis>,
 }
 
-/// What came of changes that another owner has told.
+/// Outcome of applying changes that another owner has forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Told {
-    /// They were taken in; tells whether one was new here.
-    Taken(bool),
-    /// They are older than what is known here.
-    Old,
-    /// They don't follow on what is known here.
+pub(crate) enum ChangesOutcome {
+    /// The changes were applied; true if they changed this list.
+    Applied(bool),
+    /// The changes are older than this list.
+    Outdated,
+    /// Changes between this list and these are missing.
     Gap,
 }
 
-/// Follows the list until the owner ends.
-/// The owner is told of its own partition's workers only.
-pub async fn follow(cx: Cx, owner: OwnerHandle) {
+/// Keeps the list up to date until the owner ends. The owner gets only its own partition's workers.
+pub async fn follow(cx: PartitionContext, owner: OwnerHandle) {
     let shared = &cx.shared;
-    let mut told = shared.worker_changes.subscribe();
+    let mut changes_rx = shared.worker_changes.subscribe();
     let mut list = Registry::new(shared.clock.now());
-    let mut config = 0;
+    let mut sent_config_version = 0;
     while !owner.is_closed() {
-        let changed = match list.wait(&cx, &mut told).await {
+        let changed = match list.next_changes(&cx, &mut changes_rx).await {
             Some(changed) => changed,
-            None => match list.next(shared).await {
+            None => match list.read_store(shared).await {
                 Ok(changes) => {
                     let changed = !changes.rows.is_empty();
-                    tell(&cx, &owner, changes).await;
+                    forward_changes(&cx, &owner, changes).await;
                     changed
                 }
                 Err(e) => {
                     log::debug!("workers.list failed error=\"{e}\"");
-                    sleep(RETRY).await;
+                    sleep(RETRY_PAUSE).await;
                     continue;
                 }
             },
         };
-        if changed || shared.config_version() != config {
-            config = shared.config_version();
+        if changed || shared.config_version() != sent_config_version {
+            sent_config_version = shared.config_version();
             let count = shared.partition_count();
-            let own = |l: &&WorkerListing| home_of_worker(l, count) == cx.partition.number;
+            let own = |l: &&WorkerListing| partition_of_worker(l, count) == cx.partition.number;
             let listings = list.workers(shared).filter(own).cloned().collect();
-            owner.send(OwnerMsg::Listings(listings)).await;
+            owner.send(OwnerMsg::WorkerList(listings)).await;
         }
     }
 }
 
-/// Tells the owners of other partitions what a reading has changed, if this one reads for all.
-async fn tell(cx: &Cx, owner: &OwnerHandle, changes: WorkerChanges) {
-    if cx.partition.number != READER || cx.shared.partition_count() < 2 || !changes.can_be_told() {
+/// Forwards changes to the owners of other partitions, if this is the reader partition's owner.
+async fn forward_changes(cx: &PartitionContext, owner: &OwnerHandle, changes: WorkerChanges) {
+    if cx.partition.number != READER_PARTITION
+        || cx.shared.partition_count() < 2
+        || !changes.can_be_forwarded()
+    {
         return;
     }
-    // This process may own others itself. Nobody listens if not.
+    // For other owners in this process; there may be none.
     let _ = cx.shared.worker_changes.send(Arc::new(changes.clone()));
     owner.send(OwnerMsg::WorkerChanges(changes)).await;
 }
 
 impl Registry {
-    /// Makes an empty list.
+    /// Creates an empty list.
     pub fn new(now: Millis) -> Registry {
         Registry {
             rows: BTreeMap::new(),
             version: 0,
             read_at: Millis(0),
             answered_at: now,
-            believe_missing_at: now,
-            doubtful: false,
+            trust_missing_from: now,
+            has_unconfirmed_entries: false,
             malformed: FxHashSet::default(),
-            told_at: None,
+            changes_received_at: None,
         }
     }
 
-    /// Returns the workers on the list. A row of a pool that the configuration doesn't name is
-    /// another writer's.
+    /// Returns the workers on the list. Rows of a pool that the configuration doesn't name belong
+    /// to another writer and are left out.
     pub fn workers(&self, shared: &Shared) -> impl Iterator<Item = &WorkerListing> {
         let config = shared.config.load_full();
-        let named = move |l: &&WorkerListing| config.as_ref().is_none_or(|c| c.names_pool(&l.pool));
-        self.rows.values().filter(named)
+        let in_named_pool =
+            move |l: &&WorkerListing| config.as_ref().is_none_or(|c| c.has_pool(&l.pool));
+        self.rows.values().filter(in_named_pool)
     }
 
-    /// Waits for what the owner that reads for all tells; none when the list is to be read here. Tells
-    /// whether something changed.
-    async fn wait(&mut self, cx: &Cx, told: &mut Receiver<Arc<WorkerChanges>>) -> Option<bool> {
+    /// Waits for forwarded changes. Returns true if they changed the list, and `None` if this
+    /// process has to read the list itself.
+    async fn next_changes(
+        &mut self,
+        cx: &PartitionContext,
+        changes_rx: &mut Receiver<Arc<WorkerChanges>>,
+    ) -> Option<bool> {
         if self.version == 0 {
-            // A new owner waits for its first list.
+            // A new owner reads the list first.
             return None;
         }
-        if cx.partition.number == READER {
-            sleep(PAUSE).await;
+        if cx.partition.number == READER_PARTITION {
+            sleep(FEED_PAUSE).await;
             return None;
         }
         let now = cx.shared.clock.now();
-        if self.doubtful && self.is_read_due(now) {
+        if self.has_unconfirmed_entries && self.is_read_due(now) {
             return None;
         }
-        let is_told = self.told_at.is_some_and(|at| now.since(at) < TOLD_WITHIN);
-        let patience = if is_told { TOLD_WITHIN.duration() } else { PAUSE };
-        let deadline = Instant::now() + patience;
-        while let Ok(Ok(changes)) = timeout_at(deadline, told.recv()).await {
-            match self.take_told(&changes) {
-                Told::Taken(changed) => {
-                    self.note_told(cx.shared.clock.now());
+        let is_receiving =
+            self.changes_received_at.is_some_and(|at| now.since(at) < CHANGES_TIMEOUT);
+        let max_wait = if is_receiving { CHANGES_TIMEOUT.duration() } else { FEED_PAUSE };
+        let deadline = Instant::now() + max_wait;
+        while let Ok(Ok(changes)) = timeout_at(deadline, changes_rx.recv()).await {
+            match self.apply_changes(&changes) {
+                ChangesOutcome::Applied(changed) => {
+                    self.record_changes(cx.shared.clock.now());
                     return Some(changed);
                 }
-                Told::Old => {}
-                Told::Gap => break,
+                ChangesOutcome::Outdated => {}
+                ChangesOutcome::Gap => break,
             }
         }
-        self.told_at = None;
+        self.changes_received_at = None;
         None
     }
 
-    /// Takes note that the owner that reads for all has told what follows on what is known here.
-    fn note_told(&mut self, now: Millis) {
-        self.note_answer(now);
-        self.told_at = Some(now);
-        if !self.doubtful {
-            // It reads the whole list, too.
+    /// Records that forwarded changes were applied.
+    fn record_changes(&mut self, now: Millis) {
+        self.record_answer(now);
+        self.changes_received_at = Some(now);
+        if !self.has_unconfirmed_entries {
+            // The reader partition's owner reads the whole list, too.
             self.read_at = now;
         }
     }
 
-    /// Takes in what another owner has read.
-    pub fn take_told(&mut self, changes: &WorkerChanges) -> Told {
+    /// Applies changes that another owner has read.
+    pub fn apply_changes(&mut self, changes: &WorkerChanges) -> ChangesOutcome {
         if changes.to < self.version {
-            return Told::Old;
+            return ChangesOutcome::Outdated;
         }
         if changes.from > self.version {
-            return Told::Gap;
+            return ChangesOutcome::Gap;
         }
         self.version = changes.to;
-        Told::Taken(changes.rows.iter().fold(false, |changed, r| self.apply_told(r) | changed))
+        ChangesOutcome::Applied(
+            changes.rows.iter().fold(false, |changed, r| self.apply_change(r) | changed),
+        )
     }
 
-    /// Takes one row of it. Whether a missing entry is believed was the other owner's to judge.
-    fn apply_told(&mut self, row: &WorkerRow) -> bool {
+    /// Applies one forwarded row. The other owner has already decided whether to trust a removal.
+    /// Returns true if the list changed.
+    fn apply_change(&mut self, row: &WorkerRow) -> bool {
         if row.removed {
             self.rows.remove(&row.key).is_some()
         } else {
@@ -194,25 +212,26 @@
         }
     }
 
-    /// Waits for a change, or reads the whole list. Returns what has changed.
-    async fn next(&mut self, shared: &Shared) -> Result<WorkerChanges, StoreError> {
+    /// Waits for a change in the store, or reads the whole list if that is due. Returns the
+    /// changes.
+    async fn read_store(&mut self, shared: &Shared) -> Result<WorkerChanges, StoreError> {
         let now = shared.clock.now();
         let from = self.version;
         if self.version == 0 || self.is_read_due(now) {
             let feed = shared.store.read_all(REGISTRY_TABLE, "", READ_TIMEOUT).await?;
-            shared.note_store();
-            self.note_answer(shared.clock.now());
+            shared.record_store_answer();
+            self.record_answer(shared.clock.now());
             self.version = feed.version;
             self.read_at = shared.clock.now();
             let rows = self.replace(&feed.rows);
             return Ok(WorkerChanges { from, to: self.version, rows });
         }
-        match shared.store.feed(REGISTRY_TABLE, self.version, FEED_WAIT).await {
+        match shared.store.wait_for_changes(REGISTRY_TABLE, self.version, MAX_FEED_WAIT).await {
             Ok(feed) => {
-                shared.note_store();
-                self.note_answer(shared.clock.now());
+                shared.record_store_answer();
+                self.record_answer(shared.clock.now());
                 self.version = feed.version;
-                let changed = feed.rows.iter().filter(|r| self.apply(r));
+                let changed = feed.rows.iter().filter(|r| self.apply_row(r));
                 let rows = changed.map(WorkerRow::from).collect();
                 Ok(WorkerChanges { from, to: self.version, rows })
             }
@@ -225,52 +244,53 @@
         }
     }
 
-    /// Tells whether the whole list is to be read again.
+    /// Returns true if the whole list has to be read again.
     fn is_read_due(&self, now: Millis) -> bool {
-        let every = READ_EVERY.max(Millis(READ_EVERY_FOR_EACH.0 * self.rows.len() as u64));
-        now.since(self.read_at) >= every
+        let interval =
+            MIN_READ_INTERVAL.max(Millis(READ_INTERVAL_PER_WORKER.0 * self.rows.len() as u64));
+        now.since(self.read_at) >= interval
     }
 
-    /// Takes note that the store has answered, here or to the owner that reads for all.
-    pub fn note_answer(&mut self, now: Millis) {
-        if now.since(self.answered_at) > AWAY + Millis(FEED_WAIT.as_millis() as u64) {
-            self.believe_missing_at = now + TRUST_MISSING_AFTER;
+    /// Records that the store has answered this process or the reader partition's owner.
+    pub fn record_answer(&mut self, now: Millis) {
+        if now.since(self.answered_at) > MIN_STORE_OUTAGE + Millis(MAX_FEED_WAIT.as_millis() as u64)
+        {
+            self.trust_missing_from = now + MISSING_ENTRY_GRACE;
         }
         self.answered_at = now;
     }
 
-    /// Takes the whole list. Returns the rows that have changed.
+    /// Replaces the list with the rows of a full read. Returns the rows that changed.
     pub fn replace(&mut self, rows: &[Row]) -> Vec<WorkerRow> {
         let mut changed = Vec::new();
-        self.doubtful = !self.believes_missing();
-        if !self.doubtful {
-            let there: FxHashSet<&str> = rows.iter().map(|r| r.key.as_str()).collect();
-            let gone = |key: String| WorkerRow { key, removed: true, ..WorkerRow::default() };
-            let missing = self.rows.extract_if(.., |id, _| !there.contains(id.as_str()));
-            changed.extend(missing.map(|(id, _)| gone(id)));
-            self.malformed.retain(|id| there.contains(id.as_str()));
+        self.has_unconfirmed_entries = !self.trusts_missing();
+        if !self.has_unconfirmed_entries {
+            let present: FxHashSet<&str> = rows.iter().map(|r| r.key.as_str()).collect();
+            let removal = |key: String| WorkerRow { key, removed: true, ..WorkerRow::default() };
+            let missing = self.rows.extract_if(.., |id, _| !present.contains(id.as_str()));
+            changed.extend(missing.map(|(id, _)| removal(id)));
+            self.malformed.retain(|id| present.contains(id.as_str()));
         }
-        changed.extend(rows.iter().filter(|r| self.apply(r)).map(WorkerRow::from));
+        changed.extend(rows.iter().filter(|r| self.apply_row(r)).map(WorkerRow::from));
         changed
     }
 
-    fn believes_missing(&self) -> bool {
-        self.answered_at >= self.believe_missing_at
+    fn trusts_missing(&self) -> bool {
+        self.answered_at >= self.trust_missing_from
     }
 
-    /// Tells whether it may hold entries that are missing in the store: what others have read doesn't
-    /// tell of those.
+    /// Returns true if the list may hold entries that the store has removed. Forwarded changes
+    /// don't report those.
     #[cfg(test)]
-    pub fn is_doubtful(&self) -> bool {
-        self.doubtful
+    pub fn has_unconfirmed_entries(&self) -> bool {
+        self.has_unconfirmed_entries
     }
 
-    /// Takes one row. One that can't be read names no worker: the one that it named before is not
-    /// on the list any more, so nothing new is started there, and what runs goes on under its
-    /// lease. Tells whether something changed.
-    pub fn apply(&mut self, row: &Row) -> bool {
-        if row.removed && !self.believes_missing() {
-            self.doubtful = true;
+    /// Applies one row; returns true if the list changed. A malformed row takes its worker off the
+    /// list: nothing new is started there, and running tasks continue under their lease.
+    pub fn apply_row(&mut self, row: &Row) -> bool {
+        if row.removed && !self.trusts_missing() {
+            self.has_unconfirmed_entries = true;
             return false;
         }
         if row.removed {
@@ -279,7 +299,7 @@
         self.put(&row.key, &row.value)
     }
 
-    /// Takes the bytes of a row. Tells whether something changed.
+    /// Decodes a row and stores its worker. Returns true if the list changed.
     fn put(&mut self, key: &str, value: &[u8]) -> bool {
         match decode_listing(key, value) {
             Ok(listing) => {
@@ -287,12 +307,12 @@
                 old.as_ref() != Some(&listing)
             }
             Err(e) => {
-                let known = self.rows.remove(key).is_some();
-                // Once for each row: it is read again and again.
-                if known || self.malformed.insert(key.to_owned()) {
+                let was_listed = self.rows.remove(key).is_some();
+                // Logged once per row, since a row is read many times.
+                if was_listed || self.malformed.insert(key.to_owned()) {
                     log::error!("worker.malformed worker={key} error=\"{e}\"");
                 }
-                known
+                was_listed
             }
         }
     }
--- a/crates/hollowford-node/src/relay.rs
+++ b/crates/hollowford-node/src/relay.rs
@@ -1,4 +1,4 @@
-//! Calls from the entry to the owner, wherever it is.
+//! Relays callers' requests to the owner, in this process or over a link.
 
 use crate::link::Outbox;
 use crate::partition::{Partition, Route};
@@ -12,48 +12,48 @@
 use tokio::time::{sleep, timeout};
 
 /// Pause before a call is sent again to an owner that can't serve it yet.
-const AGAIN: Millis = Millis(30);
-/// A call that no owner has taken for so long is refused as not done. A takeover or a hand-over
-/// is mostly faster.
-const UNSENT_WITHIN: Millis = Millis(1_200);
-/// Without an owner, and with a store that has not answered for so long, nobody can take over
-/// now: the call is refused at once.
-const NO_STORE: Millis = Millis(900);
+const RETRY_PAUSE: Millis = Millis(30);
+/// A call that no owner has taken within this time is refused as not done. Takeovers and hand-overs
+/// usually take less.
+const UNSENT_TIMEOUT: Millis = Millis(1_200);
+/// Without an owner, and with a store that has not answered for this long, no process can take
+/// over, so calls are refused at once.
+const MIN_STORE_OUTAGE: Millis = Millis(900);
 
-/// What came of relaying a call.
+/// Outcome of relaying a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Relayed {
-    /// The owner's answer, with the value that was asked for.
+pub enum RelayOutcome {
+    /// The owner's answer and the requested value.
     Said(Said, u64),
-    /// No owner could be reached: nothing was done.
+    /// No owner could be reached; nothing was done.
     NotSent,
-    /// An owner got the call, and it is not known what it did.
+    /// An owner received the call, but its outcome is unknown.
     Unsure,
 }
 
-type Pending = Arc<Mutex<HashMap<u64, oneshot::Sender<CallAnswer>>>>;
+type PendingCalls = Arc<Mutex<HashMap<u64, oneshot::Sender<CallAnswer>>>>;
 
 /// The owner at the other end of a link.
 #[derive(Clone, Debug)]
 pub struct RemoteOwner {
     outbox: Outbox,
-    pending: Pending,
-    next: Arc<AtomicU64>,
+    pending: PendingCalls,
+    next_id: Arc<AtomicU64>,
 }
 
 impl RemoteOwner {
-    /// Makes the owner's end of a link.
+    /// Creates a client of the owner that `outbox` sends to.
     pub fn new(outbox: Outbox) -> RemoteOwner {
-        RemoteOwner { outbox, pending: Arc::default(), next: Arc::default() }
+        RemoteOwner { outbox, pending: Arc::default(), next_id: Arc::default() }
     }
 
     fn pending(&self) -> std::sync::MutexGuard<'_, HashMap<u64, oneshot::Sender<CallAnswer>>> {
         self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends a call; the receiver fails when the link ends before the answer.
+    /// Sends a call. The receiver fails if the link ends before the answer arrives.
     fn call(&self, call: &Call) -> Option<oneshot::Receiver<CallAnswer>> {
-        let id = self.next.fetch_add(1, Ordering::Relaxed);
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let (tx, rx) = oneshot::channel();
         self.pending().insert(id, tx);
         let sent = self.outbox.send(Body::Call(Call { id, ..call.clone() }));
@@ -63,66 +63,74 @@
         sent.then_some(rx)
     }
 
-    /// Hands an answer to the call that waits for it.
-    pub fn answered(&self, answer: CallAnswer) {
+    /// Completes the pending call that an answer belongs to.
+    pub fn complete(&self, answer: CallAnswer) {
         if let Some(tx) = self.pending().remove(&answer.id) {
             // The caller may have given up.
             let _ = tx.send(answer);
         }
     }
 
-    /// Fails all calls that wait, since the link has ended.
+    /// Fails all pending calls because the link has ended.
     pub fn fail_all(&self) {
         self.pending().clear();
     }
 }
 
-/// Sends a call to the owner, and again to the next one while that is safe, until `deadline`.
-/// Every call is safe to send again: a job's id makes it one job.
-pub async fn relay(shared: &Shared, p: &Partition, mut call: Call, deadline: Millis) -> Relayed {
-    let mut route = p.route.subscribe();
-    // A refusal that comes early lets the caller come back while its work is still wanted.
-    let unsent_until = deadline.min(shared.clock.now() + UNSENT_WITHIN);
+/// Sends a call to the owner, and again to the next one where that is needed, until `deadline`.
+/// Every call is safe to send again, since the job's id makes a repeated submission the same job.
+pub async fn relay(
+    shared: &Shared,
+    partition: &Partition,
+    mut call: Call,
+    deadline: Millis,
+) -> RelayOutcome {
+    let mut route = partition.route.subscribe();
+    // An early refusal lets the caller retry while the result is still useful to it.
+    let unsent_until = deadline.min(shared.clock.now() + UNSENT_TIMEOUT);
     let mut sent = false;
     loop {
         let until = if sent { deadline } else { unsent_until };
         let left = until.since(shared.clock.now());
         if left == Millis(0) {
-            return if sent { Relayed::Unsure } else { Relayed::NotSent };
+            return if sent { RelayOutcome::Unsure } else { RelayOutcome::NotSent };
         }
         call.limit_ms = deadline.since(shared.clock.now()).0;
         let Some(rx) = send(&route.borrow_and_update(), &call) else {
-            if !sent && shared.store_away(NO_STORE) && p.owner_age(shared.clock.now()) >= NO_STORE {
-                return Relayed::NotSent;
+            if !sent
+                && shared.is_store_unavailable(MIN_STORE_OUTAGE)
+                && partition.owner_contact_age(shared.clock.now()) >= MIN_STORE_OUTAGE
+            {
+                return RelayOutcome::NotSent;
             }
-            next_owner(&mut route, left.min(NO_STORE)).await;
+            wait_for_route_change(&mut route, left.min(MIN_STORE_OUTAGE)).await;
             continue;
         };
-        let answered = deadline.since(shared.clock.now());
-        let Ok(answer) = timeout(answered.duration(), rx).await else { return Relayed::Unsure };
+        let limit = deadline.since(shared.clock.now());
+        let Ok(answer) = timeout(limit.duration(), rx).await else { return RelayOutcome::Unsure };
         let Ok(answer) = answer else {
-            // The link has ended before the answer.
+            // The link ended before the answer arrived.
             sent = true;
-            next_owner(&mut route, left.min(AGAIN)).await;
+            wait_for_route_change(&mut route, left.min(RETRY_PAUSE)).await;
             continue;
         };
         match answer.outcome() {
-            Said::NotOwner => next_owner(&mut route, left.min(AGAIN)).await,
+            Said::NotOwner => wait_for_route_change(&mut route, left.min(RETRY_PAUSE)).await,
             Said::Deposed => {
                 sent = true;
-                next_owner(&mut route, left.min(AGAIN)).await;
+                wait_for_route_change(&mut route, left.min(RETRY_PAUSE)).await;
             }
-            Said::NoQueue => sleep(AGAIN.duration()).await,
-            // Neither says what an earlier owner, which had taken the call, has done.
-            Said::UnknownKey | Said::NotTaken if sent => return Relayed::Unsure,
-            Said::NotTaken => return Relayed::NotSent,
-            said => return Relayed::Said(said, answer.value),
+            Said::NoQueue => sleep(RETRY_PAUSE.duration()).await,
+            // These answers don't reveal what an earlier owner did that had received the call.
+            Said::UnknownKey | Said::NotTaken if sent => return RelayOutcome::Unsure,
+            Said::NotTaken => return RelayOutcome::NotSent,
+            said => return RelayOutcome::Said(said, answer.value),
         }
         shared.metrics.relayed_again.inc();
     }
 }
 
-/// Sends a call on a route; none when it leads to no owner that takes calls.
+/// Sends a call on a route; `None` if the route leads to no owner that takes calls.
 fn send(route: &Route, call: &Call) -> Option<oneshot::Receiver<CallAnswer>> {
     match route {
         Route::None => None,
@@ -131,8 +139,8 @@
     }
 }
 
-/// Waits for the next owner, for `limit` at most.
-async fn next_owner(route: &mut watch::Receiver<Route>, limit: Millis) {
-    // Both ways of waking are good: the route is read again either way.
+/// Waits up to `limit` for the route to change.
+async fn wait_for_route_change(route: &mut watch::Receiver<Route>, limit: Millis) {
+    // A timeout is no error: the route is read again either way.
     let _ = timeout(limit.duration(), route.changed()).await;
 }
