--- a/crates/hollowford-node/src/writer.rs
+++ b/crates/hollowford-node/src/writer.rs
@@ -1,179 +1,179 @@
-//! Writes batches to the store, each exactly once.
+//! Writes each batch to the store exactly once.
 
 use crate::lane::lane_key;
-use crate::owner_row::{TABLE, encode_owner, read_owner};
+use crate::owner_row::{SYSTEM_TABLE, decode_owner, encode_owner};
 use crate::retries::Retries;
 use crate::shared::Shared;
 use crate::wire::OwnerInfo;
 use futures::StreamExt;
 use futures::future::FutureExt;
 use futures::stream::FuturesUnordered;
-use hollowford_adapter::{Expect, Row, StoreError, Transaction, TxOutcome, Version};
+use hollowford_adapter::{ExpectedVersion, Row, StoreError, Transaction, TxOutcome, Version};
 use hollowford_core::Millis;
 use hollowford_jobs::Batch;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Longest time for a reading. A slow store takes up to 0.5 s.
+/// Timeout of a read. A slow store takes up to 0.5 s.
 const READ_TIMEOUT: Duration = Duration::from_millis(800);
-/// Longest time for one copy.
-const COPY_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Pause after the store has refused.
-const REFUSED_PAUSE: Duration = Duration::from_millis(80);
+/// Timeout of one write attempt.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Delay before the next attempt after the store has refused one.
+const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(80);
 
-/// What came of a batch.
+/// The outcome of a batch.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Written {
-    /// It is in the store.
+pub enum BatchOutcome {
+    /// The batch was committed.
     Made {
-        /// Version of its lane's row.
+        /// Version of the lane's row after the commit.
         rev: Version,
-        /// How long the copy took that was answered; none when only its lane's row told.
+        /// Response time of the attempt that was committed, or `None` if the commit was detected by
+        /// reading the lane's row.
         answered_in: Option<Millis>,
     },
-    /// The store has refused it, and it will never be made.
+    /// The store refused the batch; it will never be committed.
     Refused,
     /// Another process owns the partition.
     Deposed(OwnerInfo),
-    /// The lane's row is not as only this owner can have written it.
+    /// The lane's row is missing or in a state that this owner's batches can't have left.
     Inconsistent,
 }
 
-/// A batch on its way.
+/// A batch to be written.
 #[derive(Debug)]
-pub struct Writing {
-    /// Part of the table that it belongs to.
+pub struct BatchWrite {
+    /// Part of the store's table that holds the partition's rows.
     pub part: String,
-    /// Whose batch it is.
+    /// The owner that writes the batch.
     pub owner: OwnerInfo,
-    /// Its lane.
     pub lane: usize,
-    /// Version of the lane's row on which it builds.
+    /// Version of the lane's row that the batch requires.
     pub rev: Version,
-    /// The batch.
     pub batch: Batch,
-    /// How long to wait for an answer before the lane's row is read.
-    pub read_after: Millis,
+    /// How long to wait for an answer before reading the lane's row.
+    pub read_delay: Millis,
 }
 
-/// Writes a batch until it is known what came of it.
+/// Writes a batch and returns once its outcome is known.
 ///
-/// Copies of one batch may be under way side by side: at most one can be made, since each
-/// requires and replaces the row of its lane. The store makes the transactions of a part one
-/// after the other, so a copy that isn't needed keeps the next batch waiting. So the row is read
-/// first, which costs no turn: it shows a batch whose answer was lost, and how slow the store is.
-pub async fn write(shared: Arc<Shared>, writing: Writing) -> Written {
-    let tx = transaction(&writing);
+/// Several attempts to write the same batch may be in flight at once. At most one of them can be
+/// committed because each requires and replaces the row of its lane. [`Retries`] decides when to
+/// send another attempt and when to read the lane's row.
+pub async fn write(shared: Arc<Shared>, batch_write: BatchWrite) -> BatchOutcome {
+    let tx = transaction(&batch_write);
     let mut calls = FuturesUnordered::new();
-    calls.push(copy(&shared, &writing, &tx).boxed());
-    let mut retries = Retries::begun(shared.clock.now(), writing.read_after);
+    calls.push(send_attempt(&shared, &batch_write, &tx).boxed());
+    let mut retries = Retries::new(shared.clock.now(), batch_write.read_delay);
     loop {
-        let wait = retries.wait(shared.store_age(), shared.clock.now());
-        let heard = tokio::select! {
-            Some(heard) = calls.next() => heard,
+        let wait = retries.time_to_next_call(shared.store_age(), shared.clock.now());
+        let result = tokio::select! {
+            Some(result) = calls.next() => result,
             () = sleep(wait.duration()) => {
                 let now = shared.clock.now();
-                if retries.copy_is_due(shared.store_age(), now) {
-                    calls.push(copy(&shared, &writing, &tx).boxed());
-                    retries.copied(now);
+                if retries.attempt_is_due(shared.store_age(), now) {
+                    calls.push(send_attempt(&shared, &batch_write, &tx).boxed());
+                    retries.attempt_sent(now);
                     shared.metrics.batches.with_label_values(&["copied"]).inc();
                 } else {
-                    calls.push(reading(&shared, &writing).boxed());
-                    retries.reads();
+                    calls.push(read_lane_row(&shared, &batch_write).boxed());
+                    retries.read_sent();
                 }
                 continue;
             }
         };
-        match heard {
-            Heard::Copy(Ok(TxOutcome::Made(rev)), took) => return made(&shared, rev, Some(took)),
-            Heard::Copy(Ok(TxOutcome::Conflict(rows)), _) => {
-                shared.note_store();
-                return settle(&shared, &writing, &rows);
+        match result {
+            CallResult::Attempt(Ok(TxOutcome::Committed(rev)), took) => {
+                return committed(&shared, rev, Some(took));
             }
-            Heard::Copy(Err(e), _) => {
-                note_failure(&shared, &e);
-                retries.copy_failed(e.surely_not_done());
-                if retries.all_failed() {
+            CallResult::Attempt(Ok(TxOutcome::Conflict(rows)), _) => {
+                shared.record_store_answer();
+                return outcome_from_row(&shared, &batch_write, &rows);
+            }
+            CallResult::Attempt(Err(e), _) => {
+                record_failure(&shared, &e);
+                retries.attempt_failed(e.had_no_effect());
+                if retries.all_attempts_failed() {
                     if retries.is_refused() {
-                        return Written::Refused;
+                        return BatchOutcome::Refused;
                     }
-                    sleep(REFUSED_PAUSE).await;
-                    calls.push(copy(&shared, &writing, &tx).boxed());
-                    retries.copied(shared.clock.now());
+                    sleep(REFUSED_RETRY_DELAY).await;
+                    calls.push(send_attempt(&shared, &batch_write, &tx).boxed());
+                    retries.attempt_sent(shared.clock.now());
                 }
             }
-            Heard::Reading(Ok(Some(row)), took) => {
-                shared.note_store();
-                if row.version != writing.rev {
-                    return settle(&shared, &writing, &[row]);
+            CallResult::LaneRead(Ok(Some(row)), took) => {
+                shared.record_store_answer();
+                if row.version != batch_write.rev {
+                    return outcome_from_row(&shared, &batch_write, &[row]);
                 }
-                retries.not_made(took, shared.clock.now());
+                retries.batch_not_found(took, shared.clock.now());
             }
-            Heard::Reading(_, _) => retries.unread(shared.clock.now()),
+            CallResult::LaneRead(_, _) => retries.read_failed(shared.clock.now()),
         }
     }
 }
 
-/// What a call for a batch came to, and how long it took.
-enum Heard {
-    /// A copy of the batch.
-    Copy(Result<TxOutcome, StoreError>, Millis),
-    /// A reading of the lane's row.
-    Reading(Result<Option<Row>, StoreError>, Millis),
+/// The result of a store call for a batch, and how long it took.
+enum CallResult {
+    /// An attempt to write the batch.
+    Attempt(Result<TxOutcome, StoreError>, Millis),
+    /// A read of the lane's row.
+    LaneRead(Result<Option<Row>, StoreError>, Millis),
 }
 
-/// Sends one copy.
-async fn copy(shared: &Shared, writing: &Writing, tx: &Transaction) -> Heard {
-    let began = shared.clock.now();
-    let answer = shared.store.transact(TABLE, &writing.part, tx, COPY_TIMEOUT).await;
-    Heard::Copy(answer, shared.clock.now().since(began))
+/// Sends one attempt to write the batch.
+async fn send_attempt(shared: &Shared, batch_write: &BatchWrite, tx: &Transaction) -> CallResult {
+    let started_at = shared.clock.now();
+    let answer = shared.store.transact(SYSTEM_TABLE, &batch_write.part, tx, ATTEMPT_TIMEOUT).await;
+    CallResult::Attempt(answer, shared.clock.now().since(started_at))
 }
 
 /// Reads the row of the batch's lane.
-async fn reading(shared: &Shared, writing: &Writing) -> Heard {
-    let began = shared.clock.now();
-    let key = lane_key(writing.lane);
-    let answer = shared.store.read(TABLE, &writing.part, &key, READ_TIMEOUT).await;
-    Heard::Reading(answer.map(|(row, _)| row), shared.clock.now().since(began))
+async fn read_lane_row(shared: &Shared, batch_write: &BatchWrite) -> CallResult {
+    let started_at = shared.clock.now();
+    let key = lane_key(batch_write.lane);
+    let answer = shared.store.read(SYSTEM_TABLE, &batch_write.part, &key, READ_TIMEOUT).await;
+    CallResult::LaneRead(answer.map(|(row, _)| row), shared.clock.now().since(started_at))
 }
 
-fn made(shared: &Shared, rev: Version, answered_in: Option<Millis>) -> Written {
-    shared.note_store();
+fn committed(shared: &Shared, rev: Version, answered_in: Option<Millis>) -> BatchOutcome {
+    shared.record_store_answer();
     shared.metrics.batches.with_label_values(&["made"]).inc();
-    Written::Made { rev, answered_in }
+    BatchOutcome::Made { rev, answered_in }
 }
 
-fn note_failure(shared: &Shared, e: &StoreError) {
-    shared.note_store_failure();
-    let outcome = if e.surely_not_done() { "refused" } else { "unanswered" };
+fn record_failure(shared: &Shared, e: &StoreError) {
+    shared.record_store_failure();
+    let outcome = if e.had_no_effect() { "refused" } else { "unanswered" };
     shared.metrics.batches.with_label_values(&[outcome]).inc();
     log::debug!("batch.failed error=\"{e}\"");
 }
 
-/// Tells from the lane's row whether an earlier copy was made.
-fn settle(shared: &Shared, writing: &Writing, rows: &[Row]) -> Written {
-    let (number, key) = (writing.batch.number, lane_key(writing.lane));
+/// Determines from the lane's row whether an earlier attempt was committed.
+fn outcome_from_row(shared: &Shared, batch_write: &BatchWrite, rows: &[Row]) -> BatchOutcome {
+    let (number, key) = (batch_write.batch.number, lane_key(batch_write.lane));
     let row = rows.iter().find(|r| r.key == key);
-    let Some((found, version)) = row.and_then(|r| Some((read_owner(r)?, r.version))) else {
+    let Some((found, version)) = row.and_then(|r| Some((decode_owner(r)?, r.version))) else {
         log::error!("batch.conflict batch={number} row={key} missing");
-        return Written::Inconsistent;
+        return BatchOutcome::Inconsistent;
     };
-    let Some(holder) = found.owner else { return Written::Inconsistent };
-    if holder != writing.owner {
-        return Written::Deposed(holder);
+    let Some(row_owner) = found.owner else { return BatchOutcome::Inconsistent };
+    if row_owner != batch_write.owner {
+        return BatchOutcome::Deposed(row_owner);
     }
     if found.batch == number {
-        return made(shared, version, None);
+        return committed(shared, version, None);
     }
     log::error!("batch.conflict batch={number} row={key} found={}", found.batch);
-    Written::Inconsistent
+    BatchOutcome::Inconsistent
 }
 
-pub(crate) fn transaction(writing: &Writing) -> Transaction {
-    let Writing { owner, lane, rev, batch, .. } = writing;
+pub(crate) fn transaction(batch_write: &BatchWrite) -> Transaction {
+    let BatchWrite { owner, lane, rev, batch, .. } = batch_write;
     let key = lane_key(*lane);
-    let expect = vec![Expect { key: key.clone(), version: *rev }];
+    let expect = vec![ExpectedVersion { key: key.clone(), version: *rev }];
     let mut put = vec![(key, encode_owner(owner, batch.number))];
     let mut remove = Vec::new();
     for row in &batch.rows {
--- a/crates/hollowford-platform/src/store.rs
+++ b/crates/hollowford-platform/src/store.rs
@@ -1,11 +1,13 @@
-//! The table, the objects and the instance list as the processes of `serve` use them.
+//! Access to the table, the object store and the instance list, for processes started by
+//! `hollowford serve`.
 //!
-//! There is one client of the store, that of the users' platform; this adds the table and
-//! part in which the rows lie, a time limit and a count of the calls.
+//! Wraps the store client of `hollowford-adapter`, and adds the names of the table and part that
+//! contain the rows, a timeout and counters of the calls.
 
-use crate::rows::{Check, Instance, Row, Value};
+use crate::rows::{Instance, Row, RowVersion, Value};
 use hollowford_adapter::{
-    Expect, REGISTRY_TABLE, Range, StoreClient, Transaction, TxOutcome, decode_listing, next_key,
+    ExpectedVersion, KeyRange, REGISTRY_TABLE, StoreClient, Transaction, TxOutcome, decode_listing,
+    next_key,
 };
 use hollowford_jobs::WorkerListing;
 use std::net::SocketAddr;
@@ -13,51 +15,54 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Table of the rows.
-const TABLE: &str = "cell";
-/// Part of the table: all rows are in one, since transactions join rows of all kinds.
+/// Name of the table that contains the rows.
+const CELL_TABLE: &str = "cell";
+/// Name of the part of the table that contains all rows. There is only one, since a transaction can
+/// change rows of all kinds but of a single part.
 const PART: &str = "";
-/// Position of the rack in a worker's labels; its kind comes first.
-const RACK_LABEL: usize = 1;
+/// Index of the rack in a worker's labels; the first label is the worker's kind.
+const RACK_LABEL_INDEX: usize = 1;
 
-/// Why a call to the store gave no answer.
+/// Error of a call to the store.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The call failed or took too long; a write may have taken effect.
+    /// The call failed or timed out; a write may have taken effect.
     #[error("store: {0}")]
     Unanswered(String),
-    /// The store refused the call as wrong; it had no effect.
+    /// The store rejected the call as invalid; it had no effect.
     #[error("store refused: {0}")]
     Refused(String),
 }
 
 impl From<hollowford_adapter::StoreError> for StoreError {
     fn from(e: hollowford_adapter::StoreError) -> StoreError {
-        use hollowford_adapter::StoreError as Theirs;
+        use hollowford_adapter::StoreError as AdapterError;
         let text = e.to_string();
         match e {
-            // 429 and 5xx are the store's state and not the call's fault: it is tried again.
-            Theirs::Refused(status) if status != 429 && status < 500 => StoreError::Refused(text),
+            // 429 and 5xx are caused by the state of the store, not by the call: it is retried.
+            AdapterError::Refused(status) if status != 429 && status < 500 => {
+                StoreError::Refused(text)
+            }
             _ => StoreError::Unanswered(text),
         }
     }
 }
 
-/// A transaction being put together.
+/// Builder of a transaction.
 #[derive(Clone, Debug, Default)]
 pub struct Txn {
     tx: Transaction,
 }
 
 impl Txn {
-    /// Starts an empty transaction.
+    /// Creates an empty transaction.
     pub fn new() -> Txn {
         Txn::default()
     }
 
-    /// Requires the row to have this version; 0: to be absent.
+    /// Requires a row to have this version, where 0 means that it must not exist.
     pub fn check(mut self, key: impl Into<String>, version: u64) -> Txn {
-        self.tx.expect.push(Expect { key: key.into(), version });
+        self.tx.expect.push(ExpectedVersion { key: key.into(), version });
         self
     }
 
@@ -74,70 +79,72 @@
     }
 }
 
-/// What came of a transaction.
+/// Outcome of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TxnResult {
-    /// Made; the written rows have this version.
+    /// Committed; the written rows have this version.
     Committed(u64),
-    /// Not made; these rows were not as expected.
-    Conflict(Vec<Check>),
+    /// Not committed; these rows did not have the expected versions.
+    Conflict(Vec<RowVersion>),
 }
 
-/// Calls made since the start, for the budget of the store.
+/// Number of calls since the start, reported for the budget of store calls.
 #[derive(Debug, Default)]
-struct Counts {
+struct CallCounts {
     reads: AtomicU64,
     writes: AtomicU64,
 }
 
-/// Client of the platform's services. Cheap to clone.
+/// Client of the platform's services. Cheap to clone; clones share the call counters.
 #[derive(Clone, Debug)]
 pub struct Platform {
     store: StoreClient,
     timeout: Duration,
-    counts: Arc<Counts>,
+    call_counts: Arc<CallCounts>,
 }
 
 impl Platform {
-    /// Makes a client of the platform at `addr` (`IP:port`), whose calls take
-    /// `timeout` at most.
+    /// Creates a client of the platform at `addr` (`IP:port`). `timeout` applies to each call.
     ///
     /// # Errors
-    /// `Refused` when the address can't be read or the HTTP client can't be made.
+    /// `Refused` if the address is invalid or the HTTP client can't be created.
     pub fn new(addr: &str, timeout: Duration) -> Result<Platform, StoreError> {
-        let wrong = |e: &dyn std::fmt::Display| StoreError::Refused(format!("{addr}: {e}"));
-        let addr: SocketAddr = addr.parse().map_err(|e| wrong(&e))?;
-        let store = StoreClient::new(addr).map_err(|e| wrong(&e))?;
-        Ok(Platform { store, timeout, counts: Arc::default() })
+        let refused = |e: &dyn std::fmt::Display| StoreError::Refused(format!("{addr}: {e}"));
+        let addr: SocketAddr = addr.parse().map_err(|e| refused(&e))?;
+        let store = StoreClient::new(addr).map_err(|e| refused(&e))?;
+        Ok(Platform { store, timeout, call_counts: Arc::default() })
     }
 
-    /// Returns the reads and writes sent since the start.
-    pub fn calls(&self) -> (u64, u64) {
-        let c = &self.counts;
+    /// Returns the numbers of reads and writes sent since the start.
+    pub fn call_counts(&self) -> (u64, u64) {
+        let c = &self.call_counts;
         (c.reads.load(Ordering::Relaxed), c.writes.load(Ordering::Relaxed))
     }
 
     fn count_read(&self) {
-        self.counts.reads.fetch_add(1, Ordering::Relaxed);
+        self.call_counts.reads.fetch_add(1, Ordering::Relaxed);
     }
 
     fn count_write(&self) {
-        self.counts.writes.fetch_add(1, Ordering::Relaxed);
+        self.call_counts.writes.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Runs a transaction.
     ///
     /// # Errors
-    /// `Unanswered`: it may have been made; read back to find out. `Refused`: it was not.
+    /// `Unanswered`: the transaction may have been committed; read its rows to find out. `Refused`:
+    /// it was not committed.
     pub async fn txn(&self, txn: &Txn) -> Result<TxnResult, StoreError> {
         self.count_write();
-        Ok(match self.store.transact(TABLE, PART, &txn.tx, self.timeout).await? {
-            TxOutcome::Made(version) => TxnResult::Committed(version),
-            TxOutcome::Conflict(rows) => TxnResult::Conflict(differing(&txn.tx.expect, &rows)),
+        Ok(match self.store.transact(CELL_TABLE, PART, &txn.tx, self.timeout).await? {
+            TxOutcome::Committed(version) => TxnResult::Committed(version),
+            TxOutcome::Conflict(rows) => {
+                TxnResult::Conflict(unmet_expectations(&txn.tx.expect, &rows))
+            }
         })
     }
 
-    /// Reads rows by key, one after the other; absent ones are left out.
+    /// Reads rows by key, one call each, and omits rows that do not exist.
     ///
     /// # Errors
     /// `Unanswered` or `Refused`.
@@ -149,17 +156,17 @@
         Ok(rows)
     }
 
-    /// Reads one row.
+    /// Reads one row; returns `None` if it does not exist.
     ///
     /// # Errors
     /// `Unanswered` or `Refused`.
     pub async fn get(&self, key: &str) -> Result<Option<Row>, StoreError> {
         self.count_read();
-        let (row, _) = self.store.read(TABLE, PART, key, self.timeout).await?;
+        let (row, _) = self.store.read(CELL_TABLE, PART, key, self.timeout).await?;
         Ok(row.map(Row::from))
     }
 
-    /// Reads at most `limit` rows whose keys start with `prefix` and are after `after`.
+    /// Reads the first `limit` rows whose keys start with `prefix` and sort after `after`.
     ///
     /// # Errors
     /// `Unanswered` or `Refused`.
@@ -172,21 +179,21 @@
         self.count_read();
         let from = if after < prefix { prefix.to_owned() } else { next_key(after) };
         let to = end_of_prefix(prefix);
-        let range = Range { from: &from, to: &to, limit };
-        let rows = self.store.read_range(TABLE, PART, &range, self.timeout).await?;
+        let range = KeyRange { from: &from, to: &to, limit };
+        let rows = self.store.read_range(CELL_TABLE, PART, &range, self.timeout).await?;
         Ok(rows.into_iter().map(Row::from).collect())
     }
 
     /// Writes an object.
     ///
     /// # Errors
-    /// `Unanswered`: it may have been written.
+    /// `Unanswered`: the object may have been written.
     pub async fn put_object(&self, key: &str, value: Vec<u8>) -> Result<(), StoreError> {
         self.count_write();
         Ok(self.store.put_object(key, value, self.timeout).await?)
     }
 
-    /// Reads an object; `None` when there is none.
+    /// Reads an object; returns `None` if it does not exist.
     ///
     /// # Errors
     /// `Unanswered`.
@@ -195,16 +202,16 @@
         Ok(self.store.get_object(key, self.timeout).await?)
     }
 
-    /// Deletes an object, if it is there.
+    /// Deletes an object if it exists.
     ///
     /// # Errors
-    /// `Unanswered`: it may have been deleted.
+    /// `Unanswered`: the object may have been deleted.
     pub async fn delete_object(&self, key: &str) -> Result<(), StoreError> {
         self.count_write();
         Ok(self.store.delete_object(key, self.timeout).await?)
     }
 
-    /// Reads the instance list.
+    /// Reads the instance list. Logs and omits entries that can't be decoded.
     ///
     /// # Errors
     /// `Unanswered`.
@@ -220,7 +227,8 @@
     }
 }
 
-/// Returns the key after all that start with `prefix`, whose last character is in ASCII.
+/// Returns the first key after all keys that start with `prefix`, whose last character must be
+/// ASCII.
 fn end_of_prefix(prefix: &str) -> String {
     let mut chars: Vec<char> = prefix.chars().collect();
     if let Some(last) = chars.last_mut() {
@@ -229,12 +237,17 @@
     chars.into_iter().collect()
 }
 
-/// Returns the expected rows that are not as expected, as they stand; version 0: absent.
-fn differing(expected: &[Expect], rows: &[hollowford_adapter::Row]) -> Vec<Check> {
+/// Returns the rows whose versions differ from the expected ones, with their current versions, or 0
+/// if they do not exist.
+fn unmet_expectations(
+    expected: &[ExpectedVersion],
+    rows: &[hollowford_adapter::Row],
+) -> Vec<RowVersion> {
     let version = |key: &str| rows.iter().find(|r| r.key == key).map_or(0, |r| r.version);
-    let differs = |e: &&Expect| version(&e.key) != e.version;
-    let check = |e: &Expect| Check { key: e.key.clone(), version: version(&e.key) };
-    expected.iter().filter(differs).map(check).collect()
+    let differs = |e: &&ExpectedVersion| version(&e.key) != e.version;
+    let row_version =
+        |e: &ExpectedVersion| RowVersion { key: e.key.clone(), version: version(&e.key) };
+    expected.iter().filter(differs).map(row_version).collect()
 }
 
 impl From<hollowford_adapter::Row> for Row {
@@ -249,7 +262,7 @@
             id: l.life.id().as_str().to_owned(),
             addr: l.address.to_string(),
             zone: l.zone.to_string(),
-            rack: l.labels.get(RACK_LABEL).map(ToString::to_string).unwrap_or_default(),
+            rack: l.labels.get(RACK_LABEL_INDEX).map(ToString::to_string).unwrap_or_default(),
             leaving: l.leaving,
         }
     }
--- a/crates/hollowford-server/src/decide/mod.rs
+++ b/crates/hollowford-server/src/decide/mod.rs
@@ -1,11 +1,11 @@
-//! The deciding duty: one thread that holds the engines of all owned partitions.
+//! The `decide` thread, which runs the engines of all partitions that this process owns.
 
 mod calls;
-mod duty;
-mod owned;
-mod waiters;
+mod event_loop;
+mod owned_partition;
+mod waiting_calls;
 
-pub(crate) use duty::run;
+pub(crate) use event_loop::run;
 
 use crate::ledger::LedgerHandle;
 use crate::ownership::OwnerLease;
@@ -16,37 +16,47 @@
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
-/// Answers one call.
-pub(crate) type ReplyTo = oneshot::Sender<Result<Said, Error>>;
+/// Sends the answer to one call.
+pub(crate) type ReplySender = oneshot::Sender<Result<Said, Error>>;
 
-/// A partition that this process has taken over.
+/// A partition that this process has taken over, with the records recovered from its ledger.
 #[derive(Debug)]
-pub(crate) struct Take {
+pub(crate) struct TakenPartition {
     pub partition: PartitionId,
     pub lease: Arc<OwnerLease>,
     pub ledger: LedgerHandle,
     pub records: Vec<Record>,
 }
 
-/// What the deciding duty is told.
+/// A message to the `decide` thread.
 #[derive(Debug)]
 pub(crate) enum DecideMsg {
-    /// A caller's call.
-    Call { call: Box<Call>, reply: ReplyTo },
-    /// Start to decide for a partition.
-    Take(Box<Take>),
-    /// Stop to decide for a partition, and reply once its ledger is written.
+    /// A call of a client account.
+    Call { call: Box<Call>, reply: ReplySender },
+    /// Start scheduling for a partition.
+    TakeOver(Box<TakenPartition>),
+    /// Stop scheduling for a partition, and reply once its ledger is durable.
     Release { partition: PartitionId, done: oneshot::Sender<()> },
-    /// A worker replied to the claim of this session.
-    Claimed { partition: PartitionId, worker: InstanceId, session: u64, report: Box<v1::Report> },
-    /// A worker of this session reported.
-    Report { partition: PartitionId, worker: InstanceId, session: u64, report: Box<v1::Report> },
+    /// A worker replied to the claim that opened this session.
+    WorkerClaimed {
+        partition: PartitionId,
+        worker: InstanceId,
+        session: u64,
+        report: Box<v1::Report>,
+    },
+    /// A worker sent a report in this session.
+    WorkerReport {
+        partition: PartitionId,
+        worker: InstanceId,
+        session: u64,
+        report: Box<v1::Report>,
+    },
     /// The session with a worker ended.
-    Lost { partition: PartitionId, worker: InstanceId, session: u64 },
+    SessionEnded { partition: PartitionId, worker: InstanceId, session: u64 },
     /// The instance list was read again.
-    Instances,
-    /// The configuration in force has changed.
-    Accounts,
+    InstancesChanged,
+    /// The active account configuration has changed.
+    AccountsChanged,
     /// Describe the state of all owned partitions, as JSON.
-    Dump(oneshot::Sender<serde_json::Value>),
+    DumpState(oneshot::Sender<serde_json::Value>),
 }
--- a/crates/hollowford-server/src/owners.rs
+++ b/crates/hollowford-server/src/owners.rs
@@ -1,17 +1,15 @@
-//! Who owns which partition, as far as this process knows.
+//! The owners of the partitions, as known to this process.
 
 use hollowford_core::{Epoch, PartitionId, hash64};
 use hollowford_protocol::peer::OwnedPartition;
 use std::sync::{RwLock, RwLockReadGuard};
 
-/// The owner of a partition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Owner {
     pub process: String,
     pub epoch: Epoch,
 }
 
-/// The owners of all partitions.
 #[derive(Debug)]
 pub(crate) struct Owners {
     list: RwLock<Vec<Option<Owner>>>,
@@ -26,18 +24,17 @@
         self.list.read().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Notes an owner, unless a later one is known.
+    /// Sets the owner of a partition. Ignores an owner with a lower epoch than the known one.
     pub fn set(&self, partition: PartitionId, owner: Option<Owner>) {
         let mut list = self.list.write().unwrap_or_else(std::sync::PoisonError::into_inner);
-        let slot = &mut list[partition.0 as usize];
-        let later = |new: &Owner, old: &Owner| new.epoch >= old.epoch;
-        match (&owner, &slot) {
-            (Some(new), Some(old)) if !later(new, old) => {}
-            _ => *slot = owner,
+        let current = &mut list[partition.0 as usize];
+        let is_later = |new: &Owner, old: &Owner| new.epoch >= old.epoch;
+        match (&owner, &current) {
+            (Some(new), Some(old)) if !is_later(new, old) => {}
+            _ => *current = owner,
         }
     }
 
-    /// Returns the owner of a partition.
     pub fn get(&self, partition: PartitionId) -> Option<Owner> {
         self.read().get(partition.0 as usize).cloned().flatten()
     }
@@ -52,9 +49,9 @@
         owned.collect()
     }
 
-    /// Notes the partitions that a process says it owns. Those that this process doesn't have
-    /// are of a cell with other settings.
-    pub fn note_owned(&self, process: &str, owned: &[OwnedPartition]) {
+    /// Records the partitions that a process reports as its own. Partitions outside this
+    /// process's settings are ignored: the sender runs with other settings.
+    pub fn record_owned(&self, process: &str, owned: &[OwnedPartition]) {
         let partitions = self.read().len() as u32;
         for o in owned.iter().filter(|o| o.partition < partitions) {
             let owner = Owner { process: process.to_owned(), epoch: Epoch(o.epoch) };
@@ -62,16 +59,16 @@
         }
     }
 
-    /// Returns all owners, by partition.
+    /// Returns the owners of all partitions, indexed by partition.
     pub fn all(&self) -> Vec<Option<Owner>> {
         self.read().clone()
     }
 }
 
-/// Returns the place of `process` among those that could own a partition, by
-/// rendezvous hashing: 0 is the first choice.
-pub(crate) fn rank(partition: PartitionId, process: &str, others: &[String]) -> usize {
+/// Returns the rank of `process` among the candidates for a partition, by rendezvous hashing.
+/// Rank 0 is the first choice.
+pub(crate) fn owner_rank(partition: PartitionId, process: &str, others: &[String]) -> usize {
     let weight = |p: &str| hash64(&["owner", &partition.to_string(), p]);
-    let own = weight(process);
-    others.iter().filter(|p| p.as_str() != process && weight(p) > own).count()
+    let own_weight = weight(process);
+    others.iter().filter(|p| p.as_str() != process && weight(p) > own_weight).count()
 }
--- a/crates/hollowford-server/src/views.rs
+++ b/crates/hollowford-server/src/views.rs
@@ -1,13 +1,13 @@
-//! Turns the engine's views into the schema's.
+//! Converts the engine's views of requests to messages.
 
 use crate::codec::outcome_to_wire;
 use hollowford_core::ErrorKind;
-use hollowford_engine::{FinalAnswer, TaskResult, View};
+use hollowford_engine::{FinalAnswer, RequestView, TaskResult};
 use hollowford_protocol::peer::{ObjectResult, ViewReply};
 use hollowford_protocol::v1;
 
-/// Turns a request's view into the reply that an entry gets from the owner.
-pub fn view_to_wire(view: &View<'_>) -> ViewReply {
+/// Converts a request's view to the reply that the owner sends to the entry.
+pub fn view_to_wire(view: &RequestView<'_>) -> ViewReply {
     let mut objects = Vec::new();
     for (index, result) in &view.results {
         if !result.object.is_empty() {
@@ -31,7 +31,7 @@
     ViewReply { view: Some(wire), objects }
 }
 
-fn answer_to_wire(answer: &FinalAnswer, view: &View<'_>) -> v1::Answer {
+fn answer_to_wire(answer: &FinalAnswer, view: &RequestView<'_>) -> v1::Answer {
     let kind = ErrorKind::from_name(&answer.reason);
     let result = |(index, r): &(u32, &TaskResult)| v1::TaskResult {
         index: *index,
@@ -44,7 +44,7 @@
         outcome: outcome_to_wire(answer.outcome).into(),
         reason: answer.reason.to_string(),
         message: answer.message.to_string(),
-        retry_after_ms: kind.and_then(|k| k.answer().retry_after_ms).unwrap_or(0),
+        retry_after_ms: kind.and_then(|k| k.info().retry_after_ms).unwrap_or(0),
         had_begun: answer.had_begun,
         results: if done { view.results.iter().map(result).collect() } else { Vec::new() },
         not_durable: !view.durable,
--- a/crates/hollowford-server/src/workers/mod.rs
+++ b/crates/hollowford-server/src/workers/mod.rs
@@ -1,31 +1,31 @@
-//! The duty that holds the sessions with workers.
+//! The `workers` thread, which maintains the sessions with workers.
 
-mod duty;
+mod event_loop;
 mod session;
 #[cfg(test)]
 mod tests;
 
-pub(crate) use duty::run;
+pub(crate) use event_loop::run;
 
 use hollowford_core::{Epoch, InstanceId, PartitionId};
 use hollowford_protocol::v1;
 use std::collections::HashMap;
 
-/// An order, for one session only.
+/// An order for a worker, valid in one session only.
 #[derive(Debug)]
-pub(crate) struct Addressed {
+pub(crate) struct AddressedOrder {
     pub worker: InstanceId,
     pub session: u64,
     pub order: v1::Order,
 }
 
-/// What the duty is told.
+/// A message to the `workers` thread.
 #[derive(Debug)]
 pub(crate) enum WorkerMsg {
-    /// Hold sessions with just these workers, by address.
-    Hold { partition: PartitionId, epoch: Epoch, workers: HashMap<InstanceId, String> },
+    /// Maintain sessions with exactly these workers of a partition. The values are addresses.
+    SetWorkers { partition: PartitionId, epoch: Epoch, workers: HashMap<InstanceId, String> },
     /// End all sessions of a partition.
-    Drop { partition: PartitionId },
+    EndSessions { partition: PartitionId },
     /// Send orders.
-    Orders { partition: PartitionId, orders: Vec<Addressed> },
+    SendOrders { partition: PartitionId, orders: Vec<AddressedOrder> },
 }
--- a/crates/hollowford-standin/src/control.rs
+++ b/crates/hollowford-standin/src/control.rs
@@ -1,4 +1,4 @@
-//! Calls that bring about faults of workers, and give out their record.
+//! HTTP endpoints that inject faults into workers and return their record.
 
 use crate::record::{Line, Recorder};
 use crate::worker::StandinWorker;
@@ -10,27 +10,27 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The workers of one process, by id.
-pub struct Controlled {
-    /// The workers.
+/// The workers of one process.
+pub struct ControlledWorkers {
+    /// The workers by id.
     pub workers: BTreeMap<String, Arc<StandinWorker>>,
-    /// Their common record.
+    /// Their shared record.
     pub recorder: Arc<Recorder>,
 }
 
-type State<'a> = Data<&'a Arc<Controlled>>;
+type State<'a> = Data<&'a Arc<ControlledWorkers>>;
 
 #[handler]
 fn leave(state: State<'_>, Path(id): Path<String>) {
     if let Some(w) = state.workers.get(&id) {
-        w.leave();
+        w.announce_leaving();
     }
 }
 
 #[handler]
-fn cut(state: State<'_>, Path(id): Path<String>) {
+fn disconnect(state: State<'_>, Path(id): Path<String>) {
     if let Some(w) = state.workers.get(&id) {
-        w.cut();
+        w.disconnect();
     }
 }
 
@@ -42,9 +42,9 @@
 }
 
 #[handler]
-fn deaf(state: State<'_>, Path((id, on)): Path<(String, bool)>) {
+fn reject_claims(state: State<'_>, Path((id, on)): Path<(String, bool)>) {
     if let Some(w) = state.workers.get(&id) {
-        w.set_deaf(on);
+        w.set_rejects_claims(on);
     }
 }
 
@@ -53,16 +53,16 @@
     Json(state.recorder.lines())
 }
 
-/// Starts the control address and returns it.
+/// Starts the control endpoints on a free port and returns their address.
 ///
 /// # Errors
-/// When it can't be bound.
-pub async fn start(controlled: Controlled) -> io::Result<SocketAddr> {
+/// Returns an error if no port can be bound.
+pub async fn start(controlled: ControlledWorkers) -> io::Result<SocketAddr> {
     let app = Route::new()
         .at("/leave/:id", post(leave))
-        .at("/cut/:id", post(cut))
+        .at("/cut/:id", post(disconnect))
         .at("/fail/:id/:on", post(fail))
-        .at("/deaf/:id/:on", post(deaf))
+        .at("/deaf/:id/:on", post(reject_claims))
         .at("/record", get(record))
         .data(Arc::new(controlled));
     let acceptor = TcpListener::bind("127.0.0.1:0").into_acceptor().await?;
--- a/crates/hollowford/src/command/dev.rs
+++ b/crates/hollowford/src/command/dev.rs
@@ -1,35 +1,36 @@
 //! `hollowford dev`.
 
-use super::signature::{Command, Example};
-use crate::client::{block_on, finish};
+use super::definition::{Command, Example};
+use crate::client::{block_on, reject_unused_arguments};
 use crate::dev::cell::{Cell, OPERATOR_TOKEN};
 use crate::dev::work::{self, WorkFile};
 use crate::dev::{report::Report, run};
 use crate::error::CliError;
-use hollowford_standin::judge::judge;
+use hollowford_standin::record_check::check_record;
 use pico_args::Arguments;
 
-/// The command.
+/// Definition of the `dev` command.
 pub const COMMAND: Command = Command {
     name: "dev",
     signature: "[--run FILE [--json] | --cell FILE]",
-    description: "Runs a whole cell in one process, with a stand-in platform and stand-in workers.
-With --run it submits the file's work, prints every answer and the measures, and ends;
-otherwise it prints the addresses and the tokens, and stays.",
+    description:
+        "Runs a complete cell in one process, with a stand-in platform and stand-in workers.
+With --run it submits the file's work, prints every answer and the measurements, and exits;
+otherwise it prints the addresses and tokens, and runs until it is interrupted.",
     examples: &[
         Example {
             line: "hollowford dev --run examples/kivu.jsonc",
-            does: "runs Kivu's mixed work and shows what came of it",
+            explanation: "runs Kivu's mixed work and shows the results",
         },
         Example {
             line: "hollowford dev --run examples/ortak-sahne.jsonc",
-            does: "runs Ortak Sahne's rebuild wave and confirmations",
+            explanation: "runs Ortak Sahne's rebuild wave and confirmations",
         },
     ],
     run: run_command,
 };
 
-/// The cell that is started when no file is given.
+/// The cell to start when no file is given.
 const DEFAULT_CELL: &str = r#"{
     "workers": { "count": 6 },
     "accounts": [{ "name": "try", "token": "try-token" }]
@@ -47,11 +48,11 @@
     let run_file: Option<String> = args.opt_value_from_str("--run")?;
     let json = args.contains("--json");
     let cell_file: Option<String> = args.opt_value_from_str("--cell")?;
-    finish(args)?;
+    reject_unused_arguments(args)?;
     let file = read(run_file.as_deref().or(cell_file.as_deref()))?;
     let cell = Cell::start(&file)?;
     if run_file.is_none() {
-        return stay(&file, &cell);
+        return serve_until_interrupt(&file, &cell);
     }
     let mut report = None;
     block_on(async {
@@ -60,32 +61,32 @@
     })?;
     let lines = cell.recorder.lines();
     cell.stop();
-    let verdict = judge(lines);
+    let summary = check_record(lines);
     let Some(report) = report else {
-        return Err(CliError::Run("the run ended without a report".to_owned()));
+        return Err(CliError::Run("the run returned no report".to_owned()));
     };
     if json {
-        println!("{}", report.to_json(&verdict));
-        return end(&report, verdict.faults.len());
+        println!("{}", report.to_json(&summary));
+        return exit_result(&report, summary.violations.len());
     }
     report.print();
-    println!("workers' record   {} starts, {} faults", verdict.starts, verdict.faults.len());
-    for fault in verdict.faults.iter().take(10) {
-        println!("  {fault}");
+    println!("workers' record   {} starts, {} faults", summary.starts, summary.violations.len());
+    for violation in summary.violations.iter().take(10) {
+        println!("  {violation}");
     }
-    end(&report, verdict.faults.len())
+    exit_result(&report, summary.violations.len())
 }
 
-fn end(report: &Report, faults: usize) -> Result<(), CliError> {
+fn exit_result(report: &Report, violations: usize) -> Result<(), CliError> {
     match report.missing {
-        0 if faults == 0 => Ok(()),
-        0 => Err(CliError::Run(format!("the workers' record shows {faults} faults"))),
+        0 if violations == 0 => Ok(()),
+        0 => Err(CliError::Run(format!("the workers' record shows {violations} faults"))),
         n => Err(CliError::Run(format!("{n} requests got no answer"))),
     }
 }
 
-/// Prints where the cell is and how to call it, and waits for SIGINT.
-fn stay(file: &WorkFile, cell: &Cell) -> Result<(), CliError> {
+/// Prints the addresses and tokens of the cell, and waits for SIGINT.
+fn serve_until_interrupt(file: &WorkFile, cell: &Cell) -> Result<(), CliError> {
     for process in &cell.processes {
         let a = process.addresses();
         println!("process: callers {}, admin http://{}/state", a.callers, a.admin);
--- a/crates/hollowford/src/command/node.rs
+++ b/crates/hollowford/src/command/node.rs
@@ -1,24 +1,24 @@
 //! `hollowford node`.
 
-use super::signature::{Command, Example};
-use crate::client::finish;
+use super::definition::{Command, Example};
+use crate::client::reject_unused_arguments;
 use crate::error::CliError;
 use hollowford_adapter::NodeSettings;
-use hollowford_node::{NodeOptions, WORKERS_EACH};
+use hollowford_node::{DEFAULT_WORKERS_PER_PARTITION, NodeOptions};
 use pico_args::Arguments;
 use std::num::NonZeroUsize;
 
-/// The command.
+/// Definition of the `node` command.
 pub const COMMAND: Command = Command {
     name: "node",
     signature: "[--config FILE] [--metrics PORT] [--workers-each N] [--check]",
     description: "Runs a process on the users' platform until SIGTERM.
 Reads the settings file that the platform lays, whose path HOLLOWFORD_NODE_FILE holds, and
 serves metrics on PORT of the process's address. A cell that first starts gets one partition
-for N workers (1,200 unless said otherwise). With --check it only reads and checks the file.",
+for N workers (default: 1,200). With --check it only reads and checks the file.",
     examples: &[Example {
         line: "hollowford node --check --config platform/examples/settings.toml",
-        does: "checks a settings file of the platform",
+        explanation: "checks a settings file of the platform",
     }],
     run,
 };
@@ -28,7 +28,7 @@
     let metrics: Option<u16> = args.opt_value_from_str("--metrics")?;
     let workers_each: Option<NonZeroUsize> = args.opt_value_from_str("--workers-each")?;
     let check = args.contains("--check");
-    finish(args)?;
+    reject_unused_arguments(args)?;
     let settings = match &file {
         Some(file) => NodeSettings::from_file(file),
         None => NodeSettings::from_environment(),
@@ -39,13 +39,15 @@
         return Ok(());
     }
     super::serve::abort_on_panic();
-    // One thread: on a part of a core more only cost memory and wake-ups.
+    // On a share of a core, more threads would only cost memory and wake-ups.
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(CliError::io("runtime"))?;
-    let options =
-        NodeOptions { metrics_port: metrics, workers_each: workers_each.unwrap_or(WORKERS_EACH) };
+    let options = NodeOptions {
+        metrics_port: metrics,
+        workers_per_partition: workers_each.unwrap_or(DEFAULT_WORKERS_PER_PARTITION),
+    };
     let run = hollowford_node::run(settings, options);
     runtime.block_on(run).map_err(|e| CliError::Run(e.to_string()))
 }
--- a/crates/hollowford/src/dev/work.rs
+++ b/crates/hollowford/src/dev/work.rs
@@ -1,4 +1,4 @@
-//! The file that `dev` reads: a cell, its client accounts, and the work to submit.
+//! Work files for `dev`: a cell, its client accounts, and the work to submit.
 
 use hollowford_config::{Document, Node, Section, SettingsError, read_policy};
 use hollowford_engine::Policy;
@@ -6,20 +6,20 @@
 
 const HOUR_MS: u64 = 3_600_000;
 
-/// What `dev` is to start and run.
+/// A parsed work file.
 #[derive(Clone, Debug)]
 pub struct WorkFile {
-    /// Processes of the system.
+    /// Number of processes of the system.
     pub entries: u64,
-    /// Partitions.
+    /// Number of partitions.
     pub partitions: u64,
-    /// Workers.
+    /// Workers of the cell.
     pub workers: WorkerGroup,
-    /// Settings of the decisions.
+    /// Scheduling policy.
     pub policy: Policy,
     /// Client accounts.
     pub accounts: Vec<AccountSpec>,
-    /// Work.
+    /// Work to submit.
     pub work: Vec<WorkItem>,
 }
 
@@ -34,7 +34,7 @@
     pub accelerators: u64,
 }
 
-/// A client account of the file.
+/// A client account of the work file.
 #[derive(Clone, Debug)]
 pub struct AccountSpec {
     pub name: String,
@@ -43,26 +43,26 @@
     pub quota_cpu_milli: u64,
 }
 
-/// Requests that are alike.
+/// A series of equal requests.
 #[derive(Clone, Debug)]
 pub struct WorkItem {
     pub name: String,
     pub account: String,
     pub requests: u64,
-    /// When the first is submitted, in milliseconds from the start.
+    /// When the first request is submitted, in milliseconds from the start.
     pub after_ms: u64,
-    /// Time between two of them.
+    /// Time between two requests, in milliseconds.
     pub every_ms: u64,
     pub spec: v1::RequestSpec,
 }
 
-/// Reads a work file.
+/// Parses a work file.
 ///
 /// # Errors
-/// The first thing that is wrong, with line and column.
+/// Returns the first error in the file, with line and column.
 pub fn read(text: &str) -> Result<WorkFile, SettingsError> {
     Document::new(text).read(|s| {
-        s.only(&["entries", "partitions", "workers", "policy", "accounts", "work"])?;
+        s.check_keys(&["entries", "partitions", "workers", "policy", "accounts", "work"])?;
         let policy = match s.section("policy")? {
             Some(p) => read_policy(&p)?,
             None => Policy::default(),
@@ -86,7 +86,7 @@
     let Some(w) = s.section("workers")? else {
         return Err(s.error("\"workers\" is missing", "an object with \"count\""));
     };
-    w.only(&["count", "zones", "per_rack", "cpu_milli", "memory_mib", "accelerators"])?;
+    w.check_keys(&["count", "zones", "per_rack", "cpu_milli", "memory_mib", "accelerators"])?;
     Ok(WorkerGroup {
         count: w.number("count", 50, 1..=200)?,
         zones: w.number("zones", 1, 1..=32)?,
@@ -99,7 +99,7 @@
 
 fn read_account(node: &Node<'_>) -> Result<AccountSpec, SettingsError> {
     let a = node.section()?;
-    a.only(&["name", "token", "weight", "quota_cpu_milli"])?;
+    a.check_keys(&["name", "token", "weight", "quota_cpu_milli"])?;
     Ok(AccountSpec {
         name: a.text("name", "the client account's name")?.to_owned(),
         token: a.text("token", "the token that its callers send")?.to_owned(),
@@ -131,7 +131,7 @@
 
 fn read_item(node: &Node<'_>, accounts: &[AccountSpec]) -> Result<WorkItem, SettingsError> {
     let w = node.section()?;
-    w.only(ITEM_KEYS)?;
+    w.check_keys(ITEM_KEYS)?;
     let account = w.text("account", "one of \"accounts\"")?;
     if !accounts.iter().any(|a| a.name == account) {
         return Err(w.error(&format!("no account {account:?}"), "one of \"accounts\""));
@@ -180,7 +180,7 @@
     })
 }
 
-/// Writes what the stand-in workers are to do into the payload.
+/// Returns the payload that tells the stand-in workers the actual run time and result size.
 fn read_payload(w: &Section<'_>) -> Result<String, SettingsError> {
     let mut words = Vec::new();
     if w.get("true_run_ms").is_some() {
