--- a/crates/hollowford-node/src/takeover.rs
+++ b/crates/hollowford-node/src/takeover.rs
@@ -17,8 +17,8 @@
 use hollowford_core::Millis;
 use std::collections::VecDeque;
 
-/// How often a member checks on its owner, and the heartbeat interval that it assumes until the
-/// owner announces another one.
+/// How often a member sends its heartbeat and checks on its owner, and the interval of the owner's
+/// heartbeats that it assumes until the owner announces another one.
 pub const HEARTBEAT_INTERVAL: Millis = Millis(100);
 /// Heartbeats missed before an owner is suspected and probed.
 const SUSPECT_AFTER_MISSED: u64 = 3;
