--- a/crates/hollowford-engine/src/policy.rs
+++ b/crates/hollowford-engine/src/policy.rs
@@ -40,7 +40,8 @@
     pub preempt_per_second: u32,
     /// Number of distinct requests that must fail on a worker before it is quarantined.
     pub quarantine_after: usize,
-    /// Duration of the first quarantine; doubles with each further one without a success.
+    /// Duration of the first quarantine, after which the worker is probed with one task. Doubles with
+    /// each further quarantine without a success.
     pub quarantine_time: Millis,
     /// Maximum share of the workers that are in quarantine at the same time, 0 to 1.
     pub max_quarantined_share: f64,
--- a/crates/hollowford-engine/tests/common/invariants.rs
+++ b/crates/hollowford-engine/tests/common/invariants.rs
@@ -89,6 +89,8 @@
         }
     }
 
+    /// Returns the key of a request. The number may be an earlier one: a request that its caller
+    /// repeats after a takeover may get another.
     fn key_of(&self, no: RequestNo) -> Option<&RequestKey> {
         self.numbers.iter().find(|(_, numbers)| numbers.contains(&no)).map(|(key, _)| key)
     }
